--- a/src/main/java/kestreldeal/scale/fleet/HollowSender.java
+++ b/src/main/java/kestreldeal/scale/fleet/HollowSender.java
@@ -30,12 +30,12 @@
     private final Map<Long, SimMessage> held = new LinkedHashMap<>();
     /** The same, and those over of which an attempt is still out. */
     private final Map<Long, SimMessage> known = new HashMap<>();
-    private final Map<Long, Relay.Health> health = new LinkedHashMap<>();
+    private final Map<Long, Relay.EndpointHealth> health = new LinkedHashMap<>();
     private final Map<Long, Connections> connections = new HashMap<>();
     /** The calls that this turn forms, by endpoint. */
     private final Map<Long, List<Call>> forming = new LinkedHashMap<>();
     private Optional<Relay> relay = Optional.empty();
-    private Optional<Relay.Memory> memory = Optional.empty();
+    private Optional<Relay.LearnedState> memory = Optional.empty();
     private int life;
     private double readyAt;
     private double diedAt;
@@ -81,9 +81,9 @@
         List<Relay.Endpoint> list = fleet.directory().listAt(this);
         list.forEach(entry -> fleet.ledger().listed(this, entry));
         event(r -> {
-            r.endpoints(now, true, list);
-            memory.ifPresent(m -> r.recalled(now, m));
-            new LinkedHashMap<>(health).forEach((endpoint, h) -> r.recalled(now, endpoint, h));
+            r.endpointsChanged(now, true, list);
+            memory.ifPresent(m -> r.restoreLearnedState(now, m));
+            new LinkedHashMap<>(health).forEach((endpoint, h) -> r.restoreEndpointHealth(now, endpoint, h));
             List.copyOf(held.values()).forEach(message -> resume(r, message));
         });
         memory = Optional.empty();
@@ -91,7 +91,7 @@
 
     private void resume(Relay r, SimMessage message) {
         fleet.ledger().resumed(message);
-        r.resumed(world.now(), message(message), message.attempts.stream()
+        r.messageRestored(world.now(), message(message), message.attempts.stream()
                 .map(a -> new Relay.EarlierAttempt(a.endpoint.id, a.sentAt, a.mayHaveRun())).toList());
     }
 
@@ -128,10 +128,10 @@
         int lifeThen = life;
         takes = false;
         diedAt = world.now();
-        event(r -> r.closing(world.now(), world.now() + CLOSING_MS));
+        event(r -> r.shutdownScheduled(world.now(), world.now() + CLOSING_MS));
         world.in(KILLED_AFTER_MS, () -> {
             if (life == lifeThen) {
-                memory = relay.map(r -> r.memory(world.now()));
+                memory = relay.map(r -> r.learnedState(world.now()));
                 restartAfter(NEXT_LIFE_MS);
             }
         });
@@ -190,7 +190,7 @@
         held.put(message.id, message);
         known.put(message.id, message);
         fleet.ledger().taken(message);
-        event(r -> r.message(world.now(), message(message)));
+        event(r -> r.messageAccepted(world.now(), message(message)));
     }
 
     private Relay.Message message(SimMessage m) {
@@ -202,12 +202,12 @@
     void listed(Relay.Endpoint entry) {
         if (isAlive()) {
             fleet.ledger().listed(this, entry);
-            event(r -> r.endpoints(world.now(), false, List.of(entry)));
+            event(r -> r.endpointsChanged(world.now(), false, List.of(entry)));
         }
     }
 
     /** An answer, or a reset, has come; one to a call that nobody waits for finds its connection closed. */
-    void answered(Call call, Outcome outcome, double waitMs, Relay.Report report) {
+    void answered(Call call, Outcome outcome, double waitMs, Relay.LoadReport report) {
         if (call.life != life || !isAlive() || !call.isAwaited()) {
             return;
         }
@@ -220,12 +220,12 @@
         endAll(call, outcome, waitMs, report);
     }
 
-    private void endAll(Call call, Outcome outcome, double waitMs, Relay.Report report) {
+    private void endAll(Call call, Outcome outcome, double waitMs, Relay.LoadReport report) {
         call.items.stream().filter(item -> item.attempt().outcome.isEmpty())
                 .forEach(item -> end(item, outcome, waitMs, report));
     }
 
-    private void end(Call.Item item, Outcome outcome, double waitMs, Relay.Report report) {
+    private void end(Call.Item item, Outcome outcome, double waitMs, Relay.LoadReport report) {
         SimMessage message = item.message();
         SimMessage.Attempt attempt = item.attempt();
         attempt.outcome = Optional.of(outcome);
@@ -241,7 +241,7 @@
             fleet.clients().delivered(message);
         }
         forgetIfOver(message);
-        event(r -> r.attemptEnded(world.now(), new Relay.AttemptEnd(message.id, item.number(), outcome,
+        event(r -> r.attemptCompleted(world.now(), new Relay.AttemptResult(message.id, item.number(), outcome,
                 world.now() - attempt.sentAt, message.ended, waitMs, report)));
     }
 
@@ -283,7 +283,7 @@
     }
 
     private void unreachable(Call call) {
-        endAll(call, Outcome.UNREACHABLE, 0, Relay.Report.NONE);
+        endAll(call, Outcome.UNREACHABLE, 0, Relay.LoadReport.NONE);
     }
 
     /** Since it was decided a connect may have passed: what may not go any more doesn't. */
@@ -292,7 +292,7 @@
                 .filter(item -> item.attempt().outcome.isPresent() || !mayStillGo(item)).toList();
         call.items.removeAll(dropped);
         dropped.stream().filter(item -> item.attempt().outcome.isEmpty())
-                .forEach(item -> end(item, Outcome.NOT_SENT, 0, Relay.Report.NONE));
+                .forEach(item -> end(item, Outcome.NOT_SENT, 0, Relay.LoadReport.NONE));
         if (call.items.isEmpty()) {
             connectionsTo(call.endpoint).give(world.now(), call.endpoint.resets());
             return;
@@ -310,13 +310,13 @@
 
     private boolean mayStillGo(Call.Item item) {
         SimMessage message = item.message();
-        if (message.ended || !relay.get().mayStillGo(world.now(), item.attempt().endpoint.id)) {
+        if (message.ended || !relay.get().sendAllowed(world.now(), item.attempt().endpoint.id)) {
             return false;
         }
         Relay.MessageClass type = fleet.relaySettings().classes().get(message.asked.messageClass);
         return type.effect() != Relay.Effect.KEYED || message.attempts.subList(0, item.number()).stream()
                 .noneMatch(a -> a.mayHaveRun()
-                        && world.now() > a.sentAt + type.windowMs() - WRITTEN_MARGIN_MS);
+                        && world.now() > a.sentAt + type.dedupWindowMs() - WRITTEN_MARGIN_MS);
     }
 
     // ---- what the module asks for ----
@@ -330,7 +330,7 @@
         int count = message.attempts.size();
         fleet.counts().copies += copy ? 1 : 0;
         fleet.counts().firstSends += count == 0 ? 1 : 0;
-        fleet.counts().trials += heldAs(endpointId) == Relay.State.DOWN ? 1 : 0;
+        fleet.counts().trials += heldAs(endpointId) == Relay.EndpointState.DOWN ? 1 : 0;
         SimMessage.Attempt attempt = new SimMessage.Attempt(endpoint, world.now());
         message.attempts.add(attempt);
         Call.Item item = new Call.Item(message, count, attempt);
@@ -339,13 +339,14 @@
         later(call, timeoutMs, c -> {
             if (attempt.outcome.isEmpty()) {
                 boolean written = call.writtenAt <= world.now();
-                end(item, written ? Outcome.TIMED_OUT : Outcome.UNREACHABLE, 0, Relay.Report.NONE);
+                end(item, written ? Outcome.TIMED_OUT : Outcome.UNREACHABLE, 0, Relay.LoadReport.NONE);
             }
         });
     }
 
-    private Relay.State heldAs(long endpoint) {
-        return Optional.ofNullable(health.get(endpoint)).map(Relay.Health::state).orElse(Relay.State.UP);
+    private Relay.EndpointState heldAs(long endpoint) {
+        return Optional.ofNullable(health.get(endpoint)).map(Relay.EndpointHealth::state)
+                .orElse(Relay.EndpointState.UP);
     }
 
     private Call callTo(HollowEndpoint endpoint) {
@@ -363,18 +364,18 @@
         int lifeThen = life;
         world.at(world.now(), () -> {
             if (lifeThen == life && attempt.outcome.isEmpty()) {
-                end(new Call.Item(message, number, attempt), Outcome.CANCELLED, 0, Relay.Report.NONE);
+                end(new Call.Item(message, number, attempt), Outcome.CANCELLED, 0, Relay.LoadReport.NONE);
             }
         });
     }
 
     @Override
-    public void closeIdle(long endpoint) {
+    public void closeIdleConnections(long endpoint) {
         connections.remove(endpoint);
     }
 
     @Override
-    public void refuse(long id, double waitMs) {
+    public void reject(long id, double waitMs) {
         SimMessage message = end(id, "refused");
         fleet.ledger().refused(message);
         fleet.clients().refused(message, waitMs);
@@ -423,8 +424,8 @@
     }
 
     @Override
-    public void remember(long endpoint, Relay.Health now) {
-        if (now.state() == Relay.State.UP) {
+    public void saveEndpointHealth(long endpoint, Relay.EndpointHealth now) {
+        if (now.state() == Relay.EndpointState.UP) {
             health.remove(endpoint);
         } else {
             health.put(endpoint, now);
--- a/src/main/java/kestreldeal/scale/fleet/Ledger.java
+++ b/src/main/java/kestreldeal/scale/fleet/Ledger.java
@@ -95,7 +95,7 @@
         if (unsafe && message.attempts.stream().anyMatch(SimMessage.Attempt::mayHaveRun)) {
             throw broken(message, "sent again, though it must not run twice and may have run");
         }
-        if (!settings.copies() && message.out() > 0) {
+        if (!settings.hedging() && message.out() > 0) {
             throw broken(message, "sent while an attempt is out");
         }
         keepWindow(message, message.attempts.size(), "sent");
@@ -109,7 +109,7 @@
         }
         double now = world.now();
         message.attempts.subList(0, attempt).stream().filter(SimMessage.Attempt::mayHaveRun).findFirst()
-                .filter(first -> now > first.sentAt + type.windowMs()).ifPresent(first -> {
+                .filter(first -> now > first.sentAt + type.dedupWindowMs()).ifPresent(first -> {
                     throw broken(message, String.format(Locale.ROOT, "%s %.0f ms after it may have run, out of its "
                             + "window", what, now - first.sentAt));
                 });
@@ -156,7 +156,7 @@
 
     /** The time of the first word counts; one that serves again is free. */
     private void mark(Map<Long, Double> since, Relay.Endpoint entry) {
-        if (entry.gone() || !entry.serving()) {
+        if (entry.removed() || !entry.serving()) {
             since.putIfAbsent(entry.id(), world.now());
         } else {
             since.remove(entry.id());
--- a/src/main/java/kestreldeal/scale/fleet/Model.java
+++ b/src/main/java/kestreldeal/scale/fleet/Model.java
@@ -95,10 +95,11 @@
         List<Relay.MessageClass> classes = List.of(
                 new Relay.MessageClass(2500, 20_000, 1, 0.3, Relay.Effect.KEYED, false, 8000, false),
                 new Relay.MessageClass(3000, 16_000, 2, 0.3, Relay.Effect.UNSAFE, false, 5000, false));
-        List<Relay.Kind> routes = kinds.stream().map(kind -> new Relay.Kind(false, kind.batch)).toList();
+        List<Relay.DestinationKind> routes = kinds.stream().map(kind -> new Relay.DestinationKind(false, kind.batch))
+                .toList();
         int slots = Math.max(LEAST_SLOTS, (int) Math.ceil(SLOTS_ROOM * load * CALL_S));
-        return new Relay.Settings(classes, routes, true, Relay.Decay.LINE, List.of(), senders, slots, MOST_ATTEMPTS,
-                true, true, 500, KEEP_ALIVE_MS, new Relay.ColdStart(0.2, 12_000, 2, 3000));
+        return new Relay.Settings(classes, routes, true, Relay.Decay.LINEAR, List.of(), senders, slots, MOST_ATTEMPTS,
+                true, true, 500, KEEP_ALIVE_MS, new Relay.SlowStart(0.2, 12_000, 2, 3000));
     }
 
     /** Messages that a sender may hold; further ones are turned away before it. */
--- a/src/main/java/kestreldeal/scale/fleet/Partner.java
+++ b/src/main/java/kestreldeal/scale/fleet/Partner.java
@@ -23,7 +23,7 @@
     final double capacityPerMs;
     final List<HollowEndpoint> endpoints = new ArrayList<>();
     private final Model model;
-    private final Relay.ColdStart rule;
+    private final Relay.SlowStart rule;
     private final Counts counts;
     private final Random random;
     private final double waitMs;
@@ -34,11 +34,11 @@
     private double outAt;
     private double backAt;
     private HollowEndpoint.State outBy = HollowEndpoint.State.SERVING;
-    private Relay.Report report = Relay.Report.NONE;
+    private Relay.LoadReport report = Relay.LoadReport.NONE;
     private double reportUntil;
 
     /** A destination that gets so many messages a second in the mean. */
-    Partner(int id, double messagesPerSecond, FleetSettings settings, Relay.ColdStart rule, Counts counts,
+    Partner(int id, double messagesPerSecond, FleetSettings settings, Relay.SlowStart rule, Counts counts,
             Random random) {
         this.id = id;
         this.model = settings.model();
@@ -74,10 +74,10 @@
     }
 
     /** What its answers tell; a report stands for a while. */
-    Relay.Report report(double now) {
+    Relay.LoadReport report(double now) {
         if (now >= reportUntil) {
             double left = Math.min(1, Math.max(0, limit.left(now) + noise()));
-            report = new Relay.Report(limitPerSecond * (1 + noise()), left);
+            report = new Relay.LoadReport(limitPerSecond * (1 + noise()), left);
             reportUntil = now + model.reportMs().draw(random);
         }
         return report;
--- a/src/test/java/kestreldeal/LogicCostTest.java
+++ b/src/test/java/kestreldeal/DeliverySchedulerCostTest.java
@@ -13,7 +13,7 @@
  * What a turn and a change cost, counted by what the module looks at, not by a clock: with a hundred times as much
  * waiting, listed or both at most three times as much.
  */
-class LogicCostTest {
+class DeliverySchedulerCostTest {
     private static final int FEW = 1000;
     private static final int MANY = 100_000;
     private static final int SLOTS = 50;
@@ -81,7 +81,7 @@
         long before = s.logic.waiting.looks();
         for (int i = 0; i < 10; i++) {
             s.now += 1;
-            s.logic.endpoints(s.now, false, List.of(s.entry(i, i % 2 == 0)));
+            s.logic.endpointsChanged(s.now, false, List.of(s.entry(i, i % 2 == 0)));
             s.turn();
         }
         return s.logic.waiting.looks() - before;
@@ -92,7 +92,7 @@
         assertEquals(SLOTS, s.sent.size());
         s.now += 1;
         for (int i = 0; i < k; i++) {
-            s.logic.attemptEnded(s.now, new Relay.AttemptEnd(s.sent.get(i), 0, Outcome.DELIVERED, 1, true, 0));
+            s.logic.attemptCompleted(s.now, new Relay.AttemptResult(s.sent.get(i), 0, Outcome.DELIVERED, 1, true, 0));
         }
         long before = s.logic.waiting.looks();
         s.turn();
@@ -104,22 +104,23 @@
     private static final class Scale implements Relay.Actions {
         final List<Long> sent = new ArrayList<>();
         final int destinations;
-        final Logic logic;
+        final DeliveryScheduler logic;
         double now = 1000;
 
         Scale(int destinations, int endpoints, int waiting) {
             this.destinations = destinations;
-            Relay.Settings settings = new Relay.Settings(LogicTest.CLASSES, List.of(new Relay.Kind(false, 1)), false,
-                    Relay.Decay.LINE, List.of(), 2, SLOTS, 12, true, true, 500, 15_000,
-                    new Relay.ColdStart(0.2, 12_000, 2, 1500));
-            logic = new Logic(settings, 1, this);
+            Relay.Settings settings = new Relay.Settings(DeliverySchedulerTest.CLASSES,
+                    List.of(new Relay.DestinationKind(false, 1)), false,
+                    Relay.Decay.LINEAR, List.of(), 2, SLOTS, 12, true, true, 500, 15_000,
+                    new Relay.SlowStart(0.2, 12_000, 2, 1500));
+            logic = new DeliveryScheduler(settings, 1, this);
             List<Relay.Endpoint> entries = new ArrayList<>();
             for (int i = 0; i < endpoints; i++) {
                 entries.add(entry(i, true));
             }
-            logic.endpoints(now, true, entries);
+            logic.endpointsChanged(now, true, entries);
             for (int i = 0; i < waiting; i++) {
-                logic.message(now, new Relay.Message(i, 0, 0, Optional.empty(), 16_000, i % destinations));
+                logic.messageAccepted(now, new Relay.Message(i, 0, 0, Optional.empty(), 16_000, i % destinations));
             }
         }
 
@@ -130,14 +131,14 @@
         /** Every destination has told to wait. */
         Scale waits() {
             for (int i = 0; i < destinations; i++) {
-                logic.waitTold(now, i, 10_000);
+                logic.retryAfterReceived(now, i, 10_000);
             }
             return this;
         }
 
         /** All but a few have just left the list. */
         Scale leave() {
-            logic.endpoints(now, true, List.of(entry(0, true)));
+            logic.endpointsChanged(now, true, List.of(entry(0, true)));
             return this;
         }
 
@@ -155,11 +156,11 @@
         }
 
         @Override
-        public void closeIdle(long endpoint) {
+        public void closeIdleConnections(long endpoint) {
         }
 
         @Override
-        public void refuse(long message, double waitMs) {
+        public void reject(long message, double waitMs) {
         }
 
         @Override
--- a/src/test/java/kestreldeal/LogicWalkTest.java
+++ b/src/test/java/kestreldeal/DeliverySchedulerEquivalenceTest.java
@@ -24,10 +24,11 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The module beside its reference, {@link WalkingLogic}: both get the same random sequences of events and must do the
+ * The module beside its reference, {@link ReferenceScheduler}: both get the same random sequences
+ * of events and must do the
  * same in the same order. The property {@code walk.seeds} sets how many sequences, from {@code walk.first} on.
  */
-class LogicWalkTest {
+class DeliverySchedulerEquivalenceTest {
     private static final int SEEDS = Integer.getInteger("walk.seeds", 400);
     private static final int FIRST = Integer.getInteger("walk.first", 1);
     /** A wake counts as come within so much, in the module as in the reference. */
@@ -73,12 +74,12 @@
         }
 
         @Override
-        public void closeIdle(long endpoint) {
+        public void closeIdleConnections(long endpoint) {
             done.add(new Action("close idle", endpoint, 0, 0));
         }
 
         @Override
-        public void refuse(long message, double waitMs) {
+        public void reject(long message, double waitMs) {
             done.add(new Action("refuse", message, 0, waitMs));
         }
 
@@ -93,8 +94,8 @@
         }
 
         @Override
-        public void remember(long endpoint, Relay.Health health) {
-            done.add(new Action("remember " + health.state(), endpoint, 0, health.carriedPerMs()));
+        public void saveEndpointHealth(long endpoint, Relay.EndpointHealth health) {
+            done.add(new Action("remember " + health.state(), endpoint, 0, health.sustainedPerMs()));
         }
 
         @Override
@@ -113,8 +114,8 @@
         final Relay.Settings settings;
         final Recorder asked = new Recorder();
         final Recorder wanted = new Recorder();
-        final Logic logic;
-        final WalkingLogic walk;
+        final DeliveryScheduler logic;
+        final ReferenceScheduler walk;
         final List<Out> out = new ArrayList<>();
         final List<Integer> attempts = new ArrayList<>();
         final int destinations;
@@ -138,8 +139,8 @@
             trouble = random.nextDouble();
             full = random.nextInt(4) == 0;
             checksLooks = random.nextInt(4) == 0;
-            logic = new Logic(settings, seed, asked);
-            walk = new WalkingLogic(settings, seed, wanted);
+            logic = new DeliveryScheduler(settings, seed, asked);
+            walk = new ReferenceScheduler(settings, seed, wanted);
         }
 
         private Relay.Settings settings() {
@@ -153,13 +154,13 @@
                         random.nextInt(3) == 0));
             }
             int batch = random.nextBoolean() ? 1 : 5;
-            List<Relay.Kind> kinds = List.of(new Relay.Kind(false, 1), new Relay.Kind(random.nextBoolean(), batch),
-                    new Relay.Kind(true, 1));
+            List<Relay.DestinationKind> kinds = List.of(new Relay.DestinationKind(false, 1),
+                    new Relay.DestinationKind(random.nextBoolean(), batch), new Relay.DestinationKind(true, 1));
             return new Relay.Settings(classes, kinds, random.nextBoolean(),
-                    random.nextBoolean() ? Relay.Decay.LINE : Relay.Decay.HALVES, List.of(0.0, 0.06),
+                    random.nextBoolean() ? Relay.Decay.LINEAR : Relay.Decay.HALVING, List.of(0.0, 0.06),
                     1 + random.nextInt(3), (int) pick(1, 2, 3, 5, 10, 40), (int) pick(2, 3, 12),
                     random.nextInt(4) > 0, random.nextInt(4) > 0, pick(0, 100, 500), pick(500, 15_000),
-                    new Relay.ColdStart(0.2, pick(1000, 12_000), 2, 1500));
+                    new Relay.SlowStart(0.2, pick(1000, 12_000), 2, 1500));
         }
 
         private double pick(double... of) {
@@ -184,18 +185,20 @@
                 recallHealth();
             }
             if (random.nextInt(4) == 0) {
-                Relay.Known known = new Relay.Known(endpoint(), pick(0, 900), pick(0.001, 0.01, 1), pick(1, 500), 1,
+                Relay.LearnedEndpointState known =
+                        new Relay.LearnedEndpointState(endpoint(), pick(0, 900), pick(0.001, 0.01, 1), pick(1, 500), 1,
                         0.01, pick(0, 0.02), 0.01, 0.01, 100, 20, 400);
-                Relay.Memory memory = new Relay.Memory(List.of(known), List.of(9000.0, 10.0), List.of(50.0),
+                Relay.LearnedState memory = new Relay.LearnedState(List.of(known), List.of(9000.0, 10.0), List.of(50.0),
                         List.of(9990.0, 20.0));
-                both(r -> r.recalled(now, memory));
+                both(r -> r.restoreLearnedState(now, memory));
             }
         }
 
         private void recallHealth() {
-            Relay.Health health = new Relay.Health(Relay.State.values()[random.nextInt(3)], now - 300, 0.01);
+            Relay.EndpointHealth health =
+                    new Relay.EndpointHealth(Relay.EndpointState.values()[random.nextInt(3)], now - 300, 0.01);
             long endpoint = endpoint();
-            both(r -> r.recalled(now, endpoint, health));
+            both(r -> r.restoreEndpointHealth(now, endpoint, health));
         }
 
         private void both(java.util.function.Consumer<Relay> event) {
@@ -220,7 +223,7 @@
 
         private void turn() {
             both(r -> r.endTurn(now));
-            assertEquals(walk.standing(), logic.standing());
+            assertEquals(walk.endpointCounts(), logic.endpointCounts());
             if (checksLooks && random.nextInt(8) == 0) {
                 double next = logic.waiting.nextLook();
                 reachable(logic).stream().filter(o -> o instanceof Lanes.Owner).forEach(o -> ((Lanes.Owner<?>) o).touch());
@@ -264,28 +267,28 @@
             } else if (kind < 52) {
                 long endpoint = endpoint();
                 double wait = pick(1, 40, 700, 4000);
-                both(r -> r.waitTold(now, endpoint, wait));
+                both(r -> r.retryAfterReceived(now, endpoint, wait));
             } else if (kind < 54 && !attempts.isEmpty()) {
                 long message = random.nextInt(attempts.size());
-                both(r -> r.withdrawn(now, message));
+                both(r -> r.messageCancelled(now, message));
             } else if (kind == 54 && random.nextInt(40) == 0) {
                 double end = now + pick(500, 3000);
-                both(r -> r.closing(now, end));
+                both(r -> r.shutdownScheduled(now, end));
             } else if (kind == 55) {
                 both(r -> r.wake(now));
             } else if (kind == 57) {
                 recallHealth();
             } else if (kind == 56) {
-                assertEquals(recent(walk.memory(now)), recent(logic.memory(now)));
+                assertEquals(recent(walk.learnedState(now)), recent(logic.learnedState(now)));
             } else {
                 answer();
             }
         }
 
         /** Sends that no longer count are forgotten at the next occasion, which comes more often in the walk. */
-        private static Relay.Memory recent(Relay.Memory memory) {
-            return new Relay.Memory(memory.endpoints(), recent(memory.firstSendsAgo()), recent(memory.copiesAgo()),
-                    recent(memory.retriesAgo()));
+        private static Relay.LearnedState recent(Relay.LearnedState memory) {
+            return new Relay.LearnedState(memory.endpoints(), recent(memory.firstSendsAgo()),
+                    recent(memory.copiesAgo()), recent(memory.retriesAgo()));
         }
 
         private static List<Double> recent(List<Double> ago) {
@@ -305,7 +308,7 @@
 
         private void message() {
             Relay.Message message = newMessage();
-            both(r -> r.message(now, message));
+            both(r -> r.messageAccepted(now, message));
         }
 
         private void resume() {
@@ -322,7 +325,7 @@
                         stillOut ? OptionalLong.of(calls += random.nextInt(2)) : OptionalLong.empty()));
             }
             attempts.set((int) message.id(), earlier.size());
-            both(r -> r.resumed(now, message, earlier));
+            both(r -> r.messageRestored(now, message, earlier));
         }
 
         private void answer() {
@@ -334,11 +337,11 @@
                     ? Outcome.values()[random.nextInt(Outcome.values().length)] : Outcome.DELIVERED;
             boolean finished = outcome == Outcome.DELIVERED || outcome == Outcome.ERROR && random.nextInt(5) == 0;
             double wait = outcome != Outcome.FULL ? 0 : full ? pick(0, 0, 0, 20) : pick(0, 20, 300, 3000);
-            Relay.Report report = random.nextInt(3) > 0 ? Relay.Report.NONE
-                    : new Relay.Report(pick(2, 50), random.nextDouble());
-            Relay.AttemptEnd end = new Relay.AttemptEnd(ended.message(), ended.attempt(), outcome,
+            Relay.LoadReport report = random.nextInt(3) > 0 ? Relay.LoadReport.NONE
+                    : new Relay.LoadReport(pick(2, 50), random.nextDouble());
+            Relay.AttemptResult end = new Relay.AttemptResult(ended.message(), ended.attempt(), outcome,
                     now - ended.sentAt(), finished, wait, report);
-            both(r -> r.attemptEnded(now, end));
+            both(r -> r.attemptCompleted(now, end));
         }
 
         private long endpoint() {
@@ -353,7 +356,7 @@
                 entries.add(new Relay.Endpoint(id, id / 10, kind, (int) (id % 2), random.nextInt(5) > 0,
                         pick(0, 20, 400), random.nextInt(8) == 0));
             }
-            both(r -> r.endpoints(now, whole, entries));
+            both(r -> r.endpointsChanged(now, whole, entries));
         }
 
         /** Everything ends, at once or in its time: nothing that was a message is left anywhere in the module. */
@@ -361,7 +364,7 @@
             boolean atOnce = random.nextBoolean();
             for (int i = 0; i < attempts.size() && atOnce; i++) {
                 long message = i;
-                both(r -> r.withdrawn(now, message));
+                both(r -> r.messageCancelled(now, message));
             }
             for (int i = 0; i < 100 && !atOnce; i++) {
                 answerAll();
--- a/src/test/java/kestreldeal/LogicTest.java
+++ b/src/test/java/kestreldeal/DeliverySchedulerTest.java
@@ -19,7 +19,7 @@
  * The module's behaviour, through its interface. Class 0 is safe, 1 keyed, 2 unsafe and in order, 3 keyed by
  * zone, 4 safe, with an aim that is its deadline.
  */
-class LogicTest {
+class DeliverySchedulerTest {
     private static final int SAFE = 0;
     private static final int KEYED = 1;
     private static final int UNSAFE = 2;
@@ -30,7 +30,7 @@
 
     @Test
     void aClassWhoseAimIsItsDeadlineHasARank() {
-        Bench b = new Bench(1).list(1, 10);
+        SchedulerHarness b = new SchedulerHarness(1).list(1, 10);
         b.take(1, SAFE, 1);
         b.take(2, SAFE, 1);
         b.take(3, WITHOUT_LATENESS, 1);
@@ -44,7 +44,7 @@
 
     @Test
     void aWakeThatComesAMomentEarlyIsAskedForAgain() {
-        Bench b = new Bench();
+        SchedulerHarness b = new SchedulerHarness();
         b.take(1, SAFE, 1);
         b.until(15_990);
         int asked = b.wakes.size();
@@ -56,7 +56,7 @@
 
     @Test
     void aCopyJoinsAtHalfTheAimOnAnotherEndpoint() {
-        Bench b = new Bench().list(1, 10, 11);
+        SchedulerHarness b = new SchedulerHarness().list(1, 10, 11);
         b.take(1, SAFE, 1);
         b.until(990);
         assertEquals(1, b.sends.size());
@@ -67,7 +67,7 @@
 
     @Test
     void aCopyGoesToTheOnlyEndpointWhereThereIsNoOther() {
-        Bench b = new Bench().list(1, 10);
+        SchedulerHarness b = new SchedulerHarness().list(1, 10);
         b.take(1, SAFE, 1);
         b.until(1010);
         assertEquals(2, b.sends.size());
@@ -75,7 +75,7 @@
 
     @Test
     void theFirstDeliveryCancelsTheRest() {
-        Bench b = new Bench().list(1, 10, 11);
+        SchedulerHarness b = new SchedulerHarness().list(1, 10, 11);
         b.take(1, SAFE, 1);
         b.until(1010);
         b.end(1, 1, Outcome.DELIVERED);
@@ -88,7 +88,7 @@
 
     @Test
     void noNewWaveWhileAnAttemptIsOut() {
-        Bench b = new Bench().list(1, 10, 11);
+        SchedulerHarness b = new SchedulerHarness().list(1, 10, 11);
         b.take(1, SAFE, 1);
         b.until(1010);
         b.end(1, 0, Outcome.ERROR);
@@ -101,7 +101,7 @@
 
     @Test
     void theStarterAllowsOneCopyAndATenthOfFirstSends() {
-        Bench b = new Bench();
+        SchedulerHarness b = new SchedulerHarness();
         for (int i = 0; i < 5; i++) {
             b.list(i, 10 + 2 * i, 11 + 2 * i);
         }
@@ -114,7 +114,7 @@
 
     @Test
     void noCopyWithoutAFreeSlot() {
-        Bench b = new Bench(2);
+        SchedulerHarness b = new SchedulerHarness(2);
         b.list(1, 10, 11);
         b.list(2, 20);
         b.take(1, SAFE, 1);
@@ -125,7 +125,7 @@
 
     @Test
     void anUnsafeMessageDoesNotRace() {
-        Bench b = new Bench().list(1, 10, 11);
+        SchedulerHarness b = new SchedulerHarness().list(1, 10, 11);
         b.take(1, UNSAFE, 1);
         b.until(5000);
         assertEquals(1, b.sends.size());
@@ -133,7 +133,7 @@
 
     @Test
     void quickErrorsDoNotBurnAllAttempts() {
-        Bench b = new Bench().list(1, 10);
+        SchedulerHarness b = new SchedulerHarness().list(1, 10);
         b.onSend = s -> b.endLater(s, Outcome.ERROR, 10);
         b.take(1, SAFE, 1);
         b.until(1000);
@@ -144,7 +144,7 @@
 
     @Test
     void everyMessageIsAnsweredOnceBeforeItsTimeIsUp() {
-        Bench b = new Bench().list(1, 10);
+        SchedulerHarness b = new SchedulerHarness().list(1, 10);
         b.take(1, SAFE, 9);
         b.take(2, UNSAFE, 1);
         b.until(15_990);
@@ -160,7 +160,7 @@
 
     @Test
     void anUnsafeMessageGoesAgainOnlyWithProofThatItNeverRan() {
-        Bench b = new Bench().list(1, 10, 11);
+        SchedulerHarness b = new SchedulerHarness().list(1, 10, 11);
         b.take(1, UNSAFE, 1);
         b.end(1, 0, Outcome.UNREACHABLE);
         b.until(1000);
@@ -173,7 +173,7 @@
 
     @Test
     void aKeyedMessageIsNotRepeatedOutsideItsWindow() {
-        Bench b = new Bench().list(1, 10);
+        SchedulerHarness b = new SchedulerHarness().list(1, 10);
         b.take(1, KEYED, 1);
         b.until(4000);
         int sent = b.sends.size();
@@ -187,7 +187,7 @@
 
     @Test
     void aKeyedMessageStaysInTheZoneThatMayHaveRunIt() {
-        Bench b = new Bench();
+        SchedulerHarness b = new SchedulerHarness();
         b.entry(10, 1, 0, 0, true).entry(11, 1, 0, 1, true);
         b.take(1, BY_ZONE, 1);
         long first = b.sends.get(0).endpoint();
@@ -200,7 +200,7 @@
 
     @Test
     void aFailureByZoneIsNeverARefusal() {
-        Bench b = new Bench().list(1, 10);
+        SchedulerHarness b = new SchedulerHarness().list(1, 10);
         b.take(1, BY_ZONE, 1);
         b.onSend = s -> b.endLater(s, Outcome.ERROR, 5);
         b.end(1, 0, Outcome.ERROR);
@@ -210,13 +210,13 @@
 
     @Test
     void nothingNewGoesToADrainingOrGoneEndpoint() {
-        Bench b = new Bench().list(1, 10);
+        SchedulerHarness b = new SchedulerHarness().list(1, 10);
         b.take(1, SAFE, 1);
         b.end(1, 0, Outcome.ERROR);
         b.entry(10, 1, 0, 0, false);
         b.until(5000);
         assertEquals(1, b.sends.size());
-        b.relay.endpoints(b.now, true, List.of());
+        b.relay.endpointsChanged(b.now, true, List.of());
         b.take(2, SAFE, 1);
         b.until(6000);
         assertEquals(1, b.sends.size());
@@ -224,7 +224,7 @@
 
     @Test
     void aToldWaitStopsEverySendThere() {
-        Bench b = new Bench().list(1, 10, 11);
+        SchedulerHarness b = new SchedulerHarness().list(1, 10, 11);
         b.take(1, SAFE, 1);
         b.end(1, 0, Outcome.FULL, 700);
         b.take(2, UNSAFE, 1);
@@ -238,7 +238,7 @@
     /** Found on menu-delivery big-2: only the first message's wait of a shared call was kept. */
     @Test
     void eachMessageOfACallMayBeToldItsOwnWait() {
-        Bench b = new Bench().entry(10, 1, 1, 0, true);
+        SchedulerHarness b = new SchedulerHarness().entry(10, 1, 1, 0, true);
         b.takeTogether(2, SAFE, 1);
         b.end(1, 0, Outcome.FULL, 0);
         b.end(2, 0, Outcome.FULL, 3000);
@@ -249,9 +249,9 @@
     /** By an answer that came when its call was over, or that could not be read to its end. */
     @Test
     void aWaitToldBesideAnyEndStopsEverySendThere() {
-        Bench b = new Bench().list(1, 10, 11).list(2, 20);
-        b.relay.waitTold(b.now, 10, 700);
-        b.relay.waitTold(b.now, 99, 700);
+        SchedulerHarness b = new SchedulerHarness().list(1, 10, 11).list(2, 20);
+        b.relay.retryAfterReceived(b.now, 10, 700);
+        b.relay.retryAfterReceived(b.now, 99, 700);
         b.take(1, SAFE, 1);
         b.take(2, SAFE, 2);
         b.until(700);
@@ -263,22 +263,22 @@
     /** Found on zone+brink+mass: a wait was told between the decision and the write. */
     @Test
     void whatWasDecidedMayNotGoBeforeAToldWaitIsOver() {
-        Bench b = new Bench().list(1, 10, 11);
+        SchedulerHarness b = new SchedulerHarness().list(1, 10, 11);
         b.take(1, SAFE, 1);
-        assertTrue(b.relay.mayStillGo(b.now, 11));
+        assertTrue(b.relay.sendAllowed(b.now, 11));
         b.end(1, 0, Outcome.FULL, 700);
         for (long endpoint : List.of(10L, 11L)) {
-            assertFalse(b.relay.mayStillGo(b.now + 699, endpoint));
-            assertTrue(b.relay.mayStillGo(b.now + 702, endpoint));
+            assertFalse(b.relay.sendAllowed(b.now + 699, endpoint));
+            assertTrue(b.relay.sendAllowed(b.now + 702, endpoint));
         }
         b.entry(10, 1, 0, 0, false);
-        assertFalse(b.relay.mayStillGo(b.now + 702, 10));
-        assertFalse(b.relay.mayStillGo(b.now + 702, 99), "never listed");
+        assertFalse(b.relay.sendAllowed(b.now + 702, 10));
+        assertFalse(b.relay.sendAllowed(b.now + 702, 99), "never listed");
     }
 
     @Test
     void aToldWaitBindsOneRouteWhereRoutesAreSeparate() {
-        Bench b = new Bench().entry(10, 1, 2, 0, true).entry(11, 1, 2, 0, true);
+        SchedulerHarness b = new SchedulerHarness().entry(10, 1, 2, 0, true).entry(11, 1, 2, 0, true);
         b.take(1, SAFE, 1);
         b.end(1, 0, Outcome.FULL, 5000);
         b.until(900);
@@ -288,7 +288,7 @@
 
     @Test
     void messagesOfOneKeyGoOneAtATimeAsTakenAndRestAfterADoubtfulEnd() {
-        Bench b = new Bench().list(1, 10, 11);
+        SchedulerHarness b = new SchedulerHarness().list(1, 10, 11);
         b.take(1, UNSAFE, 1, "k");
         b.take(2, UNSAFE, 1, "k");
         b.take(3, UNSAFE, 1, "other");
@@ -302,10 +302,10 @@
 
     @Test
     void aWithdrawnMessageWithAnOpenAttemptStillHoldsItsKey() {
-        Bench b = new Bench().list(1, 10, 11);
+        SchedulerHarness b = new SchedulerHarness().list(1, 10, 11);
         b.take(1, UNSAFE, 1, "k");
         b.take(2, UNSAFE, 1, "k");
-        b.relay.withdrawn(b.now, 1);
+        b.relay.messageCancelled(b.now, 1);
         b.until(300);
         assertEquals(List.of(1L), b.sent());
         b.end(1, 0, Outcome.DELIVERED);
@@ -316,7 +316,7 @@
 
     @Test
     void aRefusalPacesTheDestinationAndDeliveriesQuickenIt() {
-        Bench b = new Bench(100).list(1, 10);
+        SchedulerHarness b = new SchedulerHarness(100).list(1, 10);
         b.onSend = s -> b.endLater(s, Outcome.DELIVERED, 5);
         for (int i = 0; i < 8; i++) {
             b.take(i, SAFE, 1);
@@ -340,7 +340,7 @@
 
     @Test
     void aSilentEndpointGetsSingleTrialsNotItsBacklog() {
-        Bench b = new Bench(100).list(1, 10);
+        SchedulerHarness b = new SchedulerHarness(100).list(1, 10);
         for (int i = 0; i < 40; i++) {
             b.take(i, SAFE, 1);
             b.until(b.now + 100);
@@ -353,7 +353,7 @@
     /** Found in incident ia7b522: an endpoint that takes seconds but answers was held for silent. */
     @Test
     void aSlowAnswerEndsASilence() {
-        Bench b = new Bench(100).list(1, 10);
+        SchedulerHarness b = new SchedulerHarness(100).list(1, 10);
         b.take(1, UNSAFE, 1);
         b.take(2, UNSAFE, 1);
         b.until(1500);
@@ -365,7 +365,7 @@
 
     @Test
     void aReturningDestinationIsNotPushedOver() {
-        Bench b = new Bench(100).list(1, 10);
+        SchedulerHarness b = new SchedulerHarness(100).list(1, 10);
         b.onSend = s -> b.endLater(s, Outcome.DELIVERED, 20);
         b.takeEvery(100, SAFE, 1, 20_000);
         b.onSend = s -> b.endLater(s, Outcome.UNREACHABLE, 20);
@@ -383,7 +383,7 @@
     /** Found in incident if1c477: single resets kept an endpoint on its ramp for ever. */
     @Test
     void aLostCallNowAndThenDoesNotHoldBackAnEndpoint() {
-        Bench b = new Bench(100).list(1, 10);
+        SchedulerHarness b = new SchedulerHarness(100).list(1, 10);
         b.onSend = s -> b.endLater(s, b.sends.size() % 4 == 0 ? Outcome.BROKEN : Outcome.DELIVERED, 20);
         b.takeEvery(200, SAFE, 1, 30_000);
         long last = b.sends.stream().filter(s -> s.at() > 20_000).count();
@@ -395,7 +395,7 @@
      */
     @Test
     void anEndpointThatIsDownIsTriedAlsoBesideAHealthyOne() {
-        Bench b = new Bench(100).list(1, 10, 11);
+        SchedulerHarness b = new SchedulerHarness(100).list(1, 10, 11);
         b.onSend = s -> b.endLater(s, s.endpoint() == 10 && b.now < 5000 ? Outcome.UNREACHABLE
                 : Outcome.DELIVERED, 20);
         b.takeEvery(100, SAFE, 1, 40_000);
@@ -406,7 +406,7 @@
     /** Found in incident i1afe34: at three slots a sender, slow destinations held two each. */
     @Test
     void aDestinationHoldsOneOfThreeSlots() {
-        Bench b = new Bench(3).list(1, 10).list(2, 20);
+        SchedulerHarness b = new SchedulerHarness(3).list(1, 10).list(2, 20);
         b.take(1, SAFE, 1);
         b.take(2, SAFE, 1);
         b.take(3, SAFE, 2);
@@ -417,7 +417,7 @@
 
     @Test
     void aDestinationLeavesSlotsForOthers() {
-        Bench b = new Bench(10).list(1, 10).list(2, 20);
+        SchedulerHarness b = new SchedulerHarness(10).list(1, 10).list(2, 20);
         for (long id = 0; id < 20; id++) {
             b.take(id, SAFE, 1);
         }
@@ -429,7 +429,7 @@
     /** Found on a reload day: a quarter of the slots stood idle beside the queue of a quick destination. */
     @Test
     void aQuickDestinationMayHoldAllSlotsButOneUntilACallIsOutOfPatience() {
-        Bench b = new Bench(10).list(1, 10).list(2, 20);
+        SchedulerHarness b = new SchedulerHarness(10).list(1, 10).list(2, 20);
         b.take(0, SAFE, 1);
         b.end(0, 0, Outcome.DELIVERED);
         for (long id = 1; id <= 20; id++) {
@@ -450,10 +450,10 @@
     /** Found on a reload day: where a life knew of no demand yet, ramps began at one call a second. */
     @Test
     void aRampBeginsWithTheEvenPartOfTheListedRate() {
-        Bench b = new Bench(100);
+        SchedulerHarness b = new SchedulerHarness(100);
         b.listedRate = 40;
         b.list(1, 10);
-        b.relay.recalled(b.now, 10, new Relay.Health(Relay.State.DOWN, 0, 0));
+        b.relay.restoreEndpointHealth(b.now, 10, new Relay.EndpointHealth(Relay.EndpointState.DOWN, 0, 0));
         b.onSend = s -> b.endLater(s, Outcome.DELIVERED, 20);
         for (long id = 1; id <= 100; id++) {
             b.resumeInTurn(id, SAFE, 1, 12_000, List.of());
@@ -469,7 +469,7 @@
      */
     @Test
     void anOutageAtTheStartIsRampedOnTheMessagesTaken() {
-        Bench b = new Bench(100).list(1, 10);
+        SchedulerHarness b = new SchedulerHarness(100).list(1, 10);
         b.onSend = s -> b.endLater(s, b.now < 6000 ? Outcome.UNREACHABLE : Outcome.DELIVERED, 20);
         b.takeEvery(200, SAFE, 1, 14_000);
         long sent = b.sends.stream().filter(s -> s.at() > 8000).count();
@@ -479,7 +479,7 @@
     /** Found in incident i8f4fa9: between told waits the pace grew to forty times what was sent. */
     @Test
     void thePaceSettlesNearALimitThatTellsWaits() {
-        Bench b = new Bench(100).list(1, 10);
+        SchedulerHarness b = new SchedulerHarness(100).list(1, 10);
         double[] room = {2, 0};
         b.onSend = s -> {
             room[0] = Math.min(2, room[0] + (b.now - room[1]) * 5 / 1000);
@@ -497,7 +497,7 @@
     /** Found in incident i40f4ff: eight senders sat on their floors for long after the refusals had ended. */
     @Test
     void aPaceAmongManySendersRecoversWhenRefusalsEnd() {
-        Bench b = new Bench(100, 8);
+        SchedulerHarness b = new SchedulerHarness(100, 8);
         b.listedRate = 16;
         b.list(1, 10);
         b.onSend = s -> b.endLater(s, b.now < 8000 && b.sends.size() % 3 > 0 ? Outcome.FULL
@@ -510,7 +510,7 @@
     /** Found in incident ie9f35c: each of eleven senders kept its own floor of pace at a shut destination. */
     @Test
     void theFloorOfThePaceFollowsTheSendersOwnPartOfTheLoad() {
-        Bench b = new Bench(100, 11).list(1, 10);
+        SchedulerHarness b = new SchedulerHarness(100, 11).list(1, 10);
         b.onSend = s -> b.endLater(s, Outcome.FULL, 5);
         b.takeEvery(500, SAFE, 1, 10_000);
         long sent = b.sends.stream().filter(s -> s.at() > 2000).count();
@@ -520,7 +520,7 @@
     /** Found on akl-order-route: few senders fell under their even part of a listed rate after refusals. */
     @Test
     void aListedRateKeepsThePaceFromFallingFarUnderTheEvenPart() {
-        Bench b = new Bench(100, 2);
+        SchedulerHarness b = new SchedulerHarness(100, 2);
         b.listedRate = 8;
         b.list(1, 10);
         b.onSend = s -> b.endLater(s, b.sends.size() % 3 > 0 ? Outcome.FULL : Outcome.DELIVERED, 20);
@@ -541,7 +541,7 @@
 
     /** Sends in the second after a refusal, with none of them answered. */
     private static int sentAfterARefusal(double told, double last) {
-        Bench b = new Bench(100, 2).list(1, 10);
+        SchedulerHarness b = new SchedulerHarness(100, 2).list(1, 10);
         b.toldRate = told;
         b.take(0, SAFE, 1);
         b.end(0, 0, Outcome.DELIVERED);
@@ -560,7 +560,7 @@
     @Test
     void theLeastPaceIsThatOfOneAmongAll() {
         for (int senders : List.of(2, 100)) {
-            Bench b = new Bench(100, senders).list(1, 10);
+            SchedulerHarness b = new SchedulerHarness(100, senders).list(1, 10);
             b.toldRate = 12;
             b.take(0, SAFE, 1);
             b.take(1, SAFE, 1);
@@ -576,7 +576,7 @@
     /** Found on the fleet days: one send of the last second counted as one a second where it came each five. */
     @Test
     void aThinStreamsFirstRefusalCutsTheRateThatItHad() {
-        Bench b = new Bench(100, 100).list(1, 10);
+        SchedulerHarness b = new SchedulerHarness(100, 100).list(1, 10);
         b.toldRate = 10;
         for (int id = 0; id < 4; id++) {
             b.take(id, SAFE, 1);
@@ -602,7 +602,7 @@
 
     /** Sends in the ten seconds after a refusal, of two messages handed in a second; the rest are delivered. */
     private static long sentAmongManyWith(double left) {
-        Bench b = new Bench(100, 100).list(1, 10);
+        SchedulerHarness b = new SchedulerHarness(100, 100).list(1, 10);
         b.toldRate = 10;
         b.toldLeft = left;
         b.onSend = s -> b.endLater(s, b.sends.size() == 2 ? Outcome.FULL : Outcome.DELIVERED, 20);
@@ -613,7 +613,7 @@
     /** Found on the fleet days: seven in ten senders came back at once, each with all that it had held. */
     @Test
     void whatManyEarlierLivesHeldIsPacedFromTheStart() {
-        Bench b = new Bench(100, 100);
+        SchedulerHarness b = new SchedulerHarness(100, 100);
         b.listedRate = 50;
         b.list(1, 10);
         for (int id = 0; id < 10; id++) {
@@ -629,7 +629,7 @@
     @Test
     void callsWithoutAnswerGiveUpTheirSlotsToWhatWaits() {
         for (int type : List.of(SAFE, UNSAFE)) {
-            Bench b = new Bench(4, 2);
+            SchedulerHarness b = new SchedulerHarness(4, 2);
             b.strict = true;
             for (int d = 1; d <= 5; d++) {
                 b.list(d, 10 * d);
@@ -658,7 +658,7 @@
     /** Found in recording r4046: a silent endpoint counted as up, as its calls were called off too early. */
     @Test
     void aCallThatIsCalledOffForItsSlotIsASignOfSilence() {
-        Bench b = new Bench(4, 2).list(1, 10).list(2, 20);
+        SchedulerHarness b = new SchedulerHarness(4, 2).list(1, 10).list(2, 20);
         b.strict = true;
         b.onSend = s -> {
             if (s.endpoint() == 20) {
@@ -672,13 +672,14 @@
             b.until(b.now + 20);
         }
         assertTrue(b.cancels.size() == 1, "called off " + b.cancels);
-        assertEquals(Optional.of(Relay.State.DOWN), Optional.ofNullable(b.health.get(10L)).map(Relay.Health::state));
+        assertEquals(Optional.of(Relay.EndpointState.DOWN),
+                Optional.ofNullable(b.health.get(10L)).map(Relay.EndpointHealth::state));
     }
 
     /** Found on day-6: a network that resets a tenth of all put the busiest endpoint through ramp after ramp. */
     @Test
     void resetsBesideALostConnectionAreNoOutage() {
-        Bench b = new Bench(100, 2).list(1, 10);
+        SchedulerHarness b = new SchedulerHarness(100, 2).list(1, 10);
         List<Outcome> resets = List.of(Outcome.UNREACHABLE, Outcome.BROKEN);
         b.onSend = s -> b.endLater(s, s.at() > 4000 && s.at() < 4050 ? resets.get(b.sends.size() % 2)
                 : Outcome.DELIVERED, 20);
@@ -693,7 +694,7 @@
     @Test
     void oneLostConnectionIsNoOutage() {
         for (Outcome lost : List.of(Outcome.UNREACHABLE, Outcome.ERROR)) {
-            Bench b = new Bench(100, 2).list(1, 10);
+            SchedulerHarness b = new SchedulerHarness(100, 2).list(1, 10);
             b.onSend = s -> b.endLater(s, s.at() > 4000 && s.at() < 4100 ? lost : Outcome.DELIVERED, 20);
             b.takeEvery(10, SAFE, 1, 5000);
             int before = b.sends.size();
@@ -714,7 +715,7 @@
 
     /** One endpoint serves after so many others have come and gone; it is new, fails at first, and warms up. */
     private static int sentInARamp(int others) {
-        Bench b = new Bench(100, 2);
+        SchedulerHarness b = new SchedulerHarness(100, 2);
         b.onSend = s -> b.endLater(s, Outcome.DELIVERED, 20);
         for (int i = 0; i < others; i++) {
             b.list(1, 100 + i);
@@ -732,7 +733,7 @@
     /** An endpoint may be yet to come: a message is not given up while its destination has none. */
     @Test
     void whatWasRefusedIsHeldWhileItsDestinationHasNoEndpoint() {
-        Bench b = new Bench(100, 2).list(1, 10);
+        SchedulerHarness b = new SchedulerHarness(100, 2).list(1, 10);
         b.gone(10, 1);
         b.until(40_000);
         b.list(2, 20);
@@ -747,7 +748,7 @@
     /** Found on menu-delivery-later: at two hundred senders a floor divided among them was a call a minute. */
     @Test
     void aSmallSendersRefusedMessageGoesAgainWithinASecond() {
-        Bench b = new Bench(3, 200).list(1, 10);
+        SchedulerHarness b = new SchedulerHarness(3, 200).list(1, 10);
         b.onSend = s -> b.endLater(s, s.attempt() == 0 ? Outcome.FULL : Outcome.DELIVERED, 5);
         for (int id = 1; id <= 3; id++) {
             b.take(id, SAFE, 1);
@@ -762,7 +763,7 @@
     void sendersToldToWaitForOneMomentDoNotComeBackAtOnce() {
         int early = 0;
         for (int seed = 0; seed < 40; seed++) {
-            Bench b = new Bench(3, 200, seed).list(1, 10);
+            SchedulerHarness b = new SchedulerHarness(3, 200, seed).list(1, 10);
             b.take(1, SAFE, 1);
             b.end(1, 0, Outcome.FULL, 8000);
             b.until(9000);
@@ -774,7 +775,7 @@
     /** Found on menu-delivery-later: a hung endpoint refused most calls, and was tried until it fell over. */
     @Test
     void refusalsAndLostCallsTogetherTakeAnEndpointDown() {
-        Bench b = new Bench(3, 200).list(1, 10);
+        SchedulerHarness b = new SchedulerHarness(3, 200).list(1, 10);
         b.onSend = s -> b.endLater(s, b.sends.size() % 3 > 0 ? Outcome.FULL : Outcome.ERROR, 300);
         b.takeEvery(2000, SAFE, 1, 20_000);
         long late = b.sends.stream().filter(s -> s.at() > 6000).count();
@@ -784,7 +785,7 @@
     /** Found on menu-delivery-later: refused calls used up the limit, and new tries kept it used up for good. */
     @Test
     void newTriesOfRefusedMessagesAreAShareOfFirstSends() {
-        Bench b = new Bench(100, 50);
+        SchedulerHarness b = new SchedulerHarness(100, 50);
         for (long destination = 0; destination < 100; destination++) {
             b.list(destination, destination);
         }
@@ -799,14 +800,14 @@
 
     @Test
     void messagesOfOneTurnShareACallAndItsSlot() {
-        Bench b = new Bench(1).entry(10, 1, 1, 0, true);
+        SchedulerHarness b = new SchedulerHarness(1).entry(10, 1, 1, 0, true);
         b.takeTogether(5, SAFE, 1);
         assertEquals(5, b.sends.size());
     }
 
     @Test
     void aCheaperRouteIsPreferred() {
-        Bench b = new Bench().entry(10, 1, 2, 1, true).entry(11, 1, 2, 0, true);
+        SchedulerHarness b = new SchedulerHarness().entry(10, 1, 2, 1, true).entry(11, 1, 2, 0, true);
         b.take(1, SAFE, 1);
         assertEquals(11, b.sends.get(0).endpoint());
     }
@@ -814,7 +815,7 @@
     /** Found by hunt --rules on menu-delivery-later: senders kept to a hung route beside one that served. */
     @Test
     void anEndpointWhoseLastEndWasFruitlessYieldsToItsSibling() {
-        Bench b = new Bench().entry(10, 1, 2, 0, true).entry(11, 1, 2, 1, true);
+        SchedulerHarness b = new SchedulerHarness().entry(10, 1, 2, 0, true).entry(11, 1, 2, 1, true);
         b.take(1, UNSAFE, 1);
         b.end(1, 0, Outcome.DELIVERED);
         b.take(2, UNSAFE, 1);
@@ -822,13 +823,13 @@
         b.end(2, 0, Outcome.FULL);
         b.until(2000);
         b.take(3, UNSAFE, 1);
-        assertEquals(List.of(11L, 11L), b.sends.stream().skip(2).map(Bench.Sent::endpoint).toList());
+        assertEquals(List.of(11L, 11L), b.sends.stream().skip(2).map(SchedulerHarness.Sent::endpoint).toList());
     }
 
     /** Found on ensemble-bokning-later and menu-delivery-later: connections were dropped unseen when idle. */
     @Test
     void afterLossesOnIdleConnectionsAtTwoDestinationsOthersAreClosedBeforeUse() {
-        Bench b = new Bench().list(1, 10).list(2, 20).list(3, 30);
+        SchedulerHarness b = new SchedulerHarness().list(1, 10).list(2, 20).list(3, 30);
         for (long id = 1; id <= 3; id++) {
             b.take(id, UNSAFE, id);
             b.end(id, 0, Outcome.DELIVERED);
@@ -846,7 +847,7 @@
 
     @Test
     void aFreshInstanceSendsAtOnce() {
-        Bench b = new Bench().list(1, 10);
+        SchedulerHarness b = new SchedulerHarness().list(1, 10);
         b.take(1, UNSAFE, 1);
         assertEquals(1, b.sends.size());
     }
@@ -855,14 +856,14 @@
 
     @Test
     void misuseThrowsAndLateEventsAreIgnored() {
-        Bench b = new Bench().list(1, 10);
+        SchedulerHarness b = new SchedulerHarness().list(1, 10);
         b.take(1, SAFE, 1);
         assertThrows(IllegalArgumentException.class, () -> b.end(7, 0, Outcome.DELIVERED));
         assertThrows(IllegalArgumentException.class, () -> b.end(1, 3, Outcome.DELIVERED));
         assertThrows(IllegalArgumentException.class, () -> b.take(1, SAFE, 1));
         assertThrows(IllegalArgumentException.class, () -> b.take(2, 17, 1));
         assertThrows(IllegalArgumentException.class, () -> b.relay.wake(b.now - 1));
-        b.relay.withdrawn(b.now, 99);
+        b.relay.messageCancelled(b.now, 99);
         b.relay.wake(b.now);
     }
 
@@ -878,11 +879,11 @@
     /** A seeded day of random ends, drains and withdrawals; the recorder checks the rules at each action. */
     private static final class RandomDay {
         private final Random random;
-        private final Bench b;
+        private final SchedulerHarness b;
 
         RandomDay(int seed) {
             random = new Random(seed);
-            b = new Bench(4 + seed % 5);
+            b = new SchedulerHarness(4 + seed % 5);
             b.strict = true;
         }
 
@@ -916,8 +917,8 @@
 
     // ---- across lives ----
 
-    private static Bench resumed(int type, double leftMs, Relay.EarlierAttempt... earlier) {
-        Bench b = new Bench().list(1, 10, 11);
+    private static SchedulerHarness resumed(int type, double leftMs, Relay.EarlierAttempt... earlier) {
+        SchedulerHarness b = new SchedulerHarness().list(1, 10, 11);
         b.until(20_000);
         b.resume(1, type, 1, leftMs, List.of(earlier));
         return b;
@@ -929,7 +930,7 @@
 
     @Test
     void anEarlierLifesAttemptHoldsNoSlotAndIsNumberedOnFrom() {
-        Bench b = resumed(SAFE, 9000, earlier(500, true), earlier(100, false));
+        SchedulerHarness b = resumed(SAFE, 9000, earlier(500, true), earlier(100, false));
         assertEquals(List.of(1L), b.sent());
         b.end(1, 2, Outcome.DELIVERED);
         assertTrue(b.answers.isEmpty());
@@ -942,7 +943,7 @@
     /** Found on days with silent peers: one call that was never answered kept a busy partner's payments waiting. */
     @Test
     void oneUnansweredCallDoesNotBarAnEndpointThatAnswersFromTheSlots() {
-        Bench b = new Bench(10).list(1, 10);
+        SchedulerHarness b = new SchedulerHarness(10).list(1, 10);
         b.onSend = s -> {
             if (s.message() != 0) {
                 b.endLater(s, Outcome.DELIVERED, 20);
@@ -960,7 +961,7 @@
     /** Found on days with crowds: each slot that got free went to a partner with no call out, never to the busiest. */
     @Test
     void theBusiestQuickDestinationGetsTheLastSlotWhileItHoldsLessThanItsPart() {
-        Bench b = new Bench(4).list(1, 10).list(2, 20).list(3, 30);
+        SchedulerHarness b = new SchedulerHarness(4).list(1, 10).list(2, 20).list(3, 30);
         b.onSend = s -> {
             if (s.at() < 1000) {
                 b.endLater(s, Outcome.DELIVERED, 20);
@@ -982,20 +983,20 @@
 
     @Test
     void anAttemptThatAnotherProcessWaitsForIsOutAndGetsItsEnd() {
-        Bench b = resumed(UNSAFE, 9000, stillOut(500, 3));
+        SchedulerHarness b = resumed(UNSAFE, 9000, stillOut(500, 3));
         b.until(21_000);
         assertTrue(b.sends.isEmpty() && b.answers.isEmpty(), "neither repeated nor given up");
         b.end(1, 0, Outcome.FULL);
         b.until(23_000);
         assertEquals(List.of(1L), b.sent(), "it never ran, so it goes again");
-        Bench failed = resumed(UNSAFE, 9000, stillOut(500, 3));
+        SchedulerHarness failed = resumed(UNSAFE, 9000, stillOut(500, 3));
         failed.end(1, 0, Outcome.BROKEN);
         assertEquals(List.of("fail 1"), failed.answers);
     }
 
     @Test
     void attemptsOfOneCallOfAnotherProcessHoldOneSlotUntilTheLastHasEnded() {
-        Bench b = new Bench(2).list(1, 10).list(2, 20).list(3, 30);
+        SchedulerHarness b = new SchedulerHarness(2).list(1, 10).list(2, 20).list(3, 30);
         b.until(20_000);
         b.resumeInTurn(1, SAFE, 1, 9000, List.of(stillOut(50, 3)));
         b.resume(2, SAFE, 1, 9000, List.of(stillOut(50, 3)));
@@ -1011,33 +1012,33 @@
 
     @Test
     void whatIsOutInAnotherProcessIsCopiedAtItsOffsetAndCancelled() {
-        Bench b = resumed(SAFE, 9000, stillOut(500, 3));
-        double offset = CLASSES.get(SAFE).aimMs() / 2;
+        SchedulerHarness b = resumed(SAFE, 9000, stillOut(500, 3));
+        double offset = CLASSES.get(SAFE).targetLatencyMs() / 2;
         b.until(20_000 - 500 + offset - 10);
         assertTrue(b.sends.isEmpty());
         b.until(20_000 - 500 + offset + 10);
         assertEquals(List.of(1L), b.sent());
         b.end(1, 1, Outcome.DELIVERED);
         assertEquals(List.of("1/0"), b.cancels);
-        Bench late = resumed(SAFE, 9000, stillOut(offset + 100, 3));
+        SchedulerHarness late = resumed(SAFE, 9000, stillOut(offset + 100, 3));
         late.until(20_500);
         assertTrue(late.sends.isEmpty(), "its offset passed in the other process");
     }
 
     /** One instance has worked for a while; another takes over what it knew. */
-    private static Bench successor(Bench before, long... endpoints) {
-        Bench after = new Bench().list(1, endpoints);
+    private static SchedulerHarness successor(SchedulerHarness before, long... endpoints) {
+        SchedulerHarness after = new SchedulerHarness().list(1, endpoints);
         after.until(5000);
-        after.relay.recalled(after.now, before.relay.memory(before.now));
+        after.relay.restoreLearnedState(after.now, before.relay.learnedState(before.now));
         return after;
     }
 
     @Test
     void aToldWaitIsKeptByTheNextProcess() {
-        Bench before = new Bench().list(1, 10);
+        SchedulerHarness before = new SchedulerHarness().list(1, 10);
         before.take(1, SAFE, 1);
         before.end(1, 0, Outcome.FULL, 900);
-        for (Bench after : List.of(successor(before, 10), successor(before).list(1, 10))) {
+        for (SchedulerHarness after : List.of(successor(before, 10), successor(before).list(1, 10))) {
             after.take(1, SAFE, 1);
             after.until(5895);
             assertTrue(after.sends.isEmpty(), "the wait stands, be the endpoint listed before or after");
@@ -1048,28 +1049,28 @@
 
     @Test
     void paceAndCopiesAreBoundedAcrossProcesses() {
-        Bench before = new Bench(100, 1).list(1, 10, 11);
+        SchedulerHarness before = new SchedulerHarness(100, 1).list(1, 10, 11);
         before.onSend = s -> before.endLater(s, s.at() > 900 ? Outcome.FULL : Outcome.DELIVERED, 20);
         before.takeEvery(50, SAFE, 1, 1000);
-        Bench paced = successor(before, 10, 11);
+        SchedulerHarness paced = successor(before, 10, 11);
         paced.takeTogether(20, SAFE, 1);
         paced.until(5010);
         assertTrue(paced.sends.size() <= 2, "a pace holds for the next process: " + paced.sends.size());
 
-        Bench copied = new Bench().list(1, 10, 11);
+        SchedulerHarness copied = new SchedulerHarness().list(1, 10, 11);
         copied.takeTogether(2, SAFE, 1);
-        copied.until(CLASSES.get(SAFE).aimMs() / 2 + 10);
+        copied.until(CLASSES.get(SAFE).targetLatencyMs() / 2 + 10);
         assertEquals(3, copied.sends.size(), "one copy for two first sends");
-        Bench after = successor(copied, 10, 11);
+        SchedulerHarness after = successor(copied, 10, 11);
         after.takeTogether(2, SAFE, 1);
-        after.until(5000 + CLASSES.get(SAFE).aimMs() / 2 + 10);
+        after.until(5000 + CLASSES.get(SAFE).targetLatencyMs() / 2 + 10);
         assertEquals(2, after.sends.size(), "the copy of the other process counts for ten seconds");
     }
 
     @Test
     void aKeyedMessageIsRepeatedAfterARestartOnlyWithinItsWindow() {
         assertEquals(List.of(1L), resumed(KEYED, 9000, earlier(1000, true)).sent());
-        Bench late = resumed(KEYED, 9000, earlier(4000, true));
+        SchedulerHarness late = resumed(KEYED, 9000, earlier(4000, true));
         assertTrue(late.sends.isEmpty());
         assertEquals(List.of("refuse 1"), late.answers, "given up at once, not at its deadline");
         assertEquals(List.of(1L), resumed(KEYED, 9000, earlier(4000, false)).sent());
@@ -1077,7 +1078,7 @@
 
     @Test
     void aKeyedMessageIsAnsweredWhenItsWindowHasPassed() {
-        Bench b = new Bench().list(1, 10);
+        SchedulerHarness b = new SchedulerHarness().list(1, 10);
         b.take(1, KEYED, 1);
         b.end(1, 0, Outcome.ERROR);
         b.entry(10, 1, 0, 0, false);
@@ -1089,9 +1090,9 @@
 
     @Test
     void anOutageBeforeTheRestartGoesOnWithTrials() {
-        Bench b = new Bench().list(1, 10);
+        SchedulerHarness b = new SchedulerHarness().list(1, 10);
         b.until(20_000);
-        b.relay.recalled(b.now, 10, new Relay.Health(Relay.State.DOWN, 15_000, 0));
+        b.relay.restoreEndpointHealth(b.now, 10, new Relay.EndpointHealth(Relay.EndpointState.DOWN, 15_000, 0));
         for (long id = 1; id <= 12; id++) {
             b.resumeInTurn(id, SAFE, 1, 9000, List.of(earlier(1000, false)));
         }
@@ -1106,7 +1107,7 @@
     /** Found on a reload day: a backlog that waited for slots went through trials and a ramp of 12 s. */
     @Test
     void aLateBacklogAloneIsNoOutage() {
-        Bench b = new Bench().list(1, 10);
+        SchedulerHarness b = new SchedulerHarness().list(1, 10);
         b.until(20_000);
         b.onSend = s -> b.endLater(s, Outcome.DELIVERED, 100);
         for (long id = 1; id <= 12; id++) {
@@ -1119,10 +1120,10 @@
 
     @Test
     void aRampGoesOnAcrossARestartWithTheRateCarriedBefore() {
-        Bench b = new Bench().list(1, 10);
+        SchedulerHarness b = new SchedulerHarness().list(1, 10);
         b.until(20_000);
         // Known before any list names it.
-        b.relay.recalled(b.now, 20, new Relay.Health(Relay.State.WARMING, 11_000, 0.02));
+        b.relay.restoreEndpointHealth(b.now, 20, new Relay.EndpointHealth(Relay.EndpointState.WARMING, 11_000, 0.02));
         b.list(2, 20);
         b.onSend = s -> b.endLater(s, Outcome.DELIVERED, 20);
         for (long id = 1; id <= 60; id++) {
@@ -1137,24 +1138,24 @@
 
     @Test
     void whatALaterLifeMustKnowIsTold() {
-        Bench b = new Bench().list(1, 10);
+        SchedulerHarness b = new SchedulerHarness().list(1, 10);
         b.take(1, SAFE, 1);
         b.end(1, 0, Outcome.UNREACHABLE);
-        assertEquals(Relay.State.DOWN, b.health.get(10L).state());
+        assertEquals(Relay.EndpointState.DOWN, b.health.get(10L).state());
         b.onSend = s -> b.endLater(s, Outcome.DELIVERED, 20);
         b.until(5000);
-        assertEquals(Relay.State.WARMING, b.health.get(10L).state());
-        double since = b.health.get(10L).since();
+        assertEquals(Relay.EndpointState.WARMING, b.health.get(10L).state());
+        double since = b.health.get(10L).sinceMs();
         assertTrue(since > 0 && since < 5000);
         b.until(15_000);
         b.take(2, SAFE, 1);
         b.until(15_100);
-        assertEquals(Relay.State.UP, b.health.get(10L).state());
+        assertEquals(Relay.EndpointState.UP, b.health.get(10L).state());
     }
 
     @Test
     void aRefusalTellsWhenTheDestinationOpensAgain() {
-        Bench b = new Bench().list(1, 10).list(2, 20);
+        SchedulerHarness b = new SchedulerHarness().list(1, 10).list(2, 20);
         b.take(1, SAFE, 1);
         b.end(1, 0, Outcome.FULL, 5000);
         b.resume(2, SAFE, 1, -1, List.of());
@@ -1166,7 +1167,7 @@
 
     @Test
     void aZonesRepeatsStayInTheZoneAcrossLives() {
-        Bench b = new Bench().entry(10, 1, 0, 0, true).entry(11, 1, 0, 1, true);
+        SchedulerHarness b = new SchedulerHarness().entry(10, 1, 0, 0, true).entry(11, 1, 0, 1, true);
         b.until(20_000);
         b.resume(1, BY_ZONE, 1, 9000, List.of(new Relay.EarlierAttempt(11, 19_900, true)));
         assertEquals(11, b.sends.get(0).endpoint());
@@ -1176,7 +1177,7 @@
 
     @Test
     void anUnsafeMessageThatMayHaveRunIsGivenUpAfterARestart() {
-        Bench b = resumed(UNSAFE, 9000, earlier(100, true));
+        SchedulerHarness b = resumed(UNSAFE, 9000, earlier(100, true));
         assertTrue(b.sends.isEmpty());
         assertEquals(List.of("fail 1"), b.answers);
         assertEquals(List.of(1L), resumed(UNSAFE, 9000, earlier(100, false)).sent());
@@ -1186,21 +1187,21 @@
     void attemptsOfAllLivesCountTogether() {
         Relay.EarlierAttempt[] twelve = new Relay.EarlierAttempt[12];
         java.util.Arrays.fill(twelve, earlier(100, false));
-        Bench b = resumed(SAFE, 9000, twelve);
+        SchedulerHarness b = resumed(SAFE, 9000, twelve);
         assertTrue(b.sends.isEmpty());
         assertEquals(List.of("refuse 1"), b.answers);
     }
 
     @Test
     void anOverdueMessageIsAnsweredAtOnce() {
-        Bench b = resumed(SAFE, -100);
+        SchedulerHarness b = resumed(SAFE, -100);
         assertTrue(b.sends.isEmpty());
         assertEquals(List.of("refuse 1"), b.answers);
     }
 
     @Test
     void aKeyInOrderRestsAfterARestartWhereAnAttemptMayRunOn() {
-        Bench b = resumed(UNSAFE, 9000, earlier(100, true));
+        SchedulerHarness b = resumed(UNSAFE, 9000, earlier(100, true));
         b.take(2, UNSAFE, 1, "key 1");
         b.until(20_490);
         assertTrue(b.sends.isEmpty());
@@ -1210,8 +1211,8 @@
 
     @Test
     void noCallStartsThatIsNotExpectedToEndBeforeTheClose() {
-        Bench b = new Bench().list(1, 10, 11);
-        b.relay.closing(b.now, 3000);
+        SchedulerHarness b = new SchedulerHarness().list(1, 10, 11);
+        b.relay.shutdownScheduled(b.now, 3000);
         b.take(1, SAFE, 1);
         assertEquals(List.of(1L), b.sent());
         b.end(1, 0, Outcome.DELIVERED);
@@ -1227,8 +1228,8 @@
     /** Found in recording r4046: from SIGTERM on no payment was sent, as its whole time-out never fitted. */
     @Test
     void anUnsafeMessageGoesBeforeTheCloseIfASlowAnswerStillFits() {
-        Bench b = new Bench().list(1, 10);
-        b.relay.closing(b.now, 3300);
+        SchedulerHarness b = new SchedulerHarness().list(1, 10);
+        b.relay.shutdownScheduled(b.now, 3300);
         b.take(1, UNSAFE, 1);
         assertEquals(List.of(1L), b.sent());
         assertTrue(b.sends.get(0).timeout() > 3300);
@@ -1241,7 +1242,7 @@
     void theDecisionModulesAreNamedAndBounded() throws Exception {
         String policy = Files.readAllLines(Path.of("deploy/balancer.toml")).stream()
                 .filter(line -> line.startsWith("policy = ")).findFirst().orElseThrow();
-        for (String module : List.of("Logic", "OutageEvidence")) {
+        for (String module : List.of("DeliveryScheduler", "OutageEvidence")) {
             String file = "src/main/java/kestreldeal/" + module + ".java";
             assertTrue(policy.contains('"' + file + '"'), policy);
             List<String> lines = Files.readAllLines(Path.of(file));
--- a/src/test/java/kestreldeal/ExampleTest.java
+++ b/src/test/java/kestreldeal/ExampleTest.java
@@ -15,14 +15,14 @@
     void oneMessageFromArrivalToDelivery() {
         Relay.MessageClass order =
                 new Relay.MessageClass(2000, 16_000, 1, 0.5, Relay.Effect.SAFE, false, 0, false);
-        Relay.Settings settings = new Relay.Settings(List.of(order), List.of(new Relay.Kind(false, 1)), false,
-                Relay.Decay.LINE, List.of(), 1, 10, 6, true, true, 0, 15_000,
-                new Relay.ColdStart(0.2, 10_000, 2, 1500));
+        Relay.Settings settings = new Relay.Settings(List.of(order), List.of(new Relay.DestinationKind(false, 1)),
+                false, Relay.Decay.LINEAR, List.of(), 1, 10, 6, true, true, 0, 15_000,
+                new Relay.SlowStart(0.2, 10_000, 2, 1500));
         Relay relay = Relay.create(settings, 42, new Printing());
-        relay.endpoints(0, true, List.of(new Relay.Endpoint(51, 7, 0, 0, true, 0)));
-        relay.message(0, new Relay.Message(1, 0, 0, Optional.empty(), 16_000, 7));
+        relay.endpointsChanged(0, true, List.of(new Relay.Endpoint(51, 7, 0, 0, true, 0)));
+        relay.messageAccepted(0, new Relay.Message(1, 0, 0, Optional.empty(), 16_000, 7));
         relay.endTurn(0);
-        relay.attemptEnded(80, new Relay.AttemptEnd(1, 0, Relay.Outcome.DELIVERED, 80, true, 0));
+        relay.attemptCompleted(80, new Relay.AttemptResult(1, 0, Relay.Outcome.DELIVERED, 80, true, 0));
         relay.endTurn(80);
         assertEquals(List.of("send 1 to 51", "wake at 1000.0"), done.subList(0, 2));
     }
@@ -40,12 +40,12 @@
         }
 
         @Override
-        public void closeIdle(long endpoint) {
+        public void closeIdleConnections(long endpoint) {
             done.add("close idle connections to " + endpoint);
         }
 
         @Override
-        public void refuse(long message, double waitMs) {
+        public void reject(long message, double waitMs) {
             done.add("refuse " + message);
         }
 
--- a/src/test/java/kestreldeal/ColdFleet.java
+++ b/src/test/java/kestreldeal/OutageRecoverySimulation.java
@@ -18,12 +18,12 @@
  * The destination does not refuse by its present capacity, so that nothing but the senders holds its calls back, and
  * its limit is that of its full capacity. Everything is drawn from the seed.
  */
-final class ColdFleet {
+final class OutageRecoverySimulation {
     static final double OUTAGE_AT = 15_000;
     static final double BACK_AT = 25_000;
     private static final double KILLED_AT = 20_000;
     private static final double END = 38_000;
-    static final Relay.ColdStart COLD = new Relay.ColdStart(0.2, 12_000, 2, 3000);
+    static final Relay.SlowStart COLD = new Relay.SlowStart(0.2, 12_000, 2, 3000);
     private static final List<Relay.MessageClass> CLASSES = List.of(
             new Relay.MessageClass(2500, 20_000, 1, 0.3, Relay.Effect.KEYED, false, 8000, false),
             new Relay.MessageClass(3000, 16_000, 2, 0.3, Relay.Effect.UNSAFE, false, 0, false));
@@ -100,12 +100,12 @@
     private int delivered;
     private int deliveredCold;
 
-    ColdFleet(Plan plan) {
+    OutageRecoverySimulation(Plan plan) {
         this.plan = plan;
         this.random = new Random(plan.seed() * 7919 + plan.senders());
         int slots = (int) Math.max(4, Math.ceil(2.4 * 0.25 * plan.capacity() / plan.senders()));
-        this.settings = new Relay.Settings(CLASSES, List.of(new Relay.Kind(false, plan.batch())),
-                plan.rates() == Rates.LISTED, Relay.Decay.LINE, List.of(), plan.senders(), slots, 12, true, true, 0,
+        this.settings = new Relay.Settings(CLASSES, List.of(new Relay.DestinationKind(false, plan.batch())),
+                plan.rates() == Rates.LISTED, Relay.Decay.LINEAR, List.of(), plan.senders(), slots, 12, true, true, 0,
                 15_000, COLD);
         for (int i = 0; i < plan.senders(); i++) {
             nodes.add(new Node(i));
@@ -113,7 +113,7 @@
     }
 
     /** Plays the day. */
-    ColdFleet run() {
+    OutageRecoverySimulation run() {
         nodes.forEach(Node::start);
         double weights = nodes.stream().mapToDouble(n -> n.weight).sum();
         nodes.forEach(n -> n.nextMessage(plan.load() * plan.capacity() / 1000 * n.weight / weights));
@@ -149,7 +149,7 @@
         cold.forEach(a -> starts.add(a.at()));
         Worst worst = null;
         for (double from : starts) {
-            if (from + COLD.overloadMs() > BACK_AT + COLD.warmMs()) {
+            if (from + COLD.overloadMs() > BACK_AT + COLD.rampUpMs()) {
                 continue;
             }
             List<Arrival> in = cold.stream().filter(a -> a.at() >= from && a.at() < from + COLD.overloadMs()).toList();
@@ -165,8 +165,8 @@
 
     /** The rule's N for the window that begins then: the capacity grows evenly, so its middle is its mean. */
     private double budget(double from) {
-        double middle = (from + COLD.overloadMs() / 2 - BACK_AT) / COLD.warmMs();
-        double share = COLD.startCapacity() + (1 - COLD.startCapacity()) * Math.min(1, middle);
+        double middle = (from + COLD.overloadMs() / 2 - BACK_AT) / COLD.rampUpMs();
+        double share = COLD.initialCapacityShare() + (1 - COLD.initialCapacityShare()) * Math.min(1, middle);
         return COLD.overloadMultiple() * share * plan.capacity() / 1000 * COLD.overloadMs();
     }
 
@@ -265,7 +265,7 @@
         /** All messages taken, and those that are not over. */
         final Map<Long, Held> taken = new LinkedHashMap<>();
         final Map<Long, Held> held = new LinkedHashMap<>();
-        final Map<Long, Relay.Health> journalled = new LinkedHashMap<>();
+        final Map<Long, Relay.EndpointHealth> journalled = new LinkedHashMap<>();
         final Map<Long, Deque<Attempt>> sends = new LinkedHashMap<>();
         Relay relay;
         int life;
@@ -285,13 +285,14 @@
             for (long id = 0; id < plan.endpoints(); id++) {
                 list.add(new Relay.Endpoint(id, DESTINATION, 0, 0, true, 1.5 * plan.capacity()));
             }
-            relay.endpoints(now, true, list);
-            journalled.forEach((endpoint, health) -> relay.recalled(now, endpoint, health));
+            relay.endpointsChanged(now, true, list);
+            journalled.forEach((endpoint, health) -> relay.restoreEndpointHealth(now, endpoint, health));
             for (Held h : List.copyOf(held.values())) {
                 List<Relay.EarlierAttempt> earlier = h.attempts.stream().map(a -> new Relay.EarlierAttempt(
                         a.endpoint, a.sentAt, a.outcome.map(Outcome::mayHaveRun).orElse(true)))
                         .toList();
-                relay.resumed(now, new Relay.Message(h.id, h.messageClass, 0, Optional.empty(), h.deadline - now,
+                relay.messageRestored(now,
+                        new Relay.Message(h.id, h.messageClass, 0, Optional.empty(), h.deadline - now,
                         DESTINATION), earlier);
             }
             endTurn();
@@ -326,7 +327,7 @@
             Held h = new Held(messages++, messageClass, now + left);
             taken.put(h.id, h);
             held.put(h.id, h);
-            relay.message(now, new Relay.Message(h.id, messageClass, 0, Optional.empty(), left, DESTINATION));
+            relay.messageAccepted(now, new Relay.Message(h.id, messageClass, 0, Optional.empty(), left, DESTINATION));
             endTurn();
         }
 
@@ -341,10 +342,10 @@
                 deliveredCold += now >= BACK_AT ? 1 : 0;
                 over(a.held.id);
             }
-            Relay.Report report = plan.rates() == Rates.TOLD ? new Relay.Report(plan.capacity(), 0.5)
-                    : Relay.Report.NONE;
-            relay.attemptEnded(now, new Relay.AttemptEnd(a.held.id, a.number, outcome, now - a.sentAt, a.held.over,
-                    waitMs, report));
+            Relay.LoadReport report = plan.rates() == Rates.TOLD ? new Relay.LoadReport(plan.capacity(), 0.5)
+                    : Relay.LoadReport.NONE;
+            relay.attemptCompleted(now,
+                    new Relay.AttemptResult(a.held.id, a.number, outcome, now - a.sentAt, a.held.over, waitMs, report));
         }
 
         private void over(long id) {
@@ -391,11 +392,11 @@
         }
 
         @Override
-        public void closeIdle(long endpoint) {
+        public void closeIdleConnections(long endpoint) {
         }
 
         @Override
-        public void refuse(long message, double waitMs) {
+        public void reject(long message, double waitMs) {
             over(message);
         }
 
@@ -416,10 +417,10 @@
         }
 
         @Override
-        public void remember(long endpoint, Relay.Health health) {
+        public void saveEndpointHealth(long endpoint, Relay.EndpointHealth health) {
             // As the journal: what is in service takes up no room.
             journalled.remove(endpoint);
-            if (health.state() != Relay.State.UP) {
+            if (health.state() != Relay.EndpointState.UP) {
                 journalled.put(endpoint, health);
             }
         }
--- a/src/test/java/kestreldeal/ColdReturnFleetTest.java
+++ b/src/test/java/kestreldeal/OutageRecoveryTest.java
@@ -6,17 +6,17 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
-import kestreldeal.ColdFleet.Outage;
-import kestreldeal.ColdFleet.Plan;
-import kestreldeal.ColdFleet.Rates;
-import kestreldeal.ColdFleet.Worst;
+import kestreldeal.OutageRecoverySimulation.Outage;
+import kestreldeal.OutageRecoverySimulation.Plan;
+import kestreldeal.OutageRecoverySimulation.Rates;
+import kestreldeal.OutageRecoverySimulation.Worst;
 import org.junit.jupiter.api.Test;
 
 /**
  * The rule on a cold return, for the sum of all senders: no window of the rule's length gets more than N + 2 x root of
  * N + 2 calls. All calls count, also those of senders that had seen nothing of the outage.
  */
-class ColdReturnFleetTest {
+class OutageRecoveryTest {
     private static final double[] CAPACITIES = {5, 20, 80, 300};
 
     /** The rule is broken at the first fall of which more than this came from senders that knew of the outage. */
@@ -30,7 +30,7 @@
     private static void holds(List<Plan> plans, double toldShare) {
         List<String> over = new ArrayList<>();
         for (Plan plan : plans) {
-            ColdFleet fleet = new ColdFleet(plan).run();
+            OutageRecoverySimulation fleet = new OutageRecoverySimulation(plan).run();
             Worst worst = fleet.worst();
             String line = String.format(Locale.ROOT, "%s: %.1f of %.1f calls (N %.1f) from %.0f ms on, %.2f told; "
                     + "delivered %d, %d since the return", plan, worst.calls(), worst.allowed(), worst.budget(),
@@ -92,7 +92,7 @@
                 }
             }
         }
-        List<String> over = plans.stream().map(plan -> new ColdFleet(plan).run())
+        List<String> over = plans.stream().map(plan -> new OutageRecoverySimulation(plan).run())
                 .map(fleet -> fleet.worst(Worst::overTheRule)).filter(worst -> worst.overTheRule() > 0)
                 .map(Worst::toString).toList();
         assertEquals(List.of(), over);
--- a/src/test/java/kestreldeal/WalkingLogic.java
+++ b/src/test/java/kestreldeal/ReferenceScheduler.java
@@ -16,14 +16,15 @@
 import java.util.function.Consumer;
 
 /**
- * The reference for {@link Logic}: its decisions as they were taken by walking all that waits in each turn and all that
+ * The reference for {@link DeliveryScheduler}: its decisions as they were taken by walking all that waits in each
+ * turn and all that
  * is listed in each change, before they had indexes. Amended in three places only: after a send the walk begins at the
  * top again, so that a refused message which the throttle held back goes before less pressing ones once a first send
  * has made room; a destination's part of what is asked for is compared with a margin, as the sum is rounded
  * differently; and outages are told and ended as the module does now, which are newer decisions. What the parts and
  * constants are is said there.
  */
-final class WalkingLogic implements Relay {
+final class ReferenceScheduler implements Relay {
     private static final double COPY_OFFSET = 0.5;
     private static final double COPY_BASE = 1;
     private static final double COPY_SHARE = 0.1;
@@ -102,16 +103,16 @@
     private double closesAt = Double.POSITIVE_INFINITY;
     private double clock = Double.NEGATIVE_INFINITY;
 
-    WalkingLogic(Settings settings, long seed, Actions actions) {
+    ReferenceScheduler(Settings settings, long seed, Actions actions) {
         this.settings = settings;
         this.actions = actions;
         this.random = new Random(seed);
-        this.joins = settings.kinds().stream().anyMatch(kind -> kind.batch() > 1);
+        this.joins = settings.kinds().stream().anyMatch(kind -> kind.maxBatchSize() > 1);
     }
 
 
     @Override
-    public void endpoints(double now, boolean whole, List<Endpoint> entries) {
+    public void endpointsChanged(double now, boolean whole, List<Endpoint> entries) {
         tick(now);
         if (whole) {
             targets.values().forEach(Target::leave);
@@ -120,7 +121,7 @@
             Target target = targets.computeIfAbsent(entry.id(), unknown -> new Target(entry));
             Optional.ofNullable(recalled.remove(entry.id())).ifPresent(known -> known.accept(target));
             target.limit.listedRate = settings.ratesListed() ? entry.listedRate() / 1000 : 0;
-            if (entry.gone()) {
+            if (entry.removed()) {
                 target.leave();
             } else {
                 target.serving = entry.serving();
@@ -131,21 +132,21 @@
     }
 
     @Override
-    public void message(double now, Message message) {
+    public void messageAccepted(double now, Message message) {
         tick(now);
         take(message).destination.demand.count();
     }
 
     @Override
-    public void resumed(double now, Message message, List<EarlierAttempt> attempts) {
+    public void messageRestored(double now, Message message, List<EarlierAttempt> attempts) {
         tick(now);
         Delivery d = take(message);
         d.destination.targets.forEach(t -> t.limit.resumed());
         for (EarlierAttempt earlier : attempts) {
             Optional<Target> target = Optional.ofNullable(targets.get(earlier.endpoint()));
-            Attempt attempt = new Attempt(d, target, earlier.sentAt());
+            Attempt attempt = new Attempt(d, target, earlier.sentAtMs());
             attempt.mayHaveRun = earlier.mayHaveRun();
-            if (earlier.outInCall().isPresent()) {
+            if (earlier.inFlightCallId().isPresent()) {
                 started(attempt, target.map(t -> t.adopt(earlier)), d.out > 0);
             }
         }
@@ -156,13 +157,13 @@
     }
 
     @Override
-    public void recalled(double now, long endpoint, Health health) {
+    public void restoreEndpointHealth(double now, long endpoint, EndpointHealth health) {
         tick(now);
         whenListed(endpoint, target -> target.recall(health));
     }
 
     @Override
-    public void recalled(double now, Memory memory) {
+    public void restoreLearnedState(double now, LearnedState memory) {
         tick(now);
         memory.firstSendsAgo().forEach(ago -> firstSends.add(clock - ago));
         memory.copiesAgo().forEach(ago -> copies.sent(clock - ago));
@@ -180,9 +181,9 @@
     }
 
     @Override
-    public Memory memory(double now) {
+    public LearnedState learnedState(double now) {
         tick(now);
-        return new Memory(targets.values().stream().map(Target::known).toList(), ago(firstSends),
+        return new LearnedState(targets.values().stream().map(Target::known).toList(), ago(firstSends),
                 ago(copies.extra), ago(retries.extra));
     }
 
@@ -191,16 +192,16 @@
     }
 
     @Override
-    public void closing(double now, double end) {
+    public void shutdownScheduled(double now, double end) {
         tick(now);
         closesAt = end;
     }
 
     @Override
-    public Standing standing() {
+    public EndpointCounts endpointCounts() {
         List<Target> listed = targets.values().stream().filter(t -> t.goneAt > clock).toList();
-        long used = listed.stream().filter(t -> t.serving && t.state != State.DOWN).count();
-        return new Standing(listed.size(), (int) (listed.size() - used));
+        long used = listed.stream().filter(t -> t.serving && t.state != EndpointState.DOWN).count();
+        return new EndpointCounts(listed.size(), (int) (listed.size() - used));
     }
 
     private Delivery take(Message message) {
@@ -219,7 +220,7 @@
     }
 
     @Override
-    public void attemptEnded(double now, AttemptEnd end) {
+    public void attemptCompleted(double now, AttemptResult end) {
         tick(now);
         Delivery d = deliveries.get(end.message());
         if (d == null || end.attempt() < 0 || end.attempt() >= d.attempts.size()) {
@@ -237,7 +238,7 @@
         d.out--;
         attempt.call.ifPresent(call -> call.itemEnded(end));
         keys.attemptEnded(d, end.outcome());
-        if (end.finished()) {
+        if (end.messageFinished()) {
             close(d);
         }
         if (d.ended) {
@@ -248,19 +249,19 @@
     }
 
     @Override
-    public void waitTold(double now, long endpoint, double waitMs) {
+    public void retryAfterReceived(double now, long endpoint, double waitMs) {
         tick(now);
         Optional.ofNullable(targets.get(endpoint)).ifPresent(target -> target.limit.told(waitMs));
     }
 
     @Override
-    public boolean mayStillGo(double now, long endpoint) {
+    public boolean sendAllowed(double now, long endpoint) {
         return Optional.ofNullable(targets.get(endpoint))
                 .filter(target -> target.serving && target.limit.waitUntil <= now).isPresent();
     }
 
     @Override
-    public void withdrawn(double now, long message) {
+    public void messageCancelled(double now, long message) {
         tick(now);
         Optional.ofNullable(deliveries.get(message)).ifPresent(this::close);
     }
@@ -280,7 +281,7 @@
     }
 
     private double leastTrialRate() {
-        return 1 / Math.min(TRIAL_LEAST_MS * settings.senders(), TRIAL_MOST * settings.coldStart().warmMs());
+        return 1 / Math.min(TRIAL_LEAST_MS * settings.senderCount(), TRIAL_MOST * settings.slowStart().rampUpMs());
     }
 
     private Destination destination(long id) {
@@ -344,7 +345,7 @@
     }
 
     private void freeSlot() {
-        if (!settings.cancels()) {
+        if (!settings.cancellation()) {
             return;
         }
         out.stream().filter(a -> !a.calledOff && a.delivery.type.effect() != Effect.UNSAFE)
@@ -361,7 +362,7 @@
         List<Target> all = d.destination.targets;
         boolean elsewhere = copy && all.stream().anyMatch(t -> t.serving && !d.isOutAt(t));
         return all.stream()
-                .filter(t -> !(elsewhere && d.isOutAt(t) || copy && t.state == State.DOWN) && maySend(d, t))
+                .filter(t -> !(elsewhere && d.isOutAt(t) || copy && t.state == EndpointState.DOWN) && maySend(d, t))
                 .min(Comparator.comparingDouble(t -> t.cost(d)));
     }
 
@@ -382,7 +383,7 @@
     }
 
     private boolean mayRepeat(Delivery d, Target target) {
-        return mayRepeat(d) && !(d.type.effect() == Effect.KEYED && d.type.sameZone()
+        return mayRepeat(d) && !(d.type.effect() == Effect.KEYED && d.type.dedupWithinZone()
                 && d.attempts.stream().anyMatch(a -> (a.out || a.mayHaveRun) && !a.isInZoneOf(target)));
     }
 
@@ -391,11 +392,11 @@
             if (!earlier.out && !earlier.mayHaveRun) {
                 continue;
             }
-            if (earlier.out && !settings.copies() || d.type.effect() == Effect.UNSAFE) {
+            if (earlier.out && !settings.hedging() || d.type.effect() == Effect.UNSAFE) {
                 return false;
             }
             if (d.type.effect() == Effect.KEYED
-                    && clock > earlier.sentAt + d.type.windowMs() - WINDOW_MARGIN_MS) {
+                    && clock > earlier.sentAt + d.type.dedupWindowMs() - WINDOW_MARGIN_MS) {
                 return false;
             }
         }
@@ -426,7 +427,7 @@
         d.out++;
         queue.remove(d);
         keys.attemptSent(d);
-        double offset = d.type.aimMs() * COPY_OFFSET;
+        double offset = d.type.targetLatencyMs() * COPY_OFFSET;
         if (!copy && clock <= attempt.sentAt + offset) {
             timers.add(attempt.sentAt + offset, () -> offsetPassed(d, attempt));
         }
@@ -434,7 +435,7 @@
     }
 
     private void offsetPassed(Delivery d, Attempt attempt) {
-        boolean races = attempt.out && d.type.effect() != Effect.UNSAFE && settings.copies();
+        boolean races = attempt.out && d.type.effect() != Effect.UNSAFE && settings.hedging();
         if (races && !d.ended && slotsUsed < settings.slots() && copies.allows()) {
             choose(d, true).ifPresent(target -> send(d, target, true));
         }
@@ -457,7 +458,7 @@
             finish(d);
         } else if (d.type.effect() == Effect.KEYED) {
             d.attempts.stream().filter(a -> a.mayHaveRun).mapToDouble(a -> a.sentAt).min().ifPresent(first ->
-                    timers.add(first + d.type.windowMs() - WINDOW_MARGIN_MS + CLOCK_MARGIN_MS, () -> {
+                    timers.add(first + d.type.dedupWindowMs() - WINDOW_MARGIN_MS + CLOCK_MARGIN_MS, () -> {
                         if (!mayGoOn(d)) {
                             finish(d);
                         }
@@ -476,9 +477,9 @@
             return;
         }
         boolean repeatable = d.type.effect() == Effect.SAFE
-                || d.type.effect() == Effect.KEYED && !d.type.sameZone();
+                || d.type.effect() == Effect.KEYED && !d.type.dedupWithinZone();
         if (repeatable || d.attempts.stream().noneMatch(a -> a.out || a.mayHaveRun)) {
-            actions.refuse(d.message.id(), Math.max(0, d.destination.opensAt() - clock));
+            actions.reject(d.message.id(), Math.max(0, d.destination.opensAt() - clock));
         } else {
             actions.fail(d.message.id());
         }
@@ -493,7 +494,7 @@
         queue.remove(d);
         keys.ended(d);
         for (int i = 0; i < d.attempts.size(); i++) {
-            if (d.attempts.get(i).out && settings.cancels()) {
+            if (d.attempts.get(i).out && settings.cancellation()) {
                 actions.cancel(d.message.id(), i);
             }
         }
@@ -532,7 +533,7 @@
             this.type = settings.classes().get(message.messageClass());
             this.destination = destination(message.destination());
             this.deadline = clock + message.timeLeftMs();
-            this.aimAt = deadline - type.deadlineMs() + type.aimMs();
+            this.aimAt = deadline - type.deadlineMs() + type.targetLatencyMs();
         }
         boolean isOutAt(Target target) {
             return attempts.stream().anyMatch(a -> a.out && a.target.filter(t -> t == target).isPresent());
@@ -542,10 +543,10 @@
                 return 0;
             }
             double late = Math.max(0, time - aimAt);
-            double share = settings.decay() == Decay.HALVES
-                    ? Math.max(type.lateWorth(), Math.pow(0.5, late / type.aimMs()))
-                    : 1 - (1 - type.lateWorth()) * late / Math.max(1, type.deadlineMs() - type.aimMs());
-            return type.worth() * share;
+            double share = settings.valueDecay() == Decay.HALVING
+                    ? Math.max(type.lateValue(), Math.pow(0.5, late / type.targetLatencyMs()))
+                    : 1 - (1 - type.lateValue()) * late / Math.max(1, type.deadlineMs() - type.targetLatencyMs());
+            return type.value() * share;
         }
         double rank() {
             double worth = worthAt(clock);
@@ -599,9 +600,9 @@
             target.destination.out++;
         }
 
-        void itemEnded(AttemptEnd end) {
+        void itemEnded(AttemptResult end) {
             itemsOut--;
-            target.limit.told(end.waitMs());
+            target.limit.told(end.retryAfterMs());
             target.limit.says(end.report().rate());
             if (!observed && end.outcome() != Outcome.CANCELLED && end.outcome() != Outcome.NOT_SENT) {
                 observed = true;
@@ -726,7 +727,7 @@
             rate = Math.max(floor(), rate);
         }
 
-        void recall(Known known) {
+        void recall(LearnedEndpointState known) {
             told(known.waitLeftMs());
             rate = known.pace();
             nextAt = clock + 1 / rate;
@@ -754,11 +755,11 @@
             evidence.good(clock);
             if (returns) {
                 returnedAt = clock;
-                targets().stream().filter(t -> t.state == State.UP).forEach(Target::warm);
+                targets().stream().filter(t -> t.state == EndpointState.UP).forEach(Target::warm);
             }
         }
         boolean isReturning() {
-            return clock - returnedAt < settings.coldStart().warmMs();
+            return clock - returnedAt < settings.slowStart().rampUpMs();
         }
         double coldRate(Target next) {
             double part = this == destination.shared ? 1 : 1.0 / destination.serving();
@@ -768,7 +769,7 @@
         }
         double evenPart(int refusals) {
             double told = TOLD_SHARE * toldRate / (1 + refusals);
-            return Math.max(LISTED_SHARE * listedRate, told) / settings.senders();
+            return Math.max(LISTED_SHARE * listedRate, told) / settings.senderCount();
         }
         private double floor() {
             double part = evenPart(pressed);
@@ -805,7 +806,7 @@
         final int batch;
         final double fee;
         boolean serving;
-        State state = State.UP;
+        EndpointState state = EndpointState.UP;
         Call latest;
         final Deque<Call> calls = new ArrayDeque<>();
         double latency = FIRST_LATENCY_MS;
@@ -826,23 +827,23 @@
         double goneAt = Double.POSITIVE_INFINITY;
 
         Target(Endpoint entry) {
-            Kind kind = settings.kinds().get(Math.min(entry.kind(), settings.kinds().size() - 1));
+            DestinationKind kind = settings.kinds().get(Math.min(entry.kind(), settings.kinds().size() - 1));
             this.entry = entry;
-            this.destination = WalkingLogic.this.destination(entry.destination());
+            this.destination = ReferenceScheduler.this.destination(entry.destination());
             this.limit = kind.separateRoutes() ? new Limit(destination) : destination.shared;
-            this.batch = kind.batch();
+            this.batch = kind.maxBatchSize();
             boolean charged = kind.separateRoutes() && entry.zone() < settings.zoneFees().size();
             this.fee = charged ? settings.zoneFees().get(entry.zone()) : 0;
             destination.targets.add(this);
         }
 
-        Known known() {
-            return new Known(entry.id(), Math.max(0, limit.waitUntil - clock), limit.rate,
+        LearnedEndpointState known() {
+            return new LearnedEndpointState(entry.id(), Math.max(0, limit.waitUntil - clock), limit.rate,
                     clock - limit.cutAt, limit.pressed, limit.sends.perMs(), limit.toldRate,
                     destination.demand.perMs(), carried.perMs(), latency, deviation, clock - lastGood);
         }
 
-        void recall(Known known) {
+        void recall(LearnedEndpointState known) {
             limit.recall(known);
             carried.recall(known.carried());
             latency = known.latencyMs();
@@ -858,21 +859,21 @@
             return clock > goneAt + GONE_MS && calls.isEmpty() && limit.waitUntil <= clock;
         }
         double cost(Delivery d) {
-            if (state == State.DOWN) {
+            if (state == EndpointState.DOWN) {
                 return (d.type.effect() == Effect.UNSAFE ? 1 : -1) * Double.POSITIVE_INFINITY;
             }
             double freeShare = 1 - (double) slotsUsed / settings.slots();
             return latency * (1 + calls.size()) + fruitless * SHUT_MS + fee * FEE_MS * freeShare;
         }
         boolean mayJoin() {
-            return latest != null && latest.sentTurn == turn && latest.items < batch && state != State.DOWN;
+            return latest != null && latest.sentTurn == turn && latest.items < batch && state != EndpointState.DOWN;
         }
 
         Call joinOrStart() {
             if (!mayJoin()) {
                 latest = new Call(this, clock, OptionalLong.empty());
                 limit.sent();
-                nextAt = state == State.UP ? nextAt : clock + 1 / allowedRate();
+                nextAt = state == EndpointState.UP ? nextAt : clock + 1 / allowedRate();
             }
             if (!isInFullService()) {
                 limit.coldNextAt = clock + 1 / limit.coldRate(this);
@@ -883,8 +884,8 @@
         }
 
         Call adopt(EarlierAttempt attempt) {
-            Call call = calls.stream().filter(c -> c.earlier.equals(attempt.outInCall())).findFirst()
-                    .orElseGet(() -> new Call(this, attempt.sentAt(), attempt.outInCall()));
+            Call call = calls.stream().filter(c -> c.earlier.equals(attempt.inFlightCallId())).findFirst()
+                    .orElseGet(() -> new Call(this, attempt.sentAtMs(), attempt.inFlightCallId()));
             call.itemsOut++;
             return call;
         }
@@ -903,7 +904,7 @@
             return isInFullService() ? opensAt : Math.max(opensAt, limit.coldNextAt);
         }
         double opensAt() {
-            return state == State.DOWN && !calls.isEmpty() ? Double.POSITIVE_INFINITY : nextAt;
+            return state == EndpointState.DOWN && !calls.isEmpty() ? Double.POSITIVE_INFINITY : nextAt;
         }
         double patience() {
             return latency + SILENT_DEVIATIONS * deviation;
@@ -915,7 +916,7 @@
             return latency + TIMEOUT_DEVIATIONS * deviation;
         }
         double timeout(MessageClass type) {
-            double base = Math.max(type.aimMs() * TIMEOUT_AIMS, slowest());
+            double base = Math.max(type.targetLatencyMs() * TIMEOUT_AIMS, slowest());
             double patience = type.effect() == Effect.UNSAFE ? type.deadlineMs() * UNSAFE_PATIENCE : 0;
             return Math.max(base, patience);
         }
@@ -926,37 +927,37 @@
             if (rate == 0) {
                 return leastTrialRate();
             }
-            return state == State.DOWN ? Math.max(leastTrialRate(), Math.min(1 / TRIAL_LEAST_MS, rate)) : rate;
+            return state == EndpointState.DOWN ? Math.max(leastTrialRate(), Math.min(1 / TRIAL_LEAST_MS, rate)) : rate;
         }
         double rampRate(double known) {
-            ColdStart cold = settings.coldStart();
-            double warm = state == State.WARMING ? (clock - warmSince) / cold.warmMs() : 0;
-            double capacity = cold.startCapacity() + (1 - cold.startCapacity()) * warm;
+            SlowStart cold = settings.slowStart();
+            double warm = state == EndpointState.WARMING ? (clock - warmSince) / cold.rampUpMs() : 0;
+            double capacity = cold.initialCapacityShare() + (1 - cold.initialCapacityShare()) * warm;
             return RAMP_SAFETY * cold.overloadMultiple() * capacity * known;
         }
         boolean isInFullService() {
-            return state == State.UP && !limit.evidence.isSuspect(clock);
+            return state == EndpointState.UP && !limit.evidence.isSuspect(clock);
         }
 
-        void observe(Call call, AttemptEnd end) {
+        void observe(Call call, AttemptResult end) {
             switch (end.outcome()) {
                 case DELIVERED -> good(call, end);
-                case FULL -> full(call, end.waitMs());
+                case FULL -> full(call, end.retryAfterMs());
                 case UNREACHABLE -> bad(UNREACHABLE_WEIGHT, "refuses connections");
                 case ERROR -> {
                     bad(BAD_WEIGHT, "fails calls");
-                    failing |= state == State.DOWN;
+                    failing |= state == EndpointState.DOWN;
                 }
                 default -> {
                     connections.lost(call);
                     bad(BAD_WEIGHT, "loses calls");
                 }
             }
-            if (state == State.WARMING && clock - warmSince >= settings.coldStart().warmMs()) {
+            if (state == EndpointState.WARMING && clock - warmSince >= settings.slowStart().rampUpMs()) {
                 up("is warm");
             }
         }
-        private void good(Call call, AttemptEnd end) {
+        private void good(Call call, AttemptResult end) {
             boolean blip = !failing && clock - lastGood < SHUT_MS;
             boolean returns = limit.evidence.isSuspect(clock);
             limit.good(returns);
@@ -966,19 +967,20 @@
             calledOff = 0;
             fruitless = 0;
             lastGood = clock;
-            deviation += LATENCY_WEIGHT * (Math.abs(end.tookMs() - latency) - deviation);
-            latency += LATENCY_WEIGHT * (end.tookMs() - latency);
-            if (state == State.UP) {
+            deviation += LATENCY_WEIGHT * (Math.abs(end.durationMs() - latency) - deviation);
+            latency += LATENCY_WEIGHT * (end.durationMs() - latency);
+            if (state == EndpointState.UP) {
                 carried.count();
-            } else if (state == State.DOWN && limit.isReturning()) {
-                latency = end.tookMs();
+            } else if (state == EndpointState.DOWN && limit.isReturning()) {
+                latency = end.durationMs();
                 warm();
-            } else if (state == State.DOWN && silentOnly && call.sentAt < downAt && end.tookMs() < SHUT_MS) {
+            } else if (state == EndpointState.DOWN && silentOnly && call.sentAt < downAt
+                    && end.durationMs() < SHUT_MS) {
                 up("was slow, not silent");
-            } else if (state == State.DOWN && blip) {
+            } else if (state == EndpointState.DOWN && blip) {
                 up("was not out");
-            } else if (state == State.DOWN) {
-                latency = end.tookMs();
+            } else if (state == EndpointState.DOWN) {
+                latency = end.durationMs();
                 warm();
             }
             limit.delivered(end.report().left());
@@ -1012,20 +1014,20 @@
             connections.lost(call);
             limit.evidence.overdue(call.sentAt);
             if (lastGood < call.sentAt && ++silentCalls >= SILENT_CALLS) {
-                boolean wasDown = state == State.DOWN;
+                boolean wasDown = state == EndpointState.DOWN;
                 down("is silent");
                 silentOnly = !wasDown;
             }
         }
         private void warm() {
-            state = State.WARMING;
+            state = EndpointState.WARMING;
             warmSince = clock;
             nextAt = clock + 1 / allowedRate();
             actions.log("endpoint " + entry.id() + " answers again, warming");
             remember();
         }
         private void up(String symptom) {
-            state = State.UP;
+            state = EndpointState.UP;
             nextAt = clock;
             carried.at = clock;
             actions.log("endpoint " + entry.id() + " " + symptom);
@@ -1033,8 +1035,8 @@
         }
         private void down(String symptom) {
             silentOnly = false;
-            if (state != State.DOWN) {
-                state = State.DOWN;
+            if (state != EndpointState.DOWN) {
+                state = EndpointState.DOWN;
                 failing = false;
                 downAt = clock;
                 nextAt = Math.max(clock, limit.waitUntil) + random.nextDouble() / allowedRate();
@@ -1043,16 +1045,16 @@
             }
         }
         private void remember() {
-            actions.remember(entry.id(), new Health(state, clock, carried.perMs()));
+            actions.saveEndpointHealth(entry.id(), new EndpointHealth(state, clock, carried.perMs()));
         }
 
-        void recall(Health health) {
+        void recall(EndpointHealth health) {
             state = health.state();
-            carried.recall(health.carriedPerMs());
-            if (state == State.WARMING) {
-                warmSince = health.since();
+            carried.recall(health.sustainedPerMs());
+            if (state == EndpointState.WARMING) {
+                warmSince = health.sinceMs();
             }
-            if (state != State.UP) {
+            if (state != EndpointState.UP) {
                 nextAt = clock + random.nextDouble() / allowedRate();
                 actions.log("endpoint " + entry.id() + " was " + state + " before the restart");
             }
@@ -1073,7 +1075,7 @@
                 return 0;
             }
             if (sure && suspect.filter(s -> idle > s.idledMs * TRUST_CUT).isPresent()) {
-                actions.closeIdle(target.entry.id());
+                actions.closeIdleConnections(target.entry.id());
                 return 0;
             }
             return idle;
@@ -1122,19 +1124,19 @@
             int out;
         }
         private Optional<Line> line(Delivery d) {
-            return d.type.inOrder() ? d.message.key().map(lines::get) : Optional.empty();
+            return d.type.ordered() ? d.message.key().map(lines::get) : Optional.empty();
         }
 
         void taken(Delivery d) {
-            if (d.type.inOrder()) {
+            if (d.type.ordered()) {
                 d.message.key().ifPresent(key -> lines.computeIfAbsent(key, k -> new Line()).waiting.add(d));
             }
         }
 
         void resumed(Delivery d) {
             if (d.attempts.stream().anyMatch(a -> a.mayHaveRun)) {
-                line(d).ifPresent(l -> l.restUntil = clock + settings.keyRestMs());
-                timers.add(clock + settings.keyRestMs(), () -> drop(d));
+                line(d).ifPresent(l -> l.restUntil = clock + settings.keyCoolDownMs());
+                timers.add(clock + settings.keyCoolDownMs(), () -> drop(d));
             }
         }
         boolean mayGo(Delivery d) {
@@ -1150,7 +1152,7 @@
             line(d).ifPresent(l -> {
                 l.out--;
                 if (outcome.mayHaveRun() && outcome != Outcome.ERROR) {
-                    l.restUntil = clock + settings.keyRestMs();
+                    l.restUntil = clock + settings.keyCoolDownMs();
                     timers.add(l.restUntil, () -> drop(d));
                 }
                 drop(d);
--- a/src/test/java/kestreldeal/Bench.java
+++ b/src/test/java/kestreldeal/SchedulerHarness.java
@@ -18,7 +18,7 @@
 import kestreldeal.Relay.Outcome;
 
 /** A caller of the module for tests: a clock, recorded actions and, where strict, a check of the rules. */
-final class Bench implements Relay.Actions {
+final class SchedulerHarness implements Relay.Actions {
     private static final double STEP = 5;
 
     record Sent(long message, int attempt, long endpoint, double at, double timeout) {
@@ -32,7 +32,7 @@
     final List<Long> closes = new ArrayList<>();
     final List<String> answers = new ArrayList<>();
     final List<Double> wakes = new ArrayList<>();
-    final Map<Long, Relay.Health> health = new HashMap<>();
+    final Map<Long, Relay.EndpointHealth> health = new HashMap<>();
     final List<Double> waits = new ArrayList<>();
     final Relay relay;
     Consumer<Sent> onSend = s -> { };
@@ -52,44 +52,45 @@
     private final Map<String, List<Long>> byKey = new HashMap<>();
     private long count;
 
-    Bench() {
+    SchedulerHarness() {
         this(10);
     }
 
-    Bench(int slots) {
+    SchedulerHarness(int slots) {
         this(slots, 2);
     }
 
-    Bench(int slots, int senders) {
+    SchedulerHarness(int slots, int senders) {
         this(slots, senders, 7);
     }
 
-    Bench(int slots, int senders, long seed) {
-        List<Relay.Kind> kinds =
-                List.of(new Relay.Kind(false, 1), new Relay.Kind(false, 5), new Relay.Kind(true, 1));
-        Relay.Settings settings = new Relay.Settings(LogicTest.CLASSES, kinds, true, Relay.Decay.LINE,
+    SchedulerHarness(int slots, int senders, long seed) {
+        List<Relay.DestinationKind> kinds =
+                List.of(new Relay.DestinationKind(false, 1), new Relay.DestinationKind(false, 5),
+                new Relay.DestinationKind(true, 1));
+        Relay.Settings settings = new Relay.Settings(DeliverySchedulerTest.CLASSES, kinds, true, Relay.Decay.LINEAR,
                 List.of(0.0, 0.06), senders, slots, 12, true, true, 500, 15_000,
-                new Relay.ColdStart(0.2, 12_000, 2, 1500));
+                new Relay.SlowStart(0.2, 12_000, 2, 1500));
         relay = Relay.create(settings, seed, this);
     }
 
-    Bench list(long destination, long... ids) {
+    SchedulerHarness list(long destination, long... ids) {
         for (long id : ids) {
             entry(id, destination, 0, 0, true);
         }
         return this;
     }
 
-    Bench entry(long id, long destination, int kind, int zone, boolean serving) {
+    SchedulerHarness entry(long id, long destination, int kind, int zone, boolean serving) {
         Relay.Endpoint entry = new Relay.Endpoint(id, destination, kind, zone, serving, listedRate);
         endpoints.put(id, entry);
-        relay.endpoints(now, false, List.of(entry));
+        relay.endpointsChanged(now, false, List.of(entry));
         relay.endTurn(now);
         return this;
     }
 
     void gone(long id, long destination) {
-        relay.endpoints(now, false, List.of(new Relay.Endpoint(id, destination, 0, 0, false, listedRate, true)));
+        relay.endpointsChanged(now, false, List.of(new Relay.Endpoint(id, destination, 0, 0, false, listedRate, true)));
         relay.endTurn(now);
     }
 
@@ -119,9 +120,9 @@
 
     private void handIn(long id, int type, long destination, String key) {
         Relay.Message m = new Relay.Message(id, type, 0, Optional.of(key), 16_000, destination);
-        relay.message(now, m);
+        relay.messageAccepted(now, m);
         messages.put(id, m);
-        if (LogicTest.CLASSES.get(type).inOrder()) {
+        if (DeliverySchedulerTest.CLASSES.get(type).ordered()) {
             byKey.computeIfAbsent(key, k -> new ArrayList<>()).add(id);
         }
     }
@@ -136,7 +137,7 @@
         Relay.Message m = new Relay.Message(id, type, 0, Optional.of("key " + id), leftMs, destination);
         attempts.put(id, earlier.size());
         messages.put(id, m);
-        relay.resumed(now, m, earlier);
+        relay.messageRestored(now, m, earlier);
     }
 
     void end(long message, int attempt, Outcome outcome) {
@@ -149,8 +150,8 @@
         if (outcome == Outcome.DELIVERED) {
             over.add(message);
         }
-        relay.attemptEnded(now, new Relay.AttemptEnd(message, attempt, outcome, 10, finished, waitMs,
-                new Relay.Report(toldRate, toldLeft)));
+        relay.attemptCompleted(now, new Relay.AttemptResult(message, attempt, outcome, 10, finished, waitMs,
+                new Relay.LoadReport(toldRate, toldLeft)));
         relay.endTurn(now);
     }
 
@@ -164,7 +165,7 @@
 
     void withdraw(long id) {
         over.add(id);
-        relay.withdrawn(now, id);
+        relay.messageCancelled(now, id);
         relay.endTurn(now);
     }
 
@@ -209,7 +210,7 @@
 
     private void check(Sent s) {
         Relay.Message m = messages.get(s.message);
-        Relay.MessageClass type = LogicTest.CLASSES.get(m.messageClass());
+        Relay.MessageClass type = DeliverySchedulerTest.CLASSES.get(m.messageClass());
         assertFalse(over.contains(s.message), "sent after the end");
         assertTrue(endpoints.get(s.endpoint).serving(), "sent to a draining endpoint");
         assertEquals(m.destination(), endpoints.get(s.endpoint).destination());
@@ -223,12 +224,12 @@
             }
             assertFalse(type.effect() == Effect.UNSAFE, "an unsafe message may have run twice");
             if (type.effect() == Effect.KEYED) {
-                assertTrue(now <= earlier.at + type.windowMs(), "outside the window");
-                assertTrue(!type.sameZone()
+                assertTrue(now <= earlier.at + type.dedupWindowMs(), "outside the window");
+                assertTrue(!type.dedupWithinZone()
                         || endpoints.get(earlier.endpoint).zone() == endpoints.get(s.endpoint).zone());
             }
         }
-        if (type.inOrder()) {
+        if (type.ordered()) {
             for (long other : byKey.get(m.key().orElseThrow())) {
                 if (other == s.message) {
                     break;
@@ -254,15 +255,15 @@
     }
 
     @Override
-    public void closeIdle(long endpoint) {
+    public void closeIdleConnections(long endpoint) {
         closes.add(endpoint);
     }
 
     @Override
-    public void refuse(long message, double waitMs) {
+    public void reject(long message, double waitMs) {
         waits.add(waitMs);
         if (strict) {
-            Effect effect = LogicTest.CLASSES.get(messages.get(message).messageClass()).effect();
+            Effect effect = DeliverySchedulerTest.CLASSES.get(messages.get(message).messageClass()).effect();
             for (int i = 0; effect == Effect.UNSAFE && i < attempts.getOrDefault(message, 0); i++) {
                 assertFalse(ends.get(message + "/" + i).mayHaveRun(), "refused though it may have run");
             }
@@ -290,7 +291,7 @@
     }
 
     @Override
-    public void remember(long endpoint, Relay.Health now) {
+    public void saveEndpointHealth(long endpoint, Relay.EndpointHealth now) {
         health.put(endpoint, now);
     }
 
--- a/src/test/java/kestreldeal/DrillTest.java
+++ b/src/test/java/kestreldeal/SimulatorAdapterTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 
 /** The adapter's reading and writing of the wire. */
-class DrillTest {
+class SimulatorAdapterTest {
     private static final String SETTINGS = "classes.count=1"
             + " classes.0.aim_ms=2000.0 classes.0.give_up_ms=16000.0 "
             + "classes.0.repeat=safe fleet_size=2 family_info.workers=10 family_info.batch_by_kind=1,5 "
@@ -30,7 +30,7 @@
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         ByteArrayOutputStream err = new ByteArrayOutputStream();
         ByteArrayInputStream in = new ByteArrayInputStream(input.getBytes(StandardCharsets.UTF_8));
-        code = new Drill(in, new PrintStream(out, true, StandardCharsets.UTF_8),
+        code = new SimulatorAdapter(in, new PrintStream(out, true, StandardCharsets.UTF_8),
                 new PrintStream(err, true, StandardCharsets.UTF_8)).run();
         errors = err.toString(StandardCharsets.UTF_8);
         return out.toString(StandardCharsets.UTF_8);
--- a/src/test/java/kestreldeal/net/AcceptFailureTest.java
+++ b/src/test/java/kestreldeal/net/AcceptFailureTest.java
@@ -47,7 +47,8 @@
 
     @BeforeEach
     void open() {
-        Intake intake = new Intake(group.next(), MOST, new ReadyDesk(), FailingListener::new, () -> descriptorsLeft);
+        ClientServer intake = new ClientServer(group.next(), MOST, new AcceptingSubmissionHandler(),
+                FailingListener::new, () -> descriptorsLeft);
         address = (InetSocketAddress) intake.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))
                 .syncUninterruptibly().channel().localAddress();
     }
@@ -61,8 +62,8 @@
     }
 
     private static void assertServed(Socket client) throws IOException {
-        Stub.write(client, HEALTH);
-        Stub.Message answer = Stub.read(new BufferedInputStream(client.getInputStream()), 0);
+        StubServer.write(client, HEALTH);
+        StubServer.Message answer = StubServer.read(new BufferedInputStream(client.getInputStream()), 0);
         assertEquals("HTTP/1.1 200 OK", answer == null ? "closed" : answer.line());
     }
 
--- a/src/test/java/kestreldeal/net/HeldTest.java
+++ b/src/test/java/kestreldeal/net/AcceptedMessageTest.java
@@ -8,14 +8,15 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-class HeldTest {
+class AcceptedMessageTest {
     private final ManualClock clock = new ManualClock();
     private final long begun = clock.nanos();
-    private final Held held = new Held(1, "id", "order", "t", Optional.of("key"), 7, 20_000, new byte[0]);
+    private final AcceptedMessage held =
+            new AcceptedMessage(1, "id", "order", "t", Optional.of("key"), 7, 20_000, new byte[0]);
 
-    private Held.Attempt sent(long atMs) {
+    private AcceptedMessage.Attempt sent(long atMs) {
         clock.passTo(begun + TimeUnit.MILLISECONDS.toNanos(atMs));
-        Held.Attempt attempt = Held.Attempt.sentAgo("e", 0, clock);
+        AcceptedMessage.Attempt attempt = AcceptedMessage.Attempt.sentAgo("e", 0, clock);
         held.attempts.add(attempt);
         return attempt;
     }
@@ -26,7 +27,7 @@
 
     @Test
     void aRepeatIsInTheWindowOfTheFirstAttemptThatMayHaveRun() {
-        Held.Attempt first = sent(1000);
+        AcceptedMessage.Attempt first = sent(1000);
         sent(3000);
         sent(5000);
         assertTrue(isInWindow(2, 6000, 5000));
@@ -46,7 +47,7 @@
     @Test
     void anAttemptThatWasOvertakenIsARepeatItself() {
         sent(1000);
-        Held.Attempt copy = sent(2000);
+        AcceptedMessage.Attempt copy = sent(2000);
         assertTrue(isInWindow(0, 7000, 5000));
         assertFalse(isInWindow(0, 7001, 5000));
         copy.neverRan = true;
@@ -56,14 +57,14 @@
     /** Nobody knows how long ago it was sent. */
     @Test
     void anAttemptFromTheFutureIsPastAnyWindow() {
-        held.attempts.add(Held.Attempt.sentAgo("e", -5000, clock));
+        held.attempts.add(AcceptedMessage.Attempt.sentAgo("e", -5000, clock));
         sent(0);
         assertFalse(isInWindow(1, 0, TimeUnit.DAYS.toMillis(1)));
     }
 
     @Test
     void anAttemptOfAnEarlierLifeHasItsAge() {
-        held.attempts.add(Held.Attempt.sentAgo("e", 60_000, clock));
+        held.attempts.add(AcceptedMessage.Attempt.sentAgo("e", 60_000, clock));
         sent(0);
         assertFalse(isInWindow(1, 0, 60_000 - 1));
         assertTrue(isInWindow(1, 0, 60_000));
@@ -72,12 +73,13 @@
     /** A request may have stood unread for as long as its client waits, or a quarter of what its class has. */
     @Test
     void itsTimeMayBeUpSoonerThanItsBudgetSays() {
-        Intake.Submission asked = new Intake.Submission("id", "order", "t", Optional.empty(), 7, 2000, new byte[0]);
-        assertTimes(Held.taken(1, asked, 24_000, clock), 1300, 1600);
-        assertTimes(Held.taken(1, asked, 800, clock), 400, 600);
+        ClientServer.Submission asked =
+                new ClientServer.Submission("id", "order", "t", Optional.empty(), 7, 2000, new byte[0]);
+        assertTimes(AcceptedMessage.taken(1, asked, 24_000, clock), 1300, 1600);
+        assertTimes(AcceptedMessage.taken(1, asked, 800, clock), 400, 600);
     }
 
-    private void assertTimes(Held taken, long leftMs, long timeUpInMs) {
+    private void assertTimes(AcceptedMessage taken, long leftMs, long timeUpInMs) {
         assertEquals(leftMs, taken.leftMs(clock));
         clock.pass(timeUpInMs - 1);
         assertFalse(taken.isTimeUp(clock));
--- a/src/test/java/kestreldeal/net/ReadyDesk.java
+++ b/src/test/java/kestreldeal/net/AcceptingSubmissionHandler.java
@@ -4,7 +4,7 @@
 import java.util.Optional;
 
 /** A desk that is ready and knows nothing. */
-class ReadyDesk implements Intake.Desk {
+class AcceptingSubmissionHandler implements ClientServer.SubmissionHandler {
     @Override
     public boolean ready() {
         return true;
@@ -36,11 +36,11 @@
     }
 
     @Override
-    public Optional<Held> take(Intake.Submission submission) {
+    public Optional<AcceptedMessage> take(ClientServer.Submission submission) {
         return Optional.empty();
     }
 
     @Override
-    public void answered(Held held, boolean heard) {
+    public void answered(AcceptedMessage held, boolean heard) {
     }
 }
--- a/src/test/java/kestreldeal/net/ClientBoundTest.java
+++ b/src/test/java/kestreldeal/net/ClientConnectionLimitTest.java
@@ -5,10 +5,10 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-class ClientBoundTest {
+class ClientConnectionLimitTest {
     private static final int CONFIGURED = 100;
 
-    private final ClientBound bound = new ClientBound(CONFIGURED);
+    private final ClientConnectionLimit bound = new ClientConnectionLimit(CONFIGURED);
 
     private int mostAfter(long seconds) {
         return bound.most(TimeUnit.SECONDS.toNanos(seconds));
@@ -27,7 +27,7 @@
     @Test
     void someMayAlwaysStayAndNeverMoreThanAreAllowed() {
         bound.lower(10, 0);
-        assertEquals(ClientBound.SPARE, mostAfter(0));
+        assertEquals(ClientConnectionLimit.SPARE, mostAfter(0));
         bound.lower(1000, 0);
         assertEquals(CONFIGURED, mostAfter(0));
     }
--- a/src/test/java/kestreldeal/net/IntakeTest.java
+++ b/src/test/java/kestreldeal/net/ClientServerTest.java
@@ -20,11 +20,11 @@
 import org.junit.jupiter.api.Test;
 
 /** The bound on clients' connections, apart from the sender. */
-class IntakeTest {
+class ClientServerTest {
     private static final int MOST = 10;
 
     /** A desk that knows all, has room for nothing, and notes what it was asked to take. */
-    private static final class NotingDesk extends ReadyDesk {
+    private static final class NotingDesk extends AcceptingSubmissionHandler {
         private final List<String> asked = new CopyOnWriteArrayList<>();
         /** Run as it is asked whether it is ready. */
         private volatile Runnable asking = () -> { };
@@ -53,7 +53,7 @@
         }
 
         @Override
-        public Optional<Held> take(Intake.Submission submission) {
+        public Optional<AcceptedMessage> take(ClientServer.Submission submission) {
             taking.run();
             asked.add(submission.id());
             return Optional.empty();
@@ -61,7 +61,7 @@
     }
 
     private static void submit(Socket socket, String id) throws Exception {
-        Stub.write(socket, "POST /order HTTP/1.1\r\nHost: x\r\nX-Call-Id: " + id + "\r\nX-Budget-Ms: 9000\r\n"
+        StubServer.write(socket, "POST /order HTTP/1.1\r\nHost: x\r\nX-Call-Id: " + id + "\r\nX-Budget-Ms: 9000\r\n"
                 + "X-Envelope: dest=7\r\nContent-Length: 2\r\n\r\nhi");
     }
 
@@ -73,7 +73,7 @@
         try {
             EventLoop loop = group.next();
             NotingDesk desk = new NotingDesk();
-            Intake intake = new Intake(loop, MOST, desk);
+            ClientServer intake = new ClientServer(loop, MOST, desk);
             InetSocketAddress address = listen(intake);
             CountDownLatch written = new CountDownLatch(1);
             keepBusy(loop, written);
@@ -85,7 +85,7 @@
                 }
             }
             written.countDown();
-            Stub.Message answer = Stub.read(new BufferedInputStream(sockets.get(4).getInputStream()), 0);
+            StubServer.Message answer = StubServer.read(new BufferedInputStream(sockets.get(4).getInputStream()), 0);
             assertEquals("HTTP/1.1 503 Service Unavailable", answer.line());
             assertEquals(List.of("id-4"), desk.asked);
         } finally {
@@ -96,7 +96,7 @@
         }
     }
 
-    private static InetSocketAddress listen(Intake intake) {
+    private static InetSocketAddress listen(ClientServer intake) {
         return (InetSocketAddress) intake.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))
                 .syncUninterruptibly().channel().localAddress();
     }
@@ -118,7 +118,7 @@
         List<Socket> sockets = new ArrayList<>();
         try {
             EventLoop loop = group.next();
-            Intake intake = new Intake(loop, MOST, new ReadyDesk());
+            ClientServer intake = new ClientServer(loop, MOST, new AcceptingSubmissionHandler());
             InetSocketAddress address = listen(intake);
             CountDownLatch connected = new CountDownLatch(1);
             keepBusy(loop, connected);
@@ -127,8 +127,8 @@
             }
             connected.countDown();
             Socket last = sockets.get(199);
-            Stub.write(last, "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n");
-            assertEquals("HTTP/1.1 200 OK", Stub.read(new BufferedInputStream(last.getInputStream()), 0).line());
+            StubServer.write(last, "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n");
+            assertEquals("HTTP/1.1 200 OK", StubServer.read(new BufferedInputStream(last.getInputStream()), 0).line());
             int clients = loop.submit(intake::clients).get();
             assertTrue(clients <= MOST, "connections: " + clients);
         } finally {
@@ -144,7 +144,7 @@
     void nobodyInTheMiddleOfARequestMakesRoomForANewcomer() throws Exception {
         EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         try (Socket first = new Socket(); Socket second = new Socket(); Socket newcomer = new Socket()) {
-            InetSocketAddress address = listen(new Intake(group.next(), 2, new ReadyDesk()));
+            InetSocketAddress address = listen(new ClientServer(group.next(), 2, new AcceptingSubmissionHandler()));
             for (Socket asking : List.of(first, second)) {
                 asking.connect(address);
                 // The half is decoded with the request before it, so it is known once that is answered.
@@ -166,15 +166,16 @@
         EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         try (Socket slow = new Socket(); Socket newcomer = new Socket()) {
             EventLoop loop = group.next();
-            Intake intake = new Intake(loop, 1, new ReadyDesk());
+            ClientServer intake = new ClientServer(loop, 1, new AcceptingSubmissionHandler());
             InetSocketAddress address = listen(intake);
             slow.connect(address);
-            Stub.write(slow, HEALTH.substring(0, 10));
-            Stub.await("its first bytes are read", () -> loop.submit(intake::begun).syncUninterruptibly().getNow() == 1);
+            StubServer.write(slow, HEALTH.substring(0, 10));
+            StubServer.await("its first bytes are read",
+                    () -> loop.submit(intake::begun).syncUninterruptibly().getNow() == 1);
             newcomer.connect(address);
             assertEquals("HTTP/1.1 200 OK", ask(newcomer, HEALTH).line());
             assertEquals("HTTP/1.1 503 Service Unavailable",
-                    Stub.read(new BufferedInputStream(slow.getInputStream()), 0).line());
+                    StubServer.read(new BufferedInputStream(slow.getInputStream()), 0).line());
         } finally {
             group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS).syncUninterruptibly();
         }
@@ -187,7 +188,7 @@
         try (Socket flood = new Socket(); Socket other = new Socket()) {
             EventLoop loop = group.next();
             NotingDesk desk = new NotingDesk();
-            Intake intake = new Intake(loop, MOST, desk);
+            ClientServer intake = new ClientServer(loop, MOST, desk);
             InetSocketAddress address = listen(intake);
             flood.connect(address);
             other.connect(address);
@@ -207,12 +208,12 @@
             begun.await();
             submit(other, "other");
             asked.countDown();
-            Stub.read(new BufferedInputStream(other.getInputStream()), 0);
+            StubServer.read(new BufferedInputStream(other.getInputStream()), 0);
             int ahead = desk.asked.indexOf("other");
             assertTrue(ahead >= 1 && ahead <= 3, "turns before: " + ahead);
             BufferedInputStream in = new BufferedInputStream(flood.getInputStream());
             for (int i = 0; i < 300; i++) {
-                assertEquals("HTTP/1.1 503 Service Unavailable", Stub.read(in, 0).line());
+                assertEquals("HTTP/1.1 503 Service Unavailable", StubServer.read(in, 0).line());
             }
             assertEquals(301, desk.asked.size());
         } finally {
@@ -230,13 +231,13 @@
 
     private static final String HEALTH = "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n";
 
-    private static Stub.Message ask(Socket socket, String request) throws Exception {
-        Stub.write(socket, request);
-        return Stub.read(new BufferedInputStream(socket.getInputStream()), 0);
+    private static StubServer.Message ask(Socket socket, String request) throws Exception {
+        StubServer.write(socket, request);
+        return StubServer.read(new BufferedInputStream(socket.getInputStream()), 0);
     }
 
     /** Ends all, and holds the loop once it has looked at its sockets once more. */
-    private static void endAndHold(EventLoop loop, Intake intake, CountDownLatch held, CountDownLatch until) {
+    private static void endAndHold(EventLoop loop, ClientServer intake, CountDownLatch held, CountDownLatch until) {
         loop.execute(() -> {
             intake.shut();
             loop.schedule(() -> {
@@ -254,7 +255,7 @@
         try (Socket resting = new Socket()) {
             EventLoop loop = group.next();
             NotingDesk desk = new NotingDesk();
-            Intake intake = new Intake(loop, MOST, desk);
+            ClientServer intake = new ClientServer(loop, MOST, desk);
             resting.connect(listen(intake));
             assertEquals("HTTP/1.1 200 OK", ask(resting, HEALTH).line());
             CountDownLatch written = new CountDownLatch(1);
@@ -286,20 +287,20 @@
         try (Socket client = new Socket(); Socket other = new Socket()) {
             EventLoop loop = group.next();
             NotingDesk desk = new NotingDesk();
-            Intake intake = new Intake(loop, MOST, desk);
+            ClientServer intake = new ClientServer(loop, MOST, desk);
             InetSocketAddress address = listen(intake);
             client.connect(address);
             other.connect(address);
-            Stub.write(client, "POST /order HTTP/1.1\r\nContent-Length: 50000\r\n");
+            StubServer.write(client, "POST /order HTTP/1.1\r\nContent-Length: 50000\r\n");
             assertEquals("HTTP/1.1 200 OK", ask(other, HEALTH).line(), "so what came before is read");
             CountDownLatch held = new CountDownLatch(1);
             endAndHold(loop, intake, held, until);
             held.await();
             for (int i = 0; i < 5; i++) {
-                Stub.write(client, "\r\n" + "x".repeat(1000));
+                StubServer.write(client, "\r\n" + "x".repeat(1000));
             }
             BufferedInputStream in = new BufferedInputStream(client.getInputStream());
-            assertEquals("HTTP/1.1 503 Service Unavailable", Stub.read(in, 0).line());
+            assertEquals("HTTP/1.1 503 Service Unavailable", StubServer.read(in, 0).line());
             assertEquals(-1, in.read());
             assertEquals(List.of(), desk.asked);
         } finally {
@@ -315,7 +316,7 @@
         try (Socket first = new Socket(); Socket second = new Socket()) {
             EventLoop loop = group.next();
             NotingDesk desk = new NotingDesk();
-            Intake intake = new Intake(loop, MOST, desk);
+            ClientServer intake = new ClientServer(loop, MOST, desk);
             InetSocketAddress address = listen(intake);
             for (Socket each : List.of(first, second)) {
                 each.connect(address);
@@ -325,13 +326,13 @@
             keepBusy(loop, written);
             // Both are read at once; the turn of the first ends all, and that of the other is still to come.
             desk.asking = intake::shut;
-            Stub.write(first, HEALTH);
-            Stub.write(second, HEALTH);
+            StubServer.write(first, HEALTH);
+            StubServer.write(second, HEALTH);
             written.countDown();
             List<String> answers = new ArrayList<>();
             for (Socket each : List.of(first, second)) {
                 each.setSoTimeout(30_000);
-                Stub.Message answer = Stub.read(new BufferedInputStream(each.getInputStream()), 0);
+                StubServer.Message answer = StubServer.read(new BufferedInputStream(each.getInputStream()), 0);
                 answers.add(answer == null ? "none" : answer.line());
             }
             assertTrue(answers.contains("HTTP/1.1 503 Service Unavailable"), answers.toString());
--- a/src/test/java/kestreldeal/net/ConfigTest.java
+++ b/src/test/java/kestreldeal/net/ConfigTest.java
@@ -7,7 +7,7 @@
 import java.nio.file.Path;
 import java.util.List;
 import java.util.Map;
-import kestreldeal.BadInput;
+import kestreldeal.InvalidInputException;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
@@ -34,9 +34,9 @@
 
     @Test
     void kindsMayHaveANameOnly() throws Exception {
-        assertEquals(List.of(5, 1), read(GOOD).settings().kinds().stream().map(k -> k.batch()).toList());
+        assertEquals(List.of(5, 1), read(GOOD).settings().kinds().stream().map(k -> k.maxBatchSize()).toList());
         Config named = read(GOOD.replace(",\"batch_by_kind\":[5,1]", ""));
-        assertEquals(List.of(1, 1), named.settings().kinds().stream().map(k -> k.batch()).toList());
+        assertEquals(List.of(1, 1), named.settings().kinds().stream().map(k -> k.maxBatchSize()).toList());
     }
 
     @Test
@@ -47,14 +47,15 @@
                 "\"disk_mb\":3", "\"disk_mb\":[1,2]", "\"batch_by_kind\":[5,1]", "\"batch_by_kind\":[5,\"x\"]");
         bad.forEach((good, wrong) -> {
             String name = good.split("\"")[1];
-            BadInput told = assertThrows(BadInput.class, () -> read(GOOD.replace(good, wrong)), wrong);
+            InvalidInputException told =
+                    assertThrows(InvalidInputException.class, () -> read(GOOD.replace(good, wrong)), wrong);
             assertEquals(List.of(name), List.of(told.getMessage().replaceAll(".*\\b(" + name + ")\\b.*", "$1")));
         });
     }
 
     @Test
     void whatIsNoJsonIsSaidSoInOneLine() {
-        BadInput told = assertThrows(BadInput.class, () -> read("{\"name\":"));
+        InvalidInputException told = assertThrows(InvalidInputException.class, () -> read("{\"name\":"));
         assertEquals(1, told.getMessage().lines().count());
     }
 }
--- a/src/test/java/kestreldeal/net/ConnectFailureTest.java
+++ b/src/test/java/kestreldeal/net/ConnectFailureTest.java
@@ -37,8 +37,8 @@
     private final Deque<Supplier<Exception>> failures = new ArrayDeque<>();
     private boolean forGood;
     private int connects;
-    private Stub stub;
-    private Endpoints endpoints;
+    private StubServer stub;
+    private EndpointClient endpoints;
 
     private final class FailingChannel extends NioSocketChannel {
         @Override
@@ -53,9 +53,10 @@
 
     @BeforeEach
     void open() throws Exception {
-        stub = new Stub(Stub.status(200, ""));
+        stub = new StubServer(StubServer.status(200, ""));
         loop.submit(() -> {
-            endpoints = new Endpoints(loop, 1000, 15_000, 4, (call, outcome, gone, waitMs, report) -> ends.add(outcome),
+            endpoints = new EndpointClient(loop, 1000, 15_000, 4,
+                    (call, outcome, gone, waitMs, report) -> ends.add(outcome),
                     FailingChannel::new, MachineClock.system());
             endpoints.at(1, stub.address(), true, 1);
         }).sync();
@@ -68,8 +69,8 @@
     }
 
     private Outcome call() throws Exception {
-        Held held = Held.withTimeLeft(1, "id", "order", "", Optional.of("key"), 7, 20_000, new byte[1],
-                MachineClock.system());
+        AcceptedMessage held = AcceptedMessage.withTimeLeft(1, "id", "order", "", Optional.of("key"), 7, 20_000,
+                new byte[1], MachineClock.system());
         loop.execute(() -> endpoints.call(held, 0, 1, 20_000, System.nanoTime()));
         return ends.poll(30, TimeUnit.SECONDS);
     }
--- a/src/test/java/kestreldeal/net/ConnectorTest.java
+++ b/src/test/java/kestreldeal/net/ConnectorTest.java
@@ -26,7 +26,7 @@
         group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS).syncUninterruptibly();
     }
 
-    private void connect(Connector connector, Stub to) {
+    private void connect(Connector connector, StubServer to) {
         loop.execute(() -> connector.connect(to.address(), open -> {
             inLoop.complete(loop.inEventLoop());
             told.complete(open);
@@ -36,7 +36,7 @@
     /** As where the descriptors are used up: the other parts belong to the loop's thread alone. */
     @Test
     void aChannelThatCantBeMadeIsToldOnTheLoopsThread() throws Exception {
-        try (Stub stub = new Stub(Stub.silent())) {
+        try (StubServer stub = new StubServer(StubServer.silent())) {
             connect(new Connector(loop, 1000, channel -> { }, () -> {
                 throw new ChannelException("too many open files");
             }), stub);
@@ -47,7 +47,7 @@
 
     @Test
     void anOpenConnectionIsTold() throws Exception {
-        try (Stub stub = new Stub(Stub.silent())) {
+        try (StubServer stub = new StubServer(StubServer.silent())) {
             connect(new Connector(loop, 1000, channel -> { }), stub);
             assertTrue(told.get(30, TimeUnit.SECONDS).orElseThrow().isActive());
             assertTrue(inLoop.get());
--- a/src/test/java/kestreldeal/net/DiscoveryTest.java
+++ b/src/test/java/kestreldeal/net/DiscoveryTest.java
@@ -41,12 +41,12 @@
     private Path folder;
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
-    private final List<Stub> agents = new ArrayList<>();
+    private final List<StubServer> agents = new ArrayList<>();
     private final Told told = new Told();
     private Discovery discovery;
 
     /** What the watch has told. */
-    private static final class Told implements Discovery.Lists {
+    private static final class Told implements Discovery.UpdateListener {
         final Map<String, Discovery.Entry> entries = new ConcurrentHashMap<>();
         final List<Boolean> ends = new CopyOnWriteArrayList<>();
         final AtomicInteger largest = new AtomicInteger();
@@ -80,19 +80,19 @@
     @AfterEach
     void close() throws Exception {
         group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS).syncUninterruptibly();
-        for (Stub agent : agents) {
+        for (StubServer agent : agents) {
             agent.close();
         }
     }
 
-    private Stub agent(Stub.Script script) throws IOException {
-        agents.add(new Stub(script));
+    private StubServer agent(StubServer.Script script) throws IOException {
+        agents.add(new StubServer(script));
         return agents.get(agents.size() - 1);
     }
 
-    private void start(Stub agent) throws IOException {
+    private void start(StubServer agent) throws IOException {
         Path file = Files.writeString(folder.resolve("config.json"), "{}");
-        discovery = new Discovery(loop, new Agent(loop, agent.address()), told);
+        discovery = new Discovery(loop, new AgentClient(loop, agent.address()), told);
         loop.execute(() -> discovery.start(file));
     }
 
@@ -100,20 +100,20 @@
         return "HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body;
     }
 
-    private static Stub.Script list(String body) {
-        return (request, socket) -> Stub.write(socket, answer(body));
+    private static StubServer.Script list(String body) {
+        return (request, socket) -> StubServer.write(socket, answer(body));
     }
 
     private static String one(long generation, String lifecycle) {
         return "{\"generation\":" + generation + ",\"reset\":true,\"instances\":["
-                + ListReaderTest.entry(0, lifecycle) + "]}";
+                + EndpointListParserTest.entry(0, lifecycle) + "]}";
     }
 
-    private static List<String> asked(Stub agent) {
-        return agent.requests.stream().map(Stub.Message::line).toList();
+    private static List<String> asked(StubServer agent) {
+        return agent.requests.stream().map(StubServer.Message::line).toList();
     }
 
-    private static boolean watches(Stub.Message request) {
+    private static boolean watches(StubServer.Message request) {
         return request.line().contains("after=");
     }
 
@@ -122,19 +122,19 @@
     /** Longer than any buffer that it could be collected in; what decides on the whole comes last. */
     @Test
     void aLongListIsReadAsItComes() throws Exception {
-        String list = ListReaderTest.list(41, LONG_LIST);
+        String list = EndpointListParserTest.list(41, LONG_LIST);
         assertTrue(list.length() > 4 << 20);
-        Stub agent = agent((request, socket) -> {
+        StubServer agent = agent((request, socket) -> {
             if (!watches(request)) {
-                Stub.write(socket, answer(list));
+                StubServer.write(socket, answer(list));
             }
         });
         start(agent);
-        Stub.await("the list is in force", () -> told.ends.size() == 1);
+        StubServer.await("the list is in force", () -> told.ends.size() == 1);
         assertEquals(List.of(true), told.ends);
         assertEquals(LONG_LIST, told.entries.size());
-        assertEquals(ListReader.PORTION, told.largest.get());
-        Stub.await("the watch", () -> agent.requests.size() > 1);
+        assertEquals(EndpointListParser.PORTION, told.largest.get());
+        StubServer.await("the watch", () -> agent.requests.size() > 1);
         assertTrue(asked(agent).get(1).contains("after=41&"), asked(agent).get(1));
     }
 
@@ -149,46 +149,46 @@
             }
             loop.execute(() -> waits.set(false));
         };
-        String list = ListReaderTest.list(41, LONG_LIST);
+        String list = EndpointListParserTest.list(41, LONG_LIST);
         start(agent((request, socket) -> {
             if (!watches(request)) {
-                Stub.write(socket, answer(list));
+                StubServer.write(socket, answer(list));
             }
         }));
-        Stub.await("it is over", () -> !told.ends.isEmpty());
+        StubServer.await("it is over", () -> !told.ends.isEmpty());
         assertEquals(0, passedOver.get());
     }
 
     /** What was read binds, entry by entry; nothing has left, and all is asked for again. */
     @Test
     void aListThatBreaksOffDropsNothing() throws Exception {
-        String list = ListReaderTest.list(41, 3 * ListReader.PORTION);
+        String list = EndpointListParserTest.list(41, 3 * EndpointListParser.PORTION);
         AtomicBoolean broken = new AtomicBoolean();
-        Stub agent = agent((request, socket) -> {
+        StubServer agent = agent((request, socket) -> {
             if (!broken.getAndSet(true)) {
-                Stub.write(socket, answer(list).substring(0, list.length() / 2));
+                StubServer.write(socket, answer(list).substring(0, list.length() / 2));
                 socket.close();
             }
         });
         start(agent);
-        Stub.await("it is asked again", () -> agent.requests.size() == 2);
+        StubServer.await("it is asked again", () -> agent.requests.size() == 2);
         assertEquals(List.of(), told.ends);
-        assertEquals(ListReader.PORTION, told.entries.size());
+        assertEquals(EndpointListParser.PORTION, told.entries.size());
         assertEquals("GET /v1/servers HTTP/1.1", asked(agent).get(1));
     }
 
     // ---- how an answer ends ----
 
     /** The end that the agent's asker is told, for an answer written by this script. */
-    private String end(Stub.Script script, long limitMs, long silentMs, long bodyMs) throws Exception {
+    private String end(StubServer.Script script, long limitMs, long silentMs, long bodyMs) throws Exception {
         return end(agent(script), limitMs, silentMs, bodyMs);
     }
 
-    private String end(Stub stub, long limitMs, long silentMs, long bodyMs) throws Exception {
+    private String end(StubServer stub, long limitMs, long silentMs, long bodyMs) throws Exception {
         CompletableFuture<String> end = new CompletableFuture<>();
-        Agent agent = new Agent(loop, stub.address(), silentMs, bodyMs);
+        AgentClient agent = new AgentClient(loop, stub.address(), silentMs, bodyMs);
         loop.execute(() -> agent.ask(new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, "/x"), limitMs,
-                new Agent.Asker() {
+                new AgentClient.ResponseHandler() {
                     private int status;
 
                     @Override
@@ -215,27 +215,27 @@
     void whatKeptAnAnswerFromBeingWholeIsNamed() throws Exception {
         String head = "HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\n";
         assertEquals("whole, 200", end(list("{}"), LONG_MS, LONG_MS, LONG_MS));
-        assertEquals("whole, 503", end(Stub.status(503, ""), LONG_MS, LONG_MS, LONG_MS));
-        assertEquals("does not answer", end(Stub.silent(), 50, LONG_MS, LONG_MS));
-        assertEquals("does not answer", end((r, socket) -> Stub.write(socket, head), 50, LONG_MS, LONG_MS));
+        assertEquals("whole, 503", end(StubServer.status(503, ""), LONG_MS, LONG_MS, LONG_MS));
+        assertEquals("does not answer", end(StubServer.silent(), 50, LONG_MS, LONG_MS));
+        assertEquals("does not answer", end((r, socket) -> StubServer.write(socket, head), 50, LONG_MS, LONG_MS));
         assertEquals("falls silent in its answer, after 2 bytes",
-                end((r, socket) -> Stub.write(socket, head + "ab"), LONG_MS, 50, LONG_MS));
+                end((r, socket) -> StubServer.write(socket, head + "ab"), LONG_MS, 50, LONG_MS));
         assertEquals("breaks off in its answer, after 2 bytes", end((r, socket) -> {
-            Stub.write(socket, head + "ab");
+            StubServer.write(socket, head + "ab");
             socket.close();
         }, LONG_MS, LONG_MS, LONG_MS));
         assertEquals("ends the connection", end((r, socket) -> socket.close(), LONG_MS, LONG_MS, LONG_MS));
-        assertEquals("answers what is no HTTP", end((r, socket) -> Stub.write(socket, "x y z\r\n\r\n"), LONG_MS,
+        assertEquals("answers what is no HTTP", end((r, socket) -> StubServer.write(socket, "x y z\r\n\r\n"), LONG_MS,
                 LONG_MS, LONG_MS));
-        Stub shut = agent(Stub.silent());
+        StubServer shut = agent(StubServer.silent());
         shut.close();
         assertEquals("can't be reached", end(shut, LONG_MS, LONG_MS, LONG_MS));
     }
 
     private static void forever(Socket socket, int bytes, long pauseMs) throws Exception {
-        Stub.write(socket, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+        StubServer.write(socket, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
         while (true) {
-            Stub.write(socket, Integer.toHexString(bytes) + "\r\n" + " ".repeat(bytes) + "\r\n");
+            StubServer.write(socket, Integer.toHexString(bytes) + "\r\n" + " ".repeat(bytes) + "\r\n");
             Thread.sleep(pauseMs);
         }
     }
@@ -249,14 +249,14 @@
 
     @Test
     void anAnswerWithoutAnEndIsGivenUp() throws Exception {
-        String end = end((r, socket) -> forever(socket, 2 * Agent.LEAST_BYTES, 1), LONG_MS, 100, 300);
+        String end = end((r, socket) -> forever(socket, 2 * AgentClient.LEAST_BYTES, 1), LONG_MS, 100, 300);
         assertTrue(end.startsWith("takes over 300 ms for its answer, of which "), end);
     }
 
     /** The connect is never answered: whichever limit is shorter ends it. */
     @Test
     void aConnectThatIsNeverAnsweredIsGivenUp() throws Exception {
-        try (Stub busy = Stub.busy(Stub.silent())) {
+        try (StubServer busy = StubServer.busy(StubServer.silent())) {
             assertEquals("does not answer", end(busy, 100, LONG_MS, LONG_MS));
             assertEquals("can't be reached", end(busy, LONG_MS, LONG_MS, LONG_MS));
         }
@@ -271,13 +271,13 @@
      */
     @Test
     void theLimitsLeaveTimeForAListWithinTheSixSeconds() {
-        long silentWatch = Math.max(Discovery.WAIT_MS + Discovery.SILENT_MS, Agent.CONNECT_MS);
+        long silentWatch = Math.max(Discovery.WAIT_MS + Discovery.SILENT_MS, AgentClient.CONNECT_MS);
         long next = Discovery.PAUSE_MS + Discovery.NO_WAIT_MS + Discovery.SILENT_MS;
         assertEquals(4100, silentWatch + next);
-        assertEquals(5100, silentWatch + 2 * Agent.SILENT_MS + next);
-        assertTrue(silentWatch + 2 * Agent.SILENT_MS + next < TOLD_MS);
-        assertTrue(Discovery.SILENT_MS + Agent.BODY_MS < TOLD_MS);
-        assertTrue(Agent.BODY_MS + next < TOLD_MS);
+        assertEquals(5100, silentWatch + 2 * AgentClient.SILENT_MS + next);
+        assertTrue(silentWatch + 2 * AgentClient.SILENT_MS + next < TOLD_MS);
+        assertTrue(Discovery.SILENT_MS + AgentClient.BODY_MS < TOLD_MS);
+        assertTrue(AgentClient.BODY_MS + next < TOLD_MS);
     }
 
     private interface Fault {
@@ -289,30 +289,31 @@
         String list = answer(one(99, "SERVING"));
         Map<String, Fault> faults = new LinkedHashMap<>();
         faults.put("ends the connection", Socket::close);
-        faults.put("answers 404", socket -> Stub.write(socket, "HTTP/1.1 404 x\r\nContent-Length: 0\r\n\r\n"));
-        faults.put("answers 503 with a body", socket -> Stub.write(socket, list.replace("200 OK", "503 x")));
+        faults.put("answers 404", socket -> StubServer.write(socket, "HTTP/1.1 404 x\r\nContent-Length: 0\r\n\r\n"));
+        faults.put("answers 503 with a body", socket -> StubServer.write(socket, list.replace("200 OK", "503 x")));
         faults.put("breaks off in its head", socket -> {
-            Stub.write(socket, list.substring(0, 20));
+            StubServer.write(socket, list.substring(0, 20));
             socket.close();
         });
         faults.put("breaks off in its body", socket -> {
-            Stub.write(socket, list.substring(0, list.length() - 2));
+            StubServer.write(socket, list.substring(0, list.length() - 2));
             socket.close();
         });
-        faults.put("falls silent in its body", socket -> Stub.write(socket, list.substring(0, list.length() - 2)));
-        faults.put("is spoilt", socket -> Stub.write(socket, list.replace("[", "#")));
-        faults.put("is no list", socket -> Stub.write(socket, list.replace("generation", "generatiom")));
+        faults.put("falls silent in its body",
+                socket -> StubServer.write(socket, list.substring(0, list.length() - 2)));
+        faults.put("is spoilt", socket -> StubServer.write(socket, list.replace("[", "#")));
+        faults.put("is no list", socket -> StubServer.write(socket, list.replace("generation", "generatiom")));
         faults.put("is silent", socket -> { });
         return faults;
     }
 
     /** The first answer is spoilt; the very next question gets what the agent has by then. */
-    private Stub.Script once(Fault fault, AtomicBoolean failed) {
+    private StubServer.Script once(Fault fault, AtomicBoolean failed) {
         return (request, socket) -> {
             if (!failed.getAndSet(true)) {
                 fault.come(socket);
             } else if (!watches(request) || request.line().contains("after=1&wait_ms=0 ")) {
-                Stub.write(socket, answer(one(2, "DRAINING")));
+                StubServer.write(socket, answer(one(2, "DRAINING")));
             }
         };
     }
@@ -321,9 +322,9 @@
     void aCallThatFailsRightAfterTheStartIsMadeAgainForAll() throws Exception {
         for (Map.Entry<String, Fault> fault : faults().entrySet()) {
             told.entries.clear();
-            Stub agent = agent(once(fault.getValue(), new AtomicBoolean()));
+            StubServer agent = agent(once(fault.getValue(), new AtomicBoolean()));
             start(agent);
-            Stub.await(fault.getKey(), () -> told.drains("s-0"));
+            StubServer.await(fault.getKey(), () -> told.drains("s-0"));
             assertEquals(List.of("GET /v1/servers HTTP/1.1", "GET /v1/servers HTTP/1.1"),
                     asked(agent).subList(0, 2), fault.getKey());
         }
@@ -334,16 +335,16 @@
         for (Map.Entry<String, Fault> fault : faults().entrySet()) {
             told.entries.clear();
             AtomicBoolean listed = new AtomicBoolean();
-            Stub.Script then = once(fault.getValue(), new AtomicBoolean());
-            Stub agent = agent((request, socket) -> {
+            StubServer.Script then = once(fault.getValue(), new AtomicBoolean());
+            StubServer agent = agent((request, socket) -> {
                 if (listed.getAndSet(true)) {
                     then.come(request, socket);
                 } else {
-                    Stub.write(socket, answer(one(1, "SERVING")));
+                    StubServer.write(socket, answer(one(1, "SERVING")));
                 }
             });
             start(agent);
-            Stub.await(fault.getKey(), () -> told.drains("s-0"));
+            StubServer.await(fault.getKey(), () -> told.drains("s-0"));
             assertEquals(List.of("GET /v1/servers HTTP/1.1", "GET /v1/servers?after=1&wait_ms=3000 HTTP/1.1",
                     "GET /v1/servers?after=1&wait_ms=0 HTTP/1.1"), asked(agent).subList(0, 3), fault.getKey());
         }
@@ -353,19 +354,19 @@
     @Test
     void aCallThatFailsRightAfterAMoveIsMadeAgainForAll() throws Exception {
         AtomicBoolean listed = new AtomicBoolean();
-        Stub old = agent((request, socket) -> {
+        StubServer old = agent((request, socket) -> {
             if (!watches(request)) {
                 listed.set(true);
-                Stub.write(socket, answer(one(70, "SERVING")));
+                StubServer.write(socket, answer(one(70, "SERVING")));
             }
         });
         start(old);
-        Stub.await("the old watch", () -> old.requests.size() == 2);
+        StubServer.await("the old watch", () -> old.requests.size() == 2);
         for (Map.Entry<String, Fault> fault : faults().entrySet()) {
             told.entries.clear();
-            Stub fresh = agent(once(fault.getValue(), new AtomicBoolean()));
-            loop.execute(() -> discovery.moveTo(new Agent(loop, fresh.address())));
-            Stub.await(fault.getKey(), () -> told.drains("s-0"));
+            StubServer fresh = agent(once(fault.getValue(), new AtomicBoolean()));
+            loop.execute(() -> discovery.moveTo(new AgentClient(loop, fresh.address())));
+            StubServer.await(fault.getKey(), () -> told.drains("s-0"));
             assertEquals(List.of("GET /v1/servers HTTP/1.1", "GET /v1/servers HTTP/1.1"),
                     asked(fresh).subList(0, 2), fault.getKey());
         }
@@ -375,15 +376,15 @@
     /** As while the agent's process is away. */
     @Test
     void anAgentThatRefusesConnectionsIsAskedUntilItIsBack() throws Exception {
-        Stub away = agent(Stub.silent());
+        StubServer away = agent(StubServer.silent());
         away.close();
         start(away);
         Thread.sleep(3 * Discovery.PAUSE_MS);
         try (ServerSocket back = new ServerSocket(away.address().getPort(), 5, away.address().getAddress());
                 Socket asked = back.accept()) {
-            assertEquals("GET /v1/servers HTTP/1.1", Stub.read(asked.getInputStream(), 0).line());
-            Stub.write(asked, answer(one(2, "DRAINING")));
-            Stub.await("the list is known", () -> told.drains("s-0"));
+            assertEquals("GET /v1/servers HTTP/1.1", StubServer.read(asked.getInputStream(), 0).line());
+            StubServer.write(asked, answer(one(2, "DRAINING")));
+            StubServer.await("the list is known", () -> told.drains("s-0"));
         }
     }
 }
--- a/src/test/java/kestreldeal/net/EndpointsTest.java
+++ b/src/test/java/kestreldeal/net/EndpointClientTest.java
@@ -23,13 +23,13 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import kestreldeal.Relay.Outcome;
-import kestreldeal.Relay.Report;
+import kestreldeal.Relay.LoadReport;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
 /** Each row of the protocol's table of outcomes, and the connections that calls go over. */
-class EndpointsTest {
+class EndpointClientTest {
     private static final double LONG_MS = 20_000;
     private static final int BATCH = 3;
     /** A second endpoint, where a test has one. */
@@ -43,8 +43,8 @@
     private final BlockingQueue<End> ends = new LinkedBlockingQueue<>();
     private final BlockingQueue<Double> told = new LinkedBlockingQueue<>();
     private final BlockingQueue<Double> waits = new LinkedBlockingQueue<>();
-    private Endpoints endpoints;
-    private Stub stub;
+    private EndpointClient endpoints;
+    private StubServer stub;
     /** The message whose call may not be written any more. */
     private volatile String tooLate = "";
     /** The message whose call may not be written once a wait is told. */
@@ -53,16 +53,16 @@
 
     @BeforeEach
     void open() throws Exception {
-        stub = new Stub(Stub.status(200, ""));
-        endpoints = new Endpoints(loop, 1000, 15_000, 4, ends());
+        stub = new StubServer(StubServer.status(200, ""));
+        endpoints = new EndpointClient(loop, 1000, 15_000, 4, ends());
         at(stub.address());
     }
 
-    private Endpoints.Ends ends() {
-        return new Endpoints.Ends() {
+    private EndpointClient.CallListener ends() {
+        return new EndpointClient.CallListener() {
         @Override
-        public void ended(Endpoints.Call call, Outcome outcome, boolean gone, double waitMs,
-                Report report) {
+        public void ended(EndpointClient.Call call, Outcome outcome, boolean gone, double waitMs,
+                LoadReport report) {
             told.add(report.rate());
             ends.add(new End(outcome, gone, waitMs));
         }
@@ -78,7 +78,7 @@
         }
 
         @Override
-        public boolean mayStillGo(Endpoints.Call call) {
+        public boolean mayStillGo(EndpointClient.Call call) {
             return !call.held.id.equals(tooLate) && !(call.held.id.equals(waiting) && !waits.isEmpty());
         }
     };
@@ -94,12 +94,12 @@
         loop.submit(() -> endpoints.at(1, address, true, BATCH)).syncUninterruptibly();
     }
 
-    private Endpoints.Call start(byte[] body, double timeoutMs) throws Exception {
-        Held held = new Held(1, "id-1", "order", "t", Optional.of("key-1"), 7, 0, body);
+    private EndpointClient.Call start(byte[] body, double timeoutMs) throws Exception {
+        AcceptedMessage held = new AcceptedMessage(1, "id-1", "order", "t", Optional.of("key-1"), 7, 0, body);
         return start(held, timeoutMs, 0);
     }
 
-    private Endpoints.Call start(Held held, double timeoutMs, long decidedAgoMs) throws Exception {
+    private EndpointClient.Call start(AcceptedMessage held, double timeoutMs, long decidedAgoMs) throws Exception {
         return loop.submit(() -> endpoints.call(held, 0, 1, timeoutMs,
                 System.nanoTime() - TimeUnit.MILLISECONDS.toNanos(decidedAgoMs))).get();
     }
@@ -108,20 +108,20 @@
         return ends.poll(30, TimeUnit.SECONDS);
     }
 
-    private End call(Stub.Script script) throws Exception {
+    private End call(StubServer.Script script) throws Exception {
         stub.script(script);
         start(new byte[] {'b', 'o', 'd', 'y'}, LONG_MS);
         return end();
     }
 
-    private void expect(Outcome outcome, Stub.Script script) throws Exception {
+    private void expect(Outcome outcome, StubServer.Script script) throws Exception {
         assertEquals(new End(outcome, false, 0), call(script));
     }
 
     @Test
     void idKeyBodyAndBudgetGoOn() throws Exception {
-        expect(Outcome.DELIVERED, Stub.status(200, ""));
-        Stub.Message m = stub.requests.get(0);
+        expect(Outcome.DELIVERED, StubServer.status(200, ""));
+        StubServer.Message m = stub.requests.get(0);
         assertEquals("POST /v1/messages HTTP/1.1", m.line());
         assertEquals("id-1", m.header("X-Call-Id"));
         assertEquals("key-1", m.header("Idempotency-Key"));
@@ -133,27 +133,27 @@
     /** Found where messages were lost after restarts: calls of a turn that took a second ended a second late. */
     @Test
     void aTimeOutCountsFromTheDecisionHoweverLateTheCall() throws Exception {
-        stub.script(Stub.silent());
-        Held held = new Held(1, "id-1", "order", "t", Optional.of("key-1"), 7, 0, new byte[0]);
+        stub.script(StubServer.silent());
+        AcceptedMessage held = new AcceptedMessage(1, "id-1", "order", "t", Optional.of("key-1"), 7, 0, new byte[0]);
         start(held, 600_000, 600_000);
         assertTrue(end() != null, "it ends at once, not in ten minutes");
     }
 
     @Test
     void statusesMeanWhatTheTableSays() throws Exception {
-        expect(Outcome.ERROR, Stub.status(500, ""));
-        assertEquals(new End(Outcome.FULL, false, 1250), call(Stub.status(429, "Retry-After: 1.25\r\n")));
-        expect(Outcome.FULL, Stub.status(503, ""));
-        expect(Outcome.NOT_SENT, Stub.status(503, "X-No-Slot: 1\r\n"));
-        expect(Outcome.NOT_SENT, Stub.status(504, ""));
-        assertEquals(new End(Outcome.NOT_SENT, true, 0), call(Stub.status(410, "")));
+        expect(Outcome.ERROR, StubServer.status(500, ""));
+        assertEquals(new End(Outcome.FULL, false, 1250), call(StubServer.status(429, "Retry-After: 1.25\r\n")));
+        expect(Outcome.FULL, StubServer.status(503, ""));
+        expect(Outcome.NOT_SENT, StubServer.status(503, "X-No-Slot: 1\r\n"));
+        expect(Outcome.NOT_SENT, StubServer.status(504, ""));
+        assertEquals(new End(Outcome.NOT_SENT, true, 0), call(StubServer.status(410, "")));
     }
 
     @Test
     void aConnectionThatBreaksAfterTheLastByteIsBroken() throws Exception {
         expect(Outcome.BROKEN, (request, socket) -> socket.close());
         expect(Outcome.BROKEN, (request, socket) -> socket.shutdownOutput());
-        expect(Outcome.BROKEN, (request, socket) -> Stub.write(socket, "not HTTP at all\r\n\r\n"));
+        expect(Outcome.BROKEN, (request, socket) -> StubServer.write(socket, "not HTTP at all\r\n\r\n"));
         assertEquals(3, stub.requests.size(), "each was sent once");
     }
 
@@ -182,12 +182,12 @@
 
     @Test
     void silenceIsATimeOutAndClosesTheConnection() throws Exception {
-        expect(Outcome.DELIVERED, Stub.status(200, ""));
+        expect(Outcome.DELIVERED, StubServer.status(200, ""));
         awaitKept();
-        stub.script(Stub.silent());
+        stub.script(StubServer.silent());
         start(new byte[1], 30);
         assertEquals(new End(Outcome.TIMED_OUT, false, 0), end());
-        expect(Outcome.DELIVERED, Stub.status(200, ""));
+        expect(Outcome.DELIVERED, StubServer.status(200, ""));
         assertEquals(1, stub.requests.get(stub.requests.size() - 1).connection(), "a late answer must not meet the next call");
     }
 
@@ -196,28 +196,28 @@
     void halfALineIsNoAnswer() throws Exception {
         CountDownLatch timedOut = new CountDownLatch(1);
         stub.script((request, socket) -> {
-            Stub.write(socket, "HTTP/1.1 2");
+            StubServer.write(socket, "HTTP/1.1 2");
             timedOut.await();
-            Stub.write(socket, "00 OK\r\nContent-Length: 0\r\n\r\n");
+            StubServer.write(socket, "00 OK\r\nContent-Length: 0\r\n\r\n");
         });
         start(new byte[1], 200);
         assertEquals(plain(Outcome.TIMED_OUT), end());
         timedOut.countDown();
         expect(Outcome.BROKEN, (request, socket) -> {
-            Stub.write(socket, "HTTP/1.1 20");
+            StubServer.write(socket, "HTTP/1.1 20");
             socket.close();
         });
-        expect(Outcome.DELIVERED, Stub.status(200, ""));
+        expect(Outcome.DELIVERED, StubServer.status(200, ""));
     }
 
     @Test
     void aCancelledCallEndsOnceAndClosesTheConnection() throws Exception {
-        stub.script(Stub.silent());
-        Endpoints.Call call = start(new byte[1], LONG_MS);
-        Stub.await("the call arrives", () -> !stub.requests.isEmpty());
+        stub.script(StubServer.silent());
+        EndpointClient.Call call = start(new byte[1], LONG_MS);
+        StubServer.await("the call arrives", () -> !stub.requests.isEmpty());
         loop.submit(() -> endpoints.cancel(call)).syncUninterruptibly();
         assertEquals(new End(Outcome.CANCELLED, false, 0), end());
-        expect(Outcome.DELIVERED, Stub.status(200, ""));
+        expect(Outcome.DELIVERED, StubServer.status(200, ""));
         assertEquals(1, stub.requests.get(1).connection());
     }
 
@@ -226,40 +226,40 @@
         expect(Outcome.DELIVERED, (request, socket) -> {
             for (char c : "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
                     .toCharArray()) {
-                Stub.write(socket, String.valueOf(c));
+                StubServer.write(socket, String.valueOf(c));
             }
-            Stub.write(socket, "3\r\nabc\r\n0\r\n\r\n");
+            StubServer.write(socket, "3\r\nabc\r\n0\r\n\r\n");
         });
         awaitKept();
-        expect(Outcome.ERROR, Stub.status(500, ""));
+        expect(Outcome.ERROR, StubServer.status(500, ""));
         awaitKept();
-        expect(Outcome.DELIVERED, Stub.status(200, ""));
+        expect(Outcome.DELIVERED, StubServer.status(200, ""));
         assertEquals(0, stub.requests.get(2).connection());
     }
 
     @Test
     void aConnectionThatTheEndpointClosedIsNotUsedAgain() throws Exception {
         expect(Outcome.DELIVERED, (request, socket) -> {
-            Stub.status(200, "").come(request, socket);
+            StubServer.status(200, "").come(request, socket);
             socket.close();
         });
-        Stub.await("the close is noticed", () -> kept() == 0);
-        expect(Outcome.DELIVERED, Stub.status(200, ""));
-        expect(Outcome.DELIVERED, Stub.status(200, "Connection: close\r\n"));
-        Stub.await("the announced close is kept", () -> kept() == 0);
-        expect(Outcome.DELIVERED, Stub.status(200, ""));
+        StubServer.await("the close is noticed", () -> kept() == 0);
+        expect(Outcome.DELIVERED, StubServer.status(200, ""));
+        expect(Outcome.DELIVERED, StubServer.status(200, "Connection: close\r\n"));
+        StubServer.await("the announced close is kept", () -> kept() == 0);
+        expect(Outcome.DELIVERED, StubServer.status(200, ""));
     }
 
     @Test
     void aDrainingOrMovedEndpointsIdleConnectionsAreClosed() throws Exception {
-        expect(Outcome.DELIVERED, Stub.status(200, ""));
+        expect(Outcome.DELIVERED, StubServer.status(200, ""));
         awaitKept();
         loop.submit(() -> endpoints.at(1, stub.address(), false, BATCH)).syncUninterruptibly();
         assertEquals(0, kept());
     }
 
-    private static Stub.Script raw(String answer) {
-        return (request, socket) -> Stub.write(socket, answer);
+    private static StubServer.Script raw(String answer) {
+        return (request, socket) -> StubServer.write(socket, answer);
     }
 
     /** None of these ends the connection, and the calls' time-out is too far off to be what ends them. */
@@ -282,7 +282,7 @@
             start(new byte[1], 600_000);
             assertEquals(new End(Outcome.BROKEN, false, 0), end(), answer);
         }
-        assertEquals(spoilt.size(), stub.requests.stream().map(Stub.Message::connection).distinct().count(),
+        assertEquals(spoilt.size(), stub.requests.stream().map(StubServer.Message::connection).distinct().count(),
                 "no connection is used again");
     }
 
@@ -295,7 +295,7 @@
             stub.script(raw("HTTP/1.1 200 OK\r\n" + rest));
             start(new byte[1], 600_000);
             assertEquals(new End(Outcome.DELIVERED, false, 0), end(), rest);
-            Stub.await("the connection is closed", () -> stub.ended() == before + 1);
+            StubServer.await("the connection is closed", () -> stub.ended() == before + 1);
         }
     }
 
@@ -305,15 +305,15 @@
         for (String behind : List.of(ok, "noise", "\r\n")) {
             int before = stub.ended();
             stub.script((request, socket) -> {
-                Stub.write(socket, ok);
-                Stub.write(socket, behind);
+                StubServer.write(socket, ok);
+                StubServer.write(socket, behind);
             });
             start(new byte[1], LONG_MS);
             assertEquals(new End(Outcome.DELIVERED, false, 0), end());
-            stub.script(Stub.status(500, ""));
+            stub.script(StubServer.status(500, ""));
             start(new byte[1], LONG_MS);
             assertEquals(new End(Outcome.ERROR, false, 0), end(), "the next call's own answer");
-            Stub.await("the connection is closed", () -> stub.ended() > before);
+            StubServer.await("the connection is closed", () -> stub.ended() > before);
         }
     }
 
@@ -321,9 +321,9 @@
     void interimAnswersAheadAreSkippedHoweverLongTheRealOneTakes() throws Exception {
         CountDownLatch go = new CountDownLatch(1);
         stub.script((request, socket) -> {
-            Stub.write(socket, "HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\nHTTP/1.1 100 Continue\r\n\r\n");
+            StubServer.write(socket, "HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\nHTTP/1.1 100 Continue\r\n\r\n");
             go.await();
-            Stub.write(socket, "HTTP/1.1 429 x\r\nRetry-After: 0.5\r\nContent-Length: 0\r\n\r\n");
+            StubServer.write(socket, "HTTP/1.1 429 x\r\nRetry-After: 0.5\r\nContent-Length: 0\r\n\r\n");
         });
         start(new byte[1], LONG_MS);
         // Longer than a whole answer may take.
@@ -337,7 +337,7 @@
         for (int status : List.of(200, 429)) {
             for (String report : List.of("TEXT x0=0.4, x1=25", "TEXT x1=25,x0=0", "\u0001\u00ff x1=", "TEXT x1=many",
                     "TEXT")) {
-                call(Stub.status(status, "X-Load-Report: " + report + "\r\n"));
+                call(StubServer.status(status, "X-Load-Report: " + report + "\r\n"));
                 double rate = report.contains("25") ? 25 : 0;
                 assertEquals(rate, told.take(), report);
             }
@@ -347,12 +347,13 @@
     @Test
     void aToldWaitIsANumberWithinBounds() throws Exception {
         for (String none : List.of("NaN", "-Infinity", "-5", "soon")) {
-            assertEquals(new End(Outcome.FULL, false, 0), call(Stub.status(429, "Retry-After: " + none + "\r\n")));
+            assertEquals(new End(Outcome.FULL, false, 0),
+                    call(StubServer.status(429, "Retry-After: " + none + "\r\n")));
         }
         assertTrue(waits.isEmpty());
         for (String most : List.of("Infinity", "1e300", "99999999")) {
             assertEquals(new End(Outcome.FULL, false, TimeUnit.DAYS.toMillis(1)),
-                    call(Stub.status(429, "Retry-After: " + most + "\r\n")));
+                    call(StubServer.status(429, "Retry-After: " + most + "\r\n")));
         }
     }
 
@@ -362,7 +363,7 @@
                 "HTTP/1.1 429 x\r\nretry-after:0.50 \r\nX-Endless: ", "HTTP/1.1 503 x\r\nRetry-After: 0.5\r\n\r\n",
                 "HTTP/1.1 200 x\r\nRetry-After: 0.5\r\nContent-Length: 0\r\n\r\n",
                 "HTTP/1.1 100 Continue\r\nRetry-After: 7\r\n\r\nHTTP/1.1 500 x\r\nRetry-After: 0.5\r\n\r\n")) {
-            stub.script((request, socket) -> Stub.write(socket, head));
+            stub.script((request, socket) -> StubServer.write(socket, head));
             start(new byte[1], LONG_MS);
             assertEquals(500, waits.poll(30, TimeUnit.SECONDS), head);
             assertTrue(end() != null);
@@ -381,11 +382,11 @@
         CountDownLatch written = new CountDownLatch(1);
         stub.script((request, socket) -> {
             go.await();
-            Stub.status(429, "Retry-After: 0.5\r\n").come(request, socket);
+            StubServer.status(429, "Retry-After: 0.5\r\n").come(request, socket);
             written.countDown();
         });
-        Endpoints.Call call = start(new byte[1], LONG_MS);
-        Stub.await("the call is out", () -> stub.requests.size() == 1);
+        EndpointClient.Call call = start(new byte[1], LONG_MS);
+        StubServer.await("the call is out", () -> stub.requests.size() == 1);
         loop.submit(() -> {
             go.countDown();
             written.await();
@@ -394,7 +395,7 @@
         }).sync();
         assertEquals(new End(Outcome.CANCELLED, false, 0), end());
         assertEquals(500, waits.poll(30, TimeUnit.SECONDS));
-        Stub.await("the connection is closed", () -> stub.ended() == 1);
+        StubServer.await("the connection is closed", () -> stub.ended() == 1);
         assertEquals(0, kept());
     }
 
@@ -409,11 +410,11 @@
         CountDownLatch written = new CountDownLatch(1);
         stub.script((request, socket) -> {
             heldUp.await();
-            Stub.status(429, "Retry-After: 5\r\n").come(request, socket);
+            StubServer.status(429, "Retry-After: 5\r\n").come(request, socket);
             written.countDown();
         });
         startTogether("a");
-        Stub.await("the call is out", () -> stub.requests.size() == 3);
+        StubServer.await("the call is out", () -> stub.requests.size() == 3);
         waiting = "b";
         loop.submit(() -> {
             endpoints.call(message("b"), 0, 1, LONG_MS, System.nanoTime());
@@ -435,19 +436,19 @@
         CountDownLatch written = new CountDownLatch(1);
         stub.script((request, socket) -> {
             heldUp.await();
-            Stub.status(429, "Retry-After: 5\r\n").come(request, socket);
+            StubServer.status(429, "Retry-After: 5\r\n").come(request, socket);
             written.countDown();
         });
-        Stub.Script othersAnswer = (request, socket) -> {
+        StubServer.Script othersAnswer = (request, socket) -> {
             decided.await();
-            Stub.status(429, "Retry-After: 1\r\n").come(request, socket);
+            StubServer.status(429, "Retry-After: 1\r\n").come(request, socket);
             otherWritten.countDown();
         };
-        try (Stub other = new Stub(othersAnswer)) {
+        try (StubServer other = new StubServer(othersAnswer)) {
             loop.submit(() -> endpoints.at(OTHER, other.address(), true, BATCH)).syncUninterruptibly();
             startTogether("a");
             loop.submit(() -> endpoints.call(message("c"), 0, OTHER, LONG_MS, System.nanoTime())).syncUninterruptibly();
-            Stub.await("both calls are out", () -> stub.requests.size() + other.requests.size() == 4);
+            StubServer.await("both calls are out", () -> stub.requests.size() + other.requests.size() == 4);
             othersWaitTold = () -> {
                 heldUp.countDown();
                 awaitUnchecked(written);
@@ -475,13 +476,13 @@
         stub.script((request, socket) -> {
             both.countDown();
             both.await();
-            Stub.status(200, "").come(request, socket);
+            StubServer.status(200, "").come(request, socket);
         });
         for (String id : List.of("one", "two")) {
             startTogether(id);
         }
         expectEnds(plain(Outcome.DELIVERED), plain(Outcome.DELIVERED));
-        Stub.await("both are kept", () -> kept() == 2);
+        StubServer.await("both are kept", () -> kept() == 2);
     }
 
     private static void awaitUnchecked(CountDownLatch latch) {
@@ -494,7 +495,8 @@
 
     @Test
     void aCallThatCantBeWrittenHasAnEnd() throws Exception {
-        Held held = new Held(1, "no\r\nheader", "order", "t", Optional.empty(), 7, 0, new byte[1]);
+        AcceptedMessage held = new AcceptedMessage(1, "no\r\nheader", "order", "t", Optional.empty(), 7, 0,
+                new byte[1]);
         start(held, 600_000, 0);
         assertEquals(new End(Outcome.UNREACHABLE, false, 0), end());
         assertTrue(stub.requests.isEmpty());
@@ -503,20 +505,20 @@
     @Test
     void anEndpointThatIsForgottenLeavesNothingBehind() throws Exception {
         CountDownLatch go = new CountDownLatch(1);
-        expect(Outcome.DELIVERED, Stub.status(200, ""));
+        expect(Outcome.DELIVERED, StubServer.status(200, ""));
         awaitKept();
         stub.script((request, socket) -> {
             go.await();
-            Stub.status(200, "").come(request, socket);
+            StubServer.status(200, "").come(request, socket);
         });
         start(new byte[1], LONG_MS);
         start(new byte[1], LONG_MS);
-        Stub.await("the calls are out", () -> stub.requests.size() == 3);
+        StubServer.await("the calls are out", () -> stub.requests.size() == 3);
         loop.submit(() -> endpoints.forget(1)).syncUninterruptibly();
         go.countDown();
         assertEquals(new End(Outcome.DELIVERED, false, 0), end(), "a call that is out still ends");
         assertEquals(new End(Outcome.DELIVERED, false, 0), end());
-        Stub.await("its connections are closed", () -> stub.ended() == 2);
+        StubServer.await("its connections are closed", () -> stub.ended() == 2);
         assertEquals(0, kept());
         assertEquals(0, loop.submit(() -> endpoints.known()).get());
     }
@@ -526,15 +528,15 @@
         CountDownLatch go = new CountDownLatch(1);
         stub.script((request, socket) -> {
             go.await();
-            Stub.status(200, "").come(request, socket);
+            StubServer.status(200, "").come(request, socket);
         });
         start(new byte[1], LONG_MS);
-        Stub.await("the call is out", () -> stub.requests.size() == 1);
-        try (Stub moved = new Stub(Stub.status(500, ""))) {
+        StubServer.await("the call is out", () -> stub.requests.size() == 1);
+        try (StubServer moved = new StubServer(StubServer.status(500, ""))) {
             at(moved.address());
             go.countDown();
             assertEquals(new End(Outcome.DELIVERED, false, 0), end());
-            Stub.await("the old connection is closed", () -> stub.ended() == 1);
+            StubServer.await("the old connection is closed", () -> stub.ended() == 1);
             start(new byte[1], LONG_MS);
             assertEquals(new End(Outcome.ERROR, false, 0), end());
         }
@@ -545,8 +547,9 @@
         End end = plain(Outcome.DELIVERED);
         // Where the loop was slow to dial, it dialled the new address, and shows nothing.
         while (end.equals(plain(Outcome.DELIVERED))) {
-            try (Stub old = Stub.busy(Stub.status(200, "")); Stub moved = new Stub(Stub.status(200, ""))) {
-                Endpoints patient = new Endpoints(loop, 20_000, 15_000, 4, ends());
+            try (StubServer old = StubServer.busy(StubServer.status(200, "")); StubServer moved
+                    = new StubServer(StubServer.status(200, ""))) {
+                EndpointClient patient = new EndpointClient(loop, 20_000, 15_000, 4, ends());
                 loop.submit(() -> patient.at(1, old.address(), true, BATCH)).syncUninterruptibly();
                 call(patient, "a");
                 awaitPasses();
@@ -562,7 +565,7 @@
     /** A connection that was taken for a call and not used: its endpoint has counted its idle time on. */
     @Test
     void aConnectionThatWasNotUsedAfterAllHasIdledOn() throws Exception {
-        Endpoints hasty = new Endpoints(loop, 1000, 2000, 4, ends());
+        EndpointClient hasty = new EndpointClient(loop, 1000, 2000, 4, ends());
         loop.submit(() -> hasty.at(1, stub.address(), true, BATCH)).syncUninterruptibly();
         call(hasty, "a");
         assertEquals(plain(Outcome.DELIVERED), end());
@@ -578,10 +581,10 @@
     }
 
     private static void awaitTime(long sinceNanos, long ms) throws Exception {
-        Stub.await("its time", () -> System.nanoTime() - sinceNanos >= TimeUnit.MILLISECONDS.toNanos(ms));
+        StubServer.await("its time", () -> System.nanoTime() - sinceNanos >= TimeUnit.MILLISECONDS.toNanos(ms));
     }
 
-    private void call(Endpoints to, String id) {
+    private void call(EndpointClient to, String id) {
         loop.submit(() -> to.call(message(id), 0, 1, LONG_MS, System.nanoTime())).syncUninterruptibly();
     }
 
@@ -598,7 +601,7 @@
         Set<Integer> used = ConcurrentHashMap.newKeySet();
         stub.script((request, socket) -> {
             if (used.add(request.connection())) {
-                Stub.status(200, "").come(request, socket);
+                StubServer.status(200, "").come(request, socket);
             } else {
                 socket.close();
             }
@@ -616,23 +619,24 @@
 
     // ---- several messages in a call ----
 
-    private static Held message(String id) {
-        return Held.withTimeLeft(1, id, "order", "t", id.equals("c") ? Optional.empty() : Optional.of("key-" + id), 7,
+    private static AcceptedMessage message(String id) {
+        return AcceptedMessage.withTimeLeft(1, id, "order", "t", id.equals("c") ? Optional.empty()
+                : Optional.of("key-" + id), 7,
                 3_600_000, id.getBytes(StandardCharsets.ISO_8859_1), MachineClock.system());
     }
 
     /** Calls for these messages, all decided in one turn. */
-    private List<Endpoints.Call> startTogether(String... ids) throws Exception {
-        return startTogether(Arrays.stream(ids).map(EndpointsTest::message).toArray(Held[]::new));
+    private List<EndpointClient.Call> startTogether(String... ids) throws Exception {
+        return startTogether(Arrays.stream(ids).map(EndpointClientTest::message).toArray(AcceptedMessage[]::new));
     }
 
-    private List<Endpoints.Call> startTogether(Held... messages) throws Exception {
+    private List<EndpointClient.Call> startTogether(AcceptedMessage... messages) throws Exception {
         return loop.submit(() -> Arrays.stream(messages)
                 .map(held -> endpoints.call(held, 0, 1, LONG_MS, System.nanoTime())).toList()).get();
     }
 
-    private static Stub.Script answer(String headers, String body) {
-        return (request, socket) -> Stub.write(socket, "HTTP/1.1 200 x\r\n" + headers + "Content-Length: "
+    private static StubServer.Script answer(String headers, String body) {
+        return (request, socket) -> StubServer.write(socket, "HTTP/1.1 200 x\r\n" + headers + "Content-Length: "
                 + body.length() + "\r\n\r\n" + body);
     }
 
@@ -652,7 +656,7 @@
         startTogether("a", "c");
         expectEnds(plain(Outcome.DELIVERED), plain(Outcome.DELIVERED));
         assertEquals(1, stub.requests.size());
-        Stub.Message m = stub.requests.get(0);
+        StubServer.Message m = stub.requests.get(0);
         assertEquals("POST /v1/messages:batch HTTP/1.1", m.line());
         assertEquals("a key-a 1\r\na\r\nc - 1\r\nc\r\n", m.body());
         assertNull(m.header("X-Call-Id"));
@@ -663,7 +667,7 @@
     void noCallCarriesMoreThanTheEndpointTakesInOne() throws Exception {
         stub.script((request, socket) -> {
             boolean several = request.line().contains(":batch");
-            (several ? answer("", "a accepted\nb accepted\nc accepted\n") : Stub.status(200, ""))
+            (several ? answer("", "a accepted\nb accepted\nc accepted\n") : StubServer.status(200, ""))
                     .come(request, socket);
         });
         startTogether("a", "b", "c", "d");
@@ -671,7 +675,7 @@
             assertEquals(plain(Outcome.DELIVERED), end());
         }
         assertEquals(List.of("POST /v1/messages HTTP/1.1", "POST /v1/messages:batch HTTP/1.1"),
-                stub.requests.stream().map(Stub.Message::line).sorted().toList());
+                stub.requests.stream().map(StubServer.Message::line).sorted().toList());
     }
 
     @Test
@@ -687,13 +691,13 @@
 
     @Test
     void severalMayFareAlike() throws Exception {
-        stub.script(Stub.status(429, "Retry-After: 1.5\r\n"));
+        stub.script(StubServer.status(429, "Retry-After: 1.5\r\n"));
         startTogether("a", "b");
         expectEnds(new End(Outcome.FULL, false, 1500), new End(Outcome.FULL, false, 1500));
-        stub.script(Stub.status(500, ""));
+        stub.script(StubServer.status(500, ""));
         startTogether("a", "b");
         expectEnds(plain(Outcome.ERROR), plain(Outcome.ERROR));
-        stub.script(Stub.status(413, ""));
+        stub.script(StubServer.status(413, ""));
         startTogether("a", "b");
         expectEnds(plain(Outcome.NOT_SENT), plain(Outcome.NOT_SENT));
     }
@@ -707,7 +711,7 @@
             expectEnds(plain(Outcome.BROKEN), plain(Outcome.BROKEN));
         }
         stub.script((request, socket) -> {
-            Stub.write(socket, "HTTP/1.1 200 x\r\nContent-Length: 99\r\n\r\na accepted\n");
+            StubServer.write(socket, "HTTP/1.1 200 x\r\nContent-Length: 99\r\n\r\na accepted\n");
             socket.close();
         });
         startTogether("a", "b");
@@ -721,8 +725,8 @@
     @Test
     void anAnswerToSeveralAfterTheTimeOfOneIsNotBelieved() throws Exception {
         stub.script(answer("", "a accepted\nb accepted\n"));
-        Held late = Held.withTimeLeft(1, "a", "order", "t", Optional.of("key-a"), 7, 0, new byte[1],
-                MachineClock.system());
+        AcceptedMessage late = AcceptedMessage.withTimeLeft(1, "a", "order", "t", Optional.of("key-a"), 7, 0,
+                new byte[1], MachineClock.system());
         startTogether(late, message("b"));
         expectEnds(plain(Outcome.BROKEN), plain(Outcome.BROKEN));
         assertEquals(1, stub.requests.size());
@@ -735,8 +739,8 @@
             go.await();
             answer("", "a accepted\nb accepted\n").come(request, socket);
         });
-        List<Endpoints.Call> calls = startTogether("a", "b");
-        Stub.await("the call is out", () -> stub.requests.size() == 1);
+        List<EndpointClient.Call> calls = startTogether("a", "b");
+        StubServer.await("the call is out", () -> stub.requests.size() == 1);
         loop.submit(() -> endpoints.cancel(calls.get(0))).syncUninterruptibly();
         assertEquals(plain(Outcome.CANCELLED), end());
         go.countDown();
@@ -760,8 +764,8 @@
     void aMessageWithoutAFormAmongSeveralTravelsAlone() throws Exception {
         loop.submit(() -> {
             for (String key : List.of("two words", "-", "plain")) {
-                endpoints.call(new Held(1, "id-" + key.length(), "order", "t", Optional.of(key), 7, 0, new byte[1]),
-                        0, 1, LONG_MS, System.nanoTime());
+                endpoints.call(new AcceptedMessage(1, "id-" + key.length(), "order", "t", Optional.of(key), 7, 0,
+                        new byte[1]), 0, 1, LONG_MS, System.nanoTime());
             }
         }).syncUninterruptibly();
         expectEnds(plain(Outcome.DELIVERED), plain(Outcome.DELIVERED), plain(Outcome.DELIVERED));
@@ -770,7 +774,7 @@
     }
 
     private void awaitKept() throws Exception {
-        Stub.await("the connection is kept", () -> kept() == 1);
+        StubServer.await("the connection is kept", () -> kept() == 1);
     }
 
     private int kept() {
--- a/src/test/java/kestreldeal/net/ListReaderTest.java
+++ b/src/test/java/kestreldeal/net/EndpointListParserTest.java
@@ -22,7 +22,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-class ListReaderTest {
+class EndpointListParserTest {
     /** Indented, with what decides on the whole behind it, and with what no page names. */
     private static final String LIST = """
             { "extra" : {"instances": [{"instanceId": "no"}], "reset": true, "generation": 9},
@@ -43,7 +43,7 @@
     @TempDir
     private Path folder;
     private final List<List<Discovery.Entry>> portions = new ArrayList<>();
-    private final ListReader reader = new ListReader(portions::add);
+    private final EndpointListParser reader = new EndpointListParser(portions::add);
 
     private static ByteBuf bytes(String text) {
         return Unpooled.wrappedBuffer(text.getBytes(StandardCharsets.UTF_8));
@@ -65,7 +65,7 @@
     void aListIsTheSameWhereverItsBodyIsCut() throws IOException {
         for (int size = 1; size <= LIST.length(); size++) {
             List<Discovery.Entry> read = new ArrayList<>();
-            ListReader one = new ListReader(read::addAll);
+            EndpointListParser one = new EndpointListParser(read::addAll);
             for (int at = 0; at < LIST.length(); at += size) {
                 one.feed(bytes(LIST.substring(at, Math.min(LIST.length(), at + size))));
             }
@@ -89,14 +89,15 @@
 
     @Test
     void entriesAreHandedOnWhileTheListIsRead() throws IOException {
-        String list = list(1, 2 * ListReader.PORTION + 3);
-        int half = list.indexOf("s-" + (ListReader.PORTION + 1) + "\"");
+        String list = list(1, 2 * EndpointListParser.PORTION + 3);
+        int half = list.indexOf("s-" + (EndpointListParser.PORTION + 1) + "\"");
         reader.feed(bytes(list.substring(0, half)));
-        assertEquals(List.of(ListReader.PORTION), portions.stream().map(List::size).toList());
+        assertEquals(List.of(EndpointListParser.PORTION), portions.stream().map(List::size).toList());
         reader.feed(bytes(list.substring(half)));
         reader.end();
-        assertEquals(List.of(ListReader.PORTION, ListReader.PORTION, 3), portions.stream().map(List::size).toList());
-        assertEquals("s-" + (2 * ListReader.PORTION + 2), portions.get(2).get(2).id());
+        assertEquals(List.of(EndpointListParser.PORTION, EndpointListParser.PORTION, 3),
+                portions.stream().map(List::size).toList());
+        assertEquals("s-" + (2 * EndpointListParser.PORTION + 2), portions.get(2).get(2).id());
     }
 
     @Test
@@ -120,7 +121,7 @@
         for (String text : List.of("", "[]", "7", "{}", "{\"generation\":1}", "{\"instances\":[]}",
                 "{\"generation\":1,\"instances\":{}}", "{\"generation\":\"1\",\"instances\":[]}",
                 "{\"generation\":1.5,\"instances\":[]}")) {
-            ListReader one = new ListReader(portions::add);
+            EndpointListParser one = new EndpointListParser(portions::add);
             one.feed(bytes(text));
             one.end();
             assertFalse(one.isList(), text);
@@ -136,23 +137,23 @@
     void aTextWithoutAnEndIsOverABound() {
         StreamConstraintsException over = assertThrows(StreamConstraintsException.class, () -> {
             reader.feed(bytes("{\"instances\":[{\"instanceId\":\""));
-            for (int i = 0; i < 3 * ListReader.LONGEST_TEXT; i++) {
+            for (int i = 0; i < 3 * EndpointListParser.LONGEST_TEXT; i++) {
                 reader.feed(bytes("x"));
             }
             reader.feed(bytes("\""));
         });
-        assertTrue(over.getMessage().contains(Integer.toString(ListReader.LONGEST_TEXT)), over.getMessage());
+        assertTrue(over.getMessage().contains(Integer.toString(EndpointListParser.LONGEST_TEXT)), over.getMessage());
     }
 
     @Test
     void aConfigurationsListIsRead() throws IOException {
         Path file = folder.resolve("config.json");
         Files.writeString(file, "{\"settings\":{\"known\":{\"instances\":[{}]}},\"known\":" + LIST + ",\"more\":1}");
-        assertTrue(ListReader.read(file, "known", portions::add));
+        assertTrue(EndpointListParser.read(file, "known", portions::add));
         assertEquals(List.of(ENTRIES), portions);
-        assertFalse(ListReader.read(file, "settings", portions::add));
-        assertFalse(ListReader.read(file, "more", portions::add));
-        assertFalse(ListReader.read(file, "other", portions::add));
+        assertFalse(EndpointListParser.read(file, "settings", portions::add));
+        assertFalse(EndpointListParser.read(file, "more", portions::add));
+        assertFalse(EndpointListParser.read(file, "other", portions::add));
         assertEquals(1, portions.size());
     }
 }
--- a/src/test/java/kestreldeal/net/DirectoryTest.java
+++ b/src/test/java/kestreldeal/net/EndpointRegistryTest.java
@@ -9,18 +9,18 @@
 import java.util.OptionalLong;
 import org.junit.jupiter.api.Test;
 
-class DirectoryTest {
+class EndpointRegistryTest {
     private static final long MINUTE = 60_000_000_000L;
 
-    private final Directory directory = new Directory(4);
+    private final EndpointRegistry directory = new EndpointRegistry(4);
 
     private long name(String id, long destination, double rate, boolean gone, long nowNanos) {
         return directory.name(new Discovery.Entry(id, Optional.empty(), "a", "m", destination, !gone, rate, gone),
                 nowNanos).orElse(-1);
     }
 
-    private static List<String> ids(List<Directory.Listed> some) {
-        return some.stream().map(Directory.Listed::id).sorted().toList();
+    private static List<String> ids(List<EndpointRegistry.RegisteredEndpoint> some) {
+        return some.stream().map(EndpointRegistry.RegisteredEndpoint::id).sorted().toList();
     }
 
     @Test
@@ -64,7 +64,7 @@
         assertEquals(List.of(), directory.leave(0));
         directory.begin();
         name("a", 7, 5, false, 1);
-        List<Directory.Listed> left = directory.leave(1);
+        List<EndpointRegistry.RegisteredEndpoint> left = directory.leave(1);
         assertEquals(List.of("b"), ids(left));
         assertEquals(7, left.get(0).destination());
         assertEquals(5, left.get(0).rate());
--- a/src/test/java/kestreldeal/net/DescriptorsTest.java
+++ b/src/test/java/kestreldeal/net/FileDescriptorsTest.java
@@ -30,7 +30,7 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** The program as a process under a limit of descriptors, and a crowd of idle clients that takes all it can get. */
-class DescriptorsTest {
+class FileDescriptorsTest {
     private static final int CROWD = 300;
     private static final int MESSAGES = 150;
     /** So much that the journal has to be compacted, which opens a file. */
@@ -39,8 +39,8 @@
     @TempDir
     private Path folder;
     private final List<SocketChannel> crowd = new ArrayList<>();
-    private Stub endpoint;
-    private Surroundings world;
+    private StubServer endpoint;
+    private SenderTestEnvironment world;
     private Process process;
     private InetSocketAddress address;
     private Thread crowding;
@@ -66,16 +66,16 @@
     }
 
     private void start(int sockets, int limit, int endpoints) throws Exception {
-        endpoint = new Stub((request, socket) -> Stub.status(
+        endpoint = new StubServer((request, socket) -> StubServer.status(
                 "unlucky".equals(request.header("X-Call-Id")) ? 500 : 200, "").come(request, socket));
-        world = new Surroundings(folder, endpoint);
+        world = new SenderTestEnvironment(folder, endpoint);
         world.endpoints = endpoints;
         world.sockets = sockets;
         world.slots = 40;
         process = world.process(limit);
-        Stub.await("it is ready", () -> {
+        StubServer.await("it is ready", () -> {
             address = world.listening().orElse(null);
-            return address != null && Surroundings.ask(address, Surroundings.HEALTH) == 200;
+            return address != null && SenderTestEnvironment.ask(address, SenderTestEnvironment.HEALTH) == 200;
         });
     }
 
@@ -84,7 +84,7 @@
         crowding = new Thread(() -> {
             try {
                 while (!Thread.interrupted()) {
-                    crowd.removeIf(DescriptorsTest::isClosed);
+                    crowd.removeIf(FileDescriptorsTest::isClosed);
                     while (crowd.size() < CROWD) {
                         SocketChannel client = SocketChannel.open(address);
                         client.configureBlocking(false);
@@ -101,7 +101,7 @@
             }
         });
         crowding.start();
-        Stub.await("the crowd has come", () -> crowded);
+        StubServer.await("the crowd has come", () -> crowded);
     }
 
     private static boolean isClosed(SocketChannel client) {
@@ -118,10 +118,11 @@
 
     /** By a usual client, which comes again if its connection was shut unread. */
     private void handIn(String id, String messageClass, long destination, String body) throws Exception {
-        Stub.await(id + " is taken", () -> {
+        StubServer.await(id + " is taken", () -> {
             try (Socket socket = new Socket(address.getAddress(), address.getPort())) {
                 socket.setSoTimeout(400);
-                return Surroundings.ask(socket, Surroundings.message(id, messageClass, destination, body)) == 202;
+                return SenderTestEnvironment.ask(socket,
+                        SenderTestEnvironment.message(id, messageClass, destination, body)) == 202;
             } catch (SocketTimeoutException | SocketException shutUnread) {
                 return false;
             } catch (IOException e) {
@@ -131,22 +132,23 @@
     }
 
     private void allGetTheirs(int limit) throws Exception {
-        world.agent.script(Stub.silent());
+        world.agent.script(StubServer.silent());
         startCrowd();
         handIn("unlucky", "once", 1, "");
         for (int i = 0; i < MESSAGES; i++) {
             handIn("m-" + i, "order", i % world.endpoints, BODY);
         }
-        Stub.await("all are delivered", () -> endpoint.requests.stream().map(r -> r.header("X-Call-Id")).distinct()
+        StubServer.await("all are delivered",
+                () -> endpoint.requests.stream().map(r -> r.header("X-Call-Id")).distinct()
                 .count() == MESSAGES + 1);
         assertTrue(Files.size(world.state().resolve("journal")) < (long) MESSAGES * BODY.length(), "it was compacted");
         world.firstState = "DRAINING";
         world.agent.script(world::answer);
-        Stub.await("the change is known", () -> world.agent.requests.stream()
+        StubServer.await("the change is known", () -> world.agent.requests.stream()
                 .anyMatch(r -> r.line().contains("after=" + world.generation())));
-        Stub.await("the notice is heard", () -> !world.notices.isEmpty());
+        StubServer.await("the notice is heard", () -> !world.notices.isEmpty());
         handIn("last", "order", 2, BODY);
-        Stub.await("the last one is delivered", () -> endpoint.requests.stream()
+        StubServer.await("the last one is delivered", () -> endpoint.requests.stream()
                 .anyMatch(r -> r.header("X-Call-Id").equals("last")));
         String log = Files.readString(world.log());
         assertFalse(log.contains("journal:"), log);
@@ -177,10 +179,11 @@
         EventLoop loop = group.next();
         CompletableFuture<Relay.Outcome> end = new CompletableFuture<>();
         try {
-            Held held = new Held(1, "id", "order", "", Optional.of("key"), 7, Long.MAX_VALUE, new byte[0]);
-            held.attempts.add(Held.Attempt.sentAgo("e", 0, MachineClock.system()));
+            AcceptedMessage held = new AcceptedMessage(1, "id", "order", "", Optional.of("key"), 7, Long.MAX_VALUE,
+                    new byte[0]);
+            held.attempts.add(AcceptedMessage.Attempt.sentAgo("e", 0, MachineClock.system()));
             loop.execute(() -> {
-                Endpoints endpoints = new Endpoints(loop, 1000, 15_000, 10,
+                EndpointClient endpoints = new EndpointClient(loop, 1000, 15_000, 10,
                         (call, outcome, gone, waitMs, report) -> end.complete(outcome), () -> {
                     throw new ChannelException("too many open files");
                 }, MachineClock.system());
