--- a/src/test/java/kestreldeal/net/IdleTrustTest.java
+++ b/src/test/java/kestreldeal/net/IdleConnectionPolicyTest.java
@@ -6,8 +6,8 @@
 
 import org.junit.jupiter.api.Test;
 
-class IdleTrustTest {
-    private final IdleTrust trust = new IdleTrust();
+class IdleConnectionPolicyTest {
+    private final IdleConnectionPolicy trust = new IdleConnectionPolicy();
 
     private void use(long idleMs, int held, int lost) {
         for (int i = 0; i < held + lost; i++) {
--- a/src/test/java/kestreldeal/net/JournalFailureTest.java
+++ b/src/test/java/kestreldeal/net/JournalFailureTest.java
@@ -37,14 +37,14 @@
         return new Journal(folder, DISK, 12, clock, FileChannel::open);
     }
 
-    private Held held(Journal journal) {
+    private AcceptedMessage held(Journal journal) {
         long number = journal.nextNumber();
-        return Held.withTimeLeft(number, "id-" + number, "order", "", Optional.of("key"), 7, 600_000, new byte[100],
-                clock);
+        return AcceptedMessage.withTimeLeft(number, "id-" + number, "order", "", Optional.of("key"), 7, 600_000,
+                new byte[100], clock);
     }
 
-    private Held take(Journal journal) throws IOException {
-        Held held = held(journal);
+    private AcceptedMessage take(Journal journal) throws IOException {
+        AcceptedMessage held = held(journal);
         journal.taken(held);
         return held;
     }
@@ -93,10 +93,10 @@
     void anOldFileThatCantBeClosedDoesNoHarm() throws Exception {
         files.failClosing();
         try (Journal journal = failing()) {
-            Held held = take(journal);
+            AcceptedMessage held = take(journal);
             for (long before = -1; journal.size() > before;) {
                 before = journal.size();
-                journal.attempt(held, Held.Attempt.sentAgo("e".repeat(5000), 0, clock));
+                journal.attempt(held, AcceptedMessage.Attempt.sentAgo("e".repeat(5000), 0, clock));
                 journal.ended(held);
                 held = take(journal);
             }
@@ -123,7 +123,8 @@
         files.failTruncating();
         try (Journal journal = failing()) {
             assertEquals(1, journal.held().size());
-            Held again = Held.withTimeLeft(1, "id-1", "order", "", Optional.of("key"), 7, 600_000, new byte[100], clock);
+            AcceptedMessage again = AcceptedMessage.withTimeLeft(1, "id-1", "order", "", Optional.of("key"), 7, 600_000,
+                    new byte[100], clock);
             journal.taken(again);
         }
         try (Journal journal = nextLife()) {
@@ -134,17 +135,17 @@
     @Test
     void whatHappenedWhileNothingCouldBeWrittenIsKnownInTheNextLife() throws Exception {
         try (Journal journal = failing()) {
-            Held delivered = take(journal);
-            Held owed = take(journal);
-            Held refused = take(journal);
-            for (Held held : List.of(delivered, owed, refused)) {
-                journal.attempt(held, Held.Attempt.sentAgo("e", 0, clock));
+            AcceptedMessage delivered = take(journal);
+            AcceptedMessage owed = take(journal);
+            AcceptedMessage refused = take(journal);
+            for (AcceptedMessage held : List.of(delivered, owed, refused)) {
+                journal.attempt(held, AcceptedMessage.Attempt.sentAgo("e", 0, clock));
             }
             files.fail(true);
             journal.ended(delivered);
-            journal.owed(owed, new Held.Notice(true, 500));
+            journal.owed(owed, new AcceptedMessage.Notice(true, 500));
             journal.neverRan(refused, 0);
-            journal.health("e", Journal.Health.since(0, Relay.State.DOWN, 0.5, clock));
+            journal.health("e", Journal.Health.since(0, Relay.EndpointState.DOWN, 0.5, clock));
             files.fail(false);
             clock.pass(LATER_MS);
             take(journal);
@@ -152,10 +153,10 @@
         try (Journal journal = nextLife()) {
             assertEquals(List.of("id-1", "id-2", "id-3"), journal.held().stream().map(held -> held.id).toList());
             assertEquals(Optional.of(true), journal.deliveredBefore("id-0"));
-            List<Held> held = List.copyOf(journal.held());
-            assertEquals(Optional.of(new Held.Notice(true, 500)), held.get(0).owed);
+            List<AcceptedMessage> held = List.copyOf(journal.held());
+            assertEquals(Optional.of(new AcceptedMessage.Notice(true, 500)), held.get(0).owed);
             assertTrue(held.get(1).attempts.get(0).neverRan);
-            assertEquals(Relay.State.DOWN, journal.health().get("e").state());
+            assertEquals(Relay.EndpointState.DOWN, journal.health().get("e").state());
         }
     }
 
@@ -163,15 +164,15 @@
     @Test
     void aLongTimeOfFailuresLosesNothingEither() throws Exception {
         try (Journal journal = failing()) {
-            Held held = take(journal);
-            Held over = take(journal);
+            AcceptedMessage held = take(journal);
+            AcceptedMessage over = take(journal);
             files.fail(true);
             for (int i = 0; i < 20_000; i++) {
-                Relay.State state = i % 2 == 0 ? Relay.State.WARMING : Relay.State.DOWN;
+                Relay.EndpointState state = i % 2 == 0 ? Relay.EndpointState.WARMING : Relay.EndpointState.DOWN;
                 journal.health("e", Journal.Health.since(0, state, 0.5, clock));
             }
             journal.ended(over);
-            journal.owed(held, new Held.Notice(false, 0));
+            journal.owed(held, new AcceptedMessage.Notice(false, 0));
             assertTrue(journal.isBehind());
             files.fail(false);
             clock.pass(LATER_MS);
@@ -180,7 +181,7 @@
         try (Journal journal = nextLife()) {
             assertEquals(List.of("id-0"), journal.held().stream().map(h -> h.id).toList());
             assertTrue(journal.held().iterator().next().owed.isPresent());
-            assertEquals(Relay.State.DOWN, journal.health().get("e").state());
+            assertEquals(Relay.EndpointState.DOWN, journal.health().get("e").state());
         }
     }
 
@@ -188,7 +189,7 @@
     void itTriesAgainByItselfAfterPausesThatGrow() throws Exception {
         List<Long> pauses = new ArrayList<>();
         try (Journal journal = failing()) {
-            Held held = take(journal);
+            AcceptedMessage held = take(journal);
             journal.onFailure(pauses::add);
             files.fail(true);
             assertThrows(IOException.class, () -> take(journal));
@@ -200,11 +201,12 @@
             assertEquals(List.of(10L, 20L, 40L, 80L, 160L, 320L, 320L, 320L), pauses);
             assertEquals(8, journal.failures());
             files.fail(false);
-            assertThrows(IOException.class, () -> journal.attempt(held, Held.Attempt.sentAgo("e", 0, clock)));
+            assertThrows(IOException.class,
+                    () -> journal.attempt(held, AcceptedMessage.Attempt.sentAgo("e", 0, clock)));
             clock.pass(320);
             assertTrue(journal.catchUp());
             assertFalse(journal.isBehind());
-            journal.attempt(held, Held.Attempt.sentAgo("e", 0, clock));
+            journal.attempt(held, AcceptedMessage.Attempt.sentAgo("e", 0, clock));
         }
     }
 }
--- a/src/test/java/kestreldeal/net/JournalTest.java
+++ b/src/test/java/kestreldeal/net/JournalTest.java
@@ -32,23 +32,23 @@
         return new Journal(folder, DISK, 12, clock, FileChannel::open);
     }
 
-    private Held held(Journal journal, int body) {
+    private AcceptedMessage held(Journal journal, int body) {
         long number = journal.nextNumber();
-        return Held.withTimeLeft(number, "id-" + number, "order", "desk", Optional.of("key"), 7, 12_345,
+        return AcceptedMessage.withTimeLeft(number, "id-" + number, "order", "desk", Optional.of("key"), 7, 12_345,
                 new byte[body], clock);
     }
 
-    private Held.Attempt attempt(String endpoint) {
-        return Held.Attempt.sentAgo(endpoint, 0, clock);
+    private AcceptedMessage.Attempt attempt(String endpoint) {
+        return AcceptedMessage.Attempt.sentAgo(endpoint, 0, clock);
     }
 
     @Test
     void whatWasHeldComesBackWithAllThatHappenedToIt() throws Exception {
         try (Journal journal = open()) {
-            Held a = held(journal, 3);
-            Held b = held(journal, 3);
-            Held c = held(journal, 3);
-            for (Held h : List.of(a, b, c)) {
+            AcceptedMessage a = held(journal, 3);
+            AcceptedMessage b = held(journal, 3);
+            AcceptedMessage c = held(journal, 3);
+            for (AcceptedMessage h : List.of(a, b, c)) {
                 journal.taken(h);
             }
             clock.pass(100);
@@ -57,13 +57,13 @@
             journal.attempt(a, attempt("s-2"));
             clock.pass(100);
             journal.neverRan(a, 0);
-            journal.owed(b, new Held.Notice(true, 500));
+            journal.owed(b, new AcceptedMessage.Notice(true, 500));
             journal.ended(c);
         }
         try (Journal journal = open()) {
-            List<Held> held = List.copyOf(journal.held());
+            List<AcceptedMessage> held = List.copyOf(journal.held());
             assertEquals(2, held.size());
-            Held a = held.get(0);
+            AcceptedMessage a = held.get(0);
             assertEquals("id-0", a.id);
             assertEquals(Optional.of("key"), a.key);
             assertEquals(12_345 - 300, a.leftMs(clock));
@@ -71,22 +71,22 @@
             assertEquals(List.of("s-1", "s-2"), a.attempts.stream().map(x -> x.endpoint).toList());
             assertEquals(List.of(true, false), a.attempts.stream().map(x -> x.neverRan).toList());
             assertEquals(100, a.attempts.get(1).ageMs(clock));
-            assertEquals(Optional.of(new Held.Notice(true, 500)), held.get(1).owed);
+            assertEquals(Optional.of(new AcceptedMessage.Notice(true, 500)), held.get(1).owed);
             assertEquals(3, journal.nextNumber(), "numbers are not used again");
         }
     }
 
     @Test
     void healthOutlastsLivesAndCompactionsUntilAnEndpointIsInService() throws Exception {
-        Journal.Health down = new Journal.Health(Relay.State.DOWN, 100, 0.5);
-        Journal.Health warming = new Journal.Health(Relay.State.WARMING, 200, 0.25);
-        Journal.Health up = new Journal.Health(Relay.State.UP, 300, 0.25);
+        Journal.Health down = new Journal.Health(Relay.EndpointState.DOWN, 100, 0.5);
+        Journal.Health warming = new Journal.Health(Relay.EndpointState.WARMING, 200, 0.25);
+        Journal.Health up = new Journal.Health(Relay.EndpointState.UP, 300, 0.25);
         try (Journal journal = open()) {
             journal.health("s-1", down);
             journal.health("s-2", down);
             journal.health("s-1", warming);
             journal.health("s-2", up);
-            Held held = held(journal, 1000);
+            AcceptedMessage held = held(journal, 1000);
             journal.taken(held);
             for (long written = 0; written < 2 * DISK; written += 50) {
                 journal.health("s-3", down);
@@ -144,13 +144,13 @@
     @Test
     void theFolderStaysUnderItsBoundAtEveryMomentAndLosesNothing() throws Exception {
         Random random = new Random(5);
-        Deque<Held> live = new ArrayDeque<>();
+        Deque<AcceptedMessage> live = new ArrayDeque<>();
         int refused = 0;
         int compactions = 0;
         try (Journal journal = open()) {
             for (int i = 0; i < 4000; i++) {
                 long before = journal.size();
-                Held h = held(journal, random.nextInt(4000));
+                AcceptedMessage h = held(journal, random.nextInt(4000));
                 try {
                     journal.taken(h);
                     live.add(h);
@@ -160,8 +160,8 @@
                     refused++;
                 }
                 if (random.nextInt(100) < 48 || live.size() > 60) {
-                    Held over = live.remove();
-                    journal.owed(over, new Held.Notice(false, 0));
+                    AcceptedMessage over = live.remove();
+                    journal.owed(over, new AcceptedMessage.Notice(false, 0));
                     journal.ended(over);
                 }
                 compactions += journal.size() < before ? 1 : 0;
@@ -180,22 +180,22 @@
     @Test
     void thereIsRoomForEveryLaterRecordOfWhatWasTaken() throws Exception {
         try (Journal journal = open()) {
-            Deque<Held> taken = new ArrayDeque<>();
+            Deque<AcceptedMessage> taken = new ArrayDeque<>();
             assertThrows(IOException.class, () -> {
                 while (true) {
-                    Held h = held(journal, 500);
+                    AcceptedMessage h = held(journal, 500);
                     journal.taken(h);
                     taken.add(h);
                 }
             });
-            for (Held h : taken) {
+            for (AcceptedMessage h : taken) {
                 for (int i = 0; i < 12; i++) {
                     journal.attempt(h, attempt("s-5be2a07c5be2a07c"));
                     journal.neverRan(h, i);
                 }
-                journal.owed(h, new Held.Notice(true, 1));
+                journal.owed(h, new AcceptedMessage.Notice(true, 1));
             }
-            for (Held h : taken) {
+            for (AcceptedMessage h : taken) {
                 journal.ended(h);
             }
             journal.taken(held(journal, 500));
@@ -216,8 +216,8 @@
     void anAttemptThatCouldNotBeRecordedMovesNoOther() throws Exception {
         String vast = "e".repeat(60_000);
         try (Journal journal = open()) {
-            Held held = held(journal, 3);
-            Held other = held(journal, 3);
+            AcceptedMessage held = held(journal, 3);
+            AcceptedMessage other = held(journal, 3);
             journal.taken(held);
             journal.taken(other);
             journal.attempt(other, attempt(vast));
@@ -234,8 +234,8 @@
         }
         for (int life = 0; life < 2; life++) {
             try (Journal journal = open()) {
-                Held held = journal.held().iterator().next();
-                Held.Attempt last = held.attempts.get(held.attempts.size() - 1);
+                AcceptedMessage held = journal.held().iterator().next();
+                AcceptedMessage.Attempt last = held.attempts.get(held.attempts.size() - 1);
                 assertEquals("s-3", last.endpoint);
                 assertTrue(held.attempts.stream().noneMatch(a -> a.neverRan), "each that was made may have run");
                 journal.handOver();
@@ -246,17 +246,17 @@
     @Test
     void idsThatAreOverOutlastLivesAndCompactions() throws Exception {
         try (Journal journal = open()) {
-            Held delivered = held(journal, 3);
-            Held owed = held(journal, 3);
-            Held heard = held(journal, 3);
-            Held untold = held(journal, 3);
-            for (Held h : List.of(delivered, owed, heard, untold)) {
+            AcceptedMessage delivered = held(journal, 3);
+            AcceptedMessage owed = held(journal, 3);
+            AcceptedMessage heard = held(journal, 3);
+            AcceptedMessage untold = held(journal, 3);
+            for (AcceptedMessage h : List.of(delivered, owed, heard, untold)) {
                 journal.taken(h);
             }
             journal.attempt(delivered, attempt("s-1"));
             journal.ended(delivered);
-            journal.owed(owed, new Held.Notice(true, 500));
-            journal.owed(heard, new Held.Notice(false, 0));
+            journal.owed(owed, new AcceptedMessage.Notice(true, 500));
+            journal.owed(heard, new AcceptedMessage.Notice(false, 0));
             journal.ended(heard);
             journal.ended(untold);
         }
--- a/src/test/java/kestreldeal/net/HelmTest.java
+++ b/src/test/java/kestreldeal/net/LeaderLockTest.java
@@ -7,14 +7,14 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-class HelmTest {
+class LeaderLockTest {
     @TempDir
     private Path folder;
 
     @Test
     void oneHoldsItUntilItIsReleased() throws Exception {
-        Helm first = new Helm(folder);
-        Helm second = new Helm(folder);
+        LeaderLock first = new LeaderLock(folder);
+        LeaderLock second = new LeaderLock(folder);
         assertTrue(first.take());
         assertTrue(first.take(), "taking it again does no harm");
         assertFalse(second.take());
--- a/src/test/java/kestreldeal/net/ManualClock.java
+++ b/src/test/java/kestreldeal/net/ManualClock.java
@@ -46,7 +46,7 @@
     }
 
     @Override
-    public String boot() {
+    public String bootId() {
         return "boot-" + boots;
     }
 }
--- a/src/test/java/kestreldeal/net/NoticesTest.java
+++ b/src/test/java/kestreldeal/net/NoticeClientTest.java
@@ -15,18 +15,18 @@
 import org.junit.jupiter.api.Test;
 
 /** Notices to an agent that can't read one of them. */
-class NoticesTest {
+class NoticeClientTest {
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
     private final List<String> heard = new CopyOnWriteArrayList<>();
-    private Stub agent;
-    private Notices notices;
+    private StubServer agent;
+    private NoticeClient notices;
 
     @BeforeEach
     void open() throws Exception {
-        agent = new Stub((request, socket) -> Stub.write(socket, "HTTP/1.1 "
+        agent = new StubServer((request, socket) -> StubServer.write(socket, "HTTP/1.1 "
                 + (request.body().contains("unreadable") ? 400 : 204) + " x\r\nContent-Length: 0\r\n\r\n"));
-        notices = new Notices(loop, new Agent(loop, agent.address()), held -> heard.add(held.id));
+        notices = new NoticeClient(loop, new AgentClient(loop, agent.address()), held -> heard.add(held.id));
     }
 
     @AfterEach
@@ -38,9 +38,9 @@
     private void owe(String... ids) {
         loop.execute(() -> {
             for (String id : ids) {
-                Held held = Held.withTimeLeft(1, id, "order", "", Optional.empty(), 7, 1000, new byte[0],
-                        MachineClock.system());
-                held.owed = Optional.of(new Held.Notice(false, 0));
+                AcceptedMessage held = AcceptedMessage.withTimeLeft(1, id, "order", "", Optional.empty(), 7, 1000,
+                        new byte[0], MachineClock.system());
+                held.owed = Optional.of(new AcceptedMessage.Notice(false, 0));
                 notices.owe(held);
             }
         });
@@ -53,9 +53,9 @@
     @Test
     void oneThatCantBeReadHoldsUpNoOther() throws Exception {
         owe("a", "b", "unreadable", "c", "d");
-        Stub.await("all others are heard", () -> heard.containsAll(List.of("a", "b", "c", "d")));
+        StubServer.await("all others are heard", () -> heard.containsAll(List.of("a", "b", "c", "d")));
         assertEquals(0, heard.indexOf("a"));
-        Stub.await("it is given up", () -> owed() == 0);
+        StubServer.await("it is given up", () -> owed() == 0);
         assertEquals(5, heard.size());
         long sent = agent.requests.stream().filter(r -> r.body().contains("unreadable")).count();
         assertEquals(5, sent);
--- a/src/test/java/kestreldeal/net/OpsTest.java
+++ b/src/test/java/kestreldeal/net/OperatorServerTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.api.Test;
 
 /** The operators' address, apart from the sender. */
-class OpsTest {
+class OperatorServerTest {
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final List<Socket> sockets = new ArrayList<>();
     private volatile boolean serves = true;
@@ -29,7 +29,7 @@
 
     @BeforeEach
     void open() {
-        Ops ops = new Ops(group.next(), new Ops.Desk() {
+        OperatorServer ops = new OperatorServer(group.next(), new OperatorServer.CommandHandler() {
             @Override
             public boolean serves() {
                 return serves;
@@ -69,7 +69,7 @@
 
     private String call(String bytes) throws IOException {
         Socket socket = caller();
-        Stub.write(socket, bytes);
+        StubServer.write(socket, bytes);
         return rest(socket);
     }
 
@@ -104,7 +104,7 @@
     void aLineMayComeInPieces() throws Exception {
         Socket socket = caller();
         for (String piece : "readyz\n".split("")) {
-            Stub.write(socket, piece);
+            StubServer.write(socket, piece);
             Thread.sleep(1);
         }
         assertEquals("YES\n", rest(socket));
@@ -113,11 +113,11 @@
     @Test
     void aCallerMayEndItsSendingBeforeTheAnswer() throws Exception {
         Socket whole = caller();
-        Stub.write(whole, "readyz\n");
+        StubServer.write(whole, "readyz\n");
         whole.shutdownOutput();
         assertEquals("YES\n", rest(whole));
         Socket half = caller();
-        Stub.write(half, "ready");
+        StubServer.write(half, "ready");
         half.shutdownOutput();
         assertTrue(rest(half).startsWith("NO"));
     }
@@ -125,7 +125,7 @@
     @Test
     void callersThatSayNothingAreEndedAndKeepNobodyOut() throws Exception {
         List<Socket> silent = new ArrayList<>();
-        for (int i = 0; i < 3 * Ops.MOST; i++) {
+        for (int i = 0; i < 3 * OperatorServer.MOST; i++) {
             silent.add(caller());
         }
         assertEquals("YES\n", call("readyz\n"));
--- a/src/test/java/kestreldeal/net/RelistedEndpointTest.java
+++ b/src/test/java/kestreldeal/net/RelistedEndpointTest.java
@@ -16,18 +16,18 @@
 
     @TempDir
     private Path folder;
-    private Stub endpoint;
-    private Surroundings world;
+    private StubServer endpoint;
+    private SenderTestEnvironment world;
     private Sender sender;
     private InetSocketAddress address;
 
     @BeforeEach
     void open() throws Exception {
-        endpoint = new Stub(Stub.status(200, ""));
-        world = new Surroundings(folder, endpoint);
+        endpoint = new StubServer(StubServer.status(200, ""));
+        world = new SenderTestEnvironment(folder, endpoint);
         sender = world.sender();
         address = sender.start();
-        Stub.await("it is ready", () -> Surroundings.ask(address, Surroundings.HEALTH) == 200);
+        StubServer.await("it is ready", () -> SenderTestEnvironment.ask(address, SenderTestEnvironment.HEALTH) == 200);
     }
 
     @AfterEach
@@ -42,19 +42,20 @@
     }
 
     private void handIn(String id, long destination) {
-        assertEquals(202, Surroundings.ask(address, Surroundings.message(id, "order", destination, "")));
+        assertEquals(202, SenderTestEnvironment.ask(address,
+                SenderTestEnvironment.message(id, "order", destination, "")));
     }
 
     @Test
     void itGetsWhatIsForItsNewDestinationAndNothingElse() throws Exception {
         handIn("before", 0);
-        Stub.await("it is called", () -> called().equals(List.of("before")));
+        StubServer.await("it is called", () -> called().equals(List.of("before")));
         world.firstDestination = OTHER_DESTINATION;
-        Stub.await("the change is known", () -> world.agent.requests.stream()
+        StubServer.await("the change is known", () -> world.agent.requests.stream()
                 .anyMatch(r -> r.line().contains("after=" + world.generation())));
         handIn("for nobody", 0);
         handIn("for it", OTHER_DESTINATION);
-        Stub.await("it is called again", () -> called().size() == 2);
+        StubServer.await("it is called again", () -> called().size() == 2);
         assertEquals(List.of("before", "for it"), called());
     }
 }
--- a/src/test/java/kestreldeal/net/RepeatWindowTest.java
+++ b/src/test/java/kestreldeal/net/RepeatWindowTest.java
@@ -18,19 +18,19 @@
 
     @TempDir
     private Path folder;
-    private Stub endpoint;
-    private Surroundings world;
+    private StubServer endpoint;
+    private SenderTestEnvironment world;
     private Sender sender;
 
-    private void open(Stub at) throws Exception {
+    private void open(StubServer at) throws Exception {
         endpoint = at;
-        world = new Surroundings(folder, at);
+        world = new SenderTestEnvironment(folder, at);
         world.windowMs = WINDOW_MS;
         world.agent.script(this::agent);
     }
 
     /** It does not answer a notice, so that the journal holds its message on. */
-    private void agent(Stub.Message request, Socket socket) throws IOException {
+    private void agent(StubServer.Message request, Socket socket) throws IOException {
         if (request.line().startsWith("POST")) {
             world.notices.add(request.body());
         } else {
@@ -51,10 +51,10 @@
     private long leave(long agoMs) throws Exception {
         try (Journal journal = world.journal()) {
             long wall = System.currentTimeMillis();
-            Held held = Held.withTimeLeft(journal.nextNumber(), "old", "order", "", Optional.of("key-old"), 0, 20_000,
-                    new byte[0], MachineClock.system());
+            AcceptedMessage held = AcceptedMessage.withTimeLeft(journal.nextNumber(), "old", "order", "",
+                    Optional.of("key-old"), 0, 20_000, new byte[0], MachineClock.system());
             journal.taken(held);
-            journal.attempt(held, Held.Attempt.sentAgo("s-0", agoMs, MachineClock.system()));
+            journal.attempt(held, AcceptedMessage.Attempt.sentAgo("s-0", agoMs, MachineClock.system()));
             return wall - agoMs;
         }
     }
@@ -66,7 +66,7 @@
 
     /** With so many attempts in all, of which none was written in this life. */
     private void awaitRefused(int attempts) throws Exception {
-        Stub.await("the notice", () -> !world.notices.isEmpty());
+        StubServer.await("the notice", () -> !world.notices.isEmpty());
         assertTrue(world.notices.get(0).contains("bounced"), world.notices.toString());
         assertEquals(List.of(attempts), world.journalled().stream().map(held -> held.attempts.size()).toList());
         assertEquals(List.of(), endpoint.requests);
@@ -74,17 +74,17 @@
 
     @Test
     void itIsRepeatedInsideTheWindow() throws Exception {
-        open(new Stub(Stub.status(200, "")));
+        open(new StubServer(StubServer.status(200, "")));
         world.windowMs = 20_000;
         leave(100);
         start();
-        Stub.await("the repeat", () -> endpoint.requests.size() == 1);
+        StubServer.await("the repeat", () -> endpoint.requests.size() == 1);
         assertEquals("old", endpoint.requests.get(0).header("X-Call-Id"));
     }
 
     @Test
     void itIsNotRepeatedPastTheWindow() throws Exception {
-        open(new Stub(Stub.status(200, "")));
+        open(new StubServer(StubServer.status(200, "")));
         leave(WINDOW_MS + 1);
         start();
         awaitRefused(1);
@@ -93,11 +93,11 @@
     /** The agent answers only when the window is over, and without a list nothing can be sent before. */
     @Test
     void itIsNotRepeatedWhereTheRestartTakesLongerThanTheWindow() throws Exception {
-        open(new Stub(Stub.status(200, "")));
+        open(new StubServer(StubServer.status(200, "")));
         world.known = false;
         long sentAt = leave(0);
         world.agent.script((request, socket) -> {
-            Stub.await("the window's end", () -> System.currentTimeMillis() > sentAt + WINDOW_MS);
+            StubServer.await("the window's end", () -> System.currentTimeMillis() > sentAt + WINDOW_MS);
             world.agent.script(this::agent);
             socket.close();
         });
@@ -108,13 +108,14 @@
     /** Decided inside the window; its connection comes up behind it. */
     @Test
     void itIsNotWrittenLate() throws Exception {
-        open(Stub.busy(Stub.status(200, "")));
+        open(StubServer.busy(StubServer.status(200, "")));
         world.dialMs = 20_000;
         world.windowMs = 2 * WINDOW_MS;
         long sentAt = leave(0);
         start();
-        Stub.await("it is decided", () -> world.journalled().stream().anyMatch(held -> held.attempts.size() == 2));
-        Stub.await("the window's end", () -> System.currentTimeMillis() > sentAt + 2 * WINDOW_MS);
+        StubServer.await("it is decided",
+                () -> world.journalled().stream().anyMatch(held -> held.attempts.size() == 2));
+        StubServer.await("the window's end", () -> System.currentTimeMillis() > sentAt + 2 * WINDOW_MS);
         endpoint.accepts();
         awaitRefused(2);
     }
@@ -122,7 +123,7 @@
     /** By the wall clock it is still to be made: how long ago it was nobody knows. */
     @Test
     void itIsNotRepeatedWhereTheWallClockWasSetBack() throws Exception {
-        open(new Stub(Stub.status(200, "")));
+        open(new StubServer(StubServer.status(200, "")));
         world.windowMs = 20_000;
         leave(-5000);
         start();
--- a/src/test/java/kestreldeal/net/RestartTest.java
+++ b/src/test/java/kestreldeal/net/RestartTest.java
@@ -37,12 +37,12 @@
 
     @TempDir
     private Path folder;
-    private Stub endpoint;
+    private StubServer endpoint;
     private final List<Restarted> all = new ArrayList<>();
 
     @BeforeEach
     void open() throws Exception {
-        endpoint = Stub.busy(Stub.silent());
+        endpoint = StubServer.busy(StubServer.silent());
     }
 
     @AfterEach
@@ -56,7 +56,7 @@
     /** One sender, and whether it was ready each time that its agent was asked. */
     private final class Restarted {
         final Mode mode;
-        final Surroundings world;
+        final SenderTestEnvironment world;
         final int held;
         final CompletableFuture<InetSocketAddress> address = new CompletableFuture<>();
         final AtomicInteger questions = new AtomicInteger();
@@ -65,7 +65,7 @@
 
         Restarted(Mode mode, int number) throws Exception {
             this.mode = mode;
-            world = new Surroundings(folder.resolve(mode + "-" + number), endpoint);
+            world = new SenderTestEnvironment(folder.resolve(mode + "-" + number), endpoint);
             world.endpoints = ENDPOINTS;
             world.agent.script(this::agent);
             held = fill();
@@ -75,10 +75,12 @@
         private int fill() throws IOException {
             try (Journal journal = world.journal()) {
                 for (int i = 0; i < ENDPOINTS; i += 10) {
-                    journal.health("s-" + i, Journal.Health.since(0, Relay.State.DOWN, 0.001, MachineClock.system()));
+                    journal.health("s-" + i, Journal.Health.since(0, Relay.EndpointState.DOWN, 0.001,
+                            MachineClock.system()));
                 }
                 for (int i = 0;; i++) {
-                    Held message = Held.withTimeLeft(journal.nextNumber(), "old-" + i, i % 2 == 0 ? "order" : "once",
+                    AcceptedMessage message = AcceptedMessage.withTimeLeft(journal.nextNumber(), "old-" + i,
+                            i % 2 == 0 ? "order" : "once",
                             "", Optional.of("key-" + i), i % ENDPOINTS, 20_000, new byte[200], MachineClock.system());
                     try {
                         journal.taken(message);
@@ -87,15 +89,15 @@
                     }
                     if (i % 3 == 1) {
                         journal.attempt(message,
-                                Held.Attempt.sentAgo("s-" + i % ENDPOINTS, 0, MachineClock.system()));
+                                AcceptedMessage.Attempt.sentAgo("s-" + i % ENDPOINTS, 0, MachineClock.system()));
                     } else if (i % 3 == 2) {
-                        journal.owed(message, new Held.Notice(true, 0));
+                        journal.owed(message, new AcceptedMessage.Notice(true, 0));
                     }
                 }
             }
         }
 
-        private void agent(Stub.Message request, Socket socket) throws Exception {
+        private void agent(StubServer.Message request, Socket socket) throws Exception {
             if (request.line().startsWith("POST")) {
                 return;
             }
@@ -107,14 +109,14 @@
                 world.answer(request, socket);
             } else if (mode == Mode.SLOW) {
                 String list = world.list();
-                Stub.write(socket, "HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + "\r\n\r\n"
+                StubServer.write(socket, "HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + "\r\n\r\n"
                         + list.substring(0, list.length() - 1));
-                Stub.await("it is ready without the end of the list", () -> health() == 200);
+                StubServer.await("it is ready without the end of the list", () -> health() == 200);
             }
         }
 
         private int health() {
-            return Surroundings.ask(address.join(), Surroundings.HEALTH);
+            return SenderTestEnvironment.ask(address.join(), SenderTestEnvironment.HEALTH);
         }
 
         void start() {
@@ -145,7 +147,7 @@
         all.forEach(each -> new Thread(each::start).start());
         List<Restarted> waiting = new ArrayList<>(all);
         List<String> times = new ArrayList<>();
-        Stub.await("all are ready", () -> {
+        StubServer.await("all are ready", () -> {
             waiting.removeIf(each -> {
                 boolean ready = each.address.isDone() && each.health() == 200;
                 if (ready) {
@@ -159,7 +161,7 @@
                 + times);
         for (Restarted each : all) {
             assertTrue(each.held > 500, each.held + " messages");
-            Stub.await("the next question", () -> !each.healthAtLaterQuestions.isEmpty());
+            StubServer.await("the next question", () -> !each.healthAtLaterQuestions.isEmpty());
             assertEquals(200, each.healthAtLaterQuestions.get(0), each.mode + ": ready before it asks again");
         }
     }
--- a/src/test/java/kestreldeal/net/SendGuardTest.java
+++ b/src/test/java/kestreldeal/net/SendGuardTest.java
@@ -14,16 +14,17 @@
     private static final Relay.Settings SETTINGS = new Relay.Settings(
             List.of(new Relay.MessageClass(1000, 8000, 1, 0, Relay.Effect.KEYED, false, WINDOW_MS, false),
                     new Relay.MessageClass(1000, 8000, 1, 0, Relay.Effect.UNSAFE, false, 0, false)),
-            List.of(new Relay.Kind(false, 1)), false, Relay.Decay.LINE, List.of(), 1, 4, MOST_ATTEMPTS, true, true, 0,
-            15_000, new Relay.ColdStart(0.2, 12_000, 2, 3000));
+            List.of(new Relay.DestinationKind(false, 1)), false, Relay.Decay.LINEAR, List.of(), 1, 4, MOST_ATTEMPTS,
+            true, true, 0, 15_000, new Relay.SlowStart(0.2, 12_000, 2, 3000));
 
     private final ManualClock clock = new ManualClock();
     private final SendGuard guard = new SendGuard(SETTINGS, List.of("order", "once"));
 
-    private Held held(String type, int attempts) {
-        Held held = Held.withTimeLeft(1, "id", type, "", Optional.of("key"), DESTINATION, 8000, new byte[0], clock);
+    private AcceptedMessage held(String type, int attempts) {
+        AcceptedMessage held = AcceptedMessage.withTimeLeft(1, "id", type, "", Optional.of("key"), DESTINATION, 8000,
+                new byte[0], clock);
         for (int i = 0; i < attempts; i++) {
-            held.attempts.add(Held.Attempt.sentAgo("e", 0, clock));
+            held.attempts.add(AcceptedMessage.Attempt.sentAgo("e", 0, clock));
         }
         return held;
     }
@@ -36,7 +37,7 @@
 
     @Test
     void whatMustNotRunTwiceIsTriedAgainOnlyIfItNeverRan() {
-        Held once = held("once", 1);
+        AcceptedMessage once = held("once", 1);
         assertEquals(Optional.of(Invariants.Rule.SINGLE_EFFECT), guard.breach(once, DESTINATION));
         once.attempts.get(0).neverRan = true;
         assertEquals(Optional.empty(), guard.breach(once, DESTINATION));
@@ -49,28 +50,28 @@
         assertEquals(Optional.of(Invariants.Rule.ATTEMPT_LIMIT), guard.breach(held("order", MOST_ATTEMPTS), DESTINATION));
     }
 
-    private Optional<SendGuard.HeldBack> heldBack(Held held, boolean open) {
+    private Optional<SendGuard.SuppressionReason> heldBack(AcceptedMessage held, boolean open) {
         return guard.heldBack(held, held.attempts.size() - 1, open, clock.nanos());
     }
 
     @Test
     void nothingIsWrittenToAnEndpointThatIsClosedOrForAMessageThatIsOver() {
-        Held held = held("order", 1);
+        AcceptedMessage held = held("order", 1);
         assertEquals(Optional.empty(), heldBack(held, true));
-        assertEquals(Optional.of(SendGuard.HeldBack.ENDPOINT_CLOSED), heldBack(held, false));
+        assertEquals(Optional.of(SendGuard.SuppressionReason.ENDPOINT_CLOSED), heldBack(held, false));
         held.over = true;
-        assertEquals(Optional.of(SendGuard.HeldBack.MESSAGE_OVER), heldBack(held, true));
+        assertEquals(Optional.of(SendGuard.SuppressionReason.MESSAGE_OVER), heldBack(held, true));
     }
 
     /** Held up for 150 ms behind the look at the clock, and 100 ms on its way, it still comes inside the window. */
     @Test
     void aRepeatIsWrittenOnlyWhereItStillArrivesInItsWindow() {
-        Held held = held("order", 1);
+        AcceptedMessage held = held("order", 1);
         clock.pass(WINDOW_MS - 250);
-        held.attempts.add(Held.Attempt.sentAgo("e", 0, clock));
+        held.attempts.add(AcceptedMessage.Attempt.sentAgo("e", 0, clock));
         assertEquals(Optional.empty(), heldBack(held, true));
         clock.pass(1);
-        assertEquals(Optional.of(SendGuard.HeldBack.WINDOW_PASSED), heldBack(held, true));
+        assertEquals(Optional.of(SendGuard.SuppressionReason.WINDOW_PASSED), heldBack(held, true));
         held.attempts.get(0).neverRan = true;
         assertEquals(Optional.empty(), heldBack(held, true));
     }
--- a/src/test/java/kestreldeal/net/SenderTest.java
+++ b/src/test/java/kestreldeal/net/SenderTest.java
@@ -37,10 +37,10 @@
 
     @TempDir
     private Path folder;
-    private final List<Stub> endpoints = new ArrayList<>();
+    private final List<StubServer> endpoints = new ArrayList<>();
     private final List<String> notices = new CopyOnWriteArrayList<>();
     private final List<Socket> clients = new ArrayList<>();
-    private Stub agent;
+    private StubServer agent;
     private volatile String states = "SERVING SERVING";
     private volatile boolean agentUp = true;
     private volatile int reportStatus = 204;
@@ -62,9 +62,9 @@
 
     @BeforeEach
     void open() throws Exception {
-        endpoints.add(new Stub(Stub.status(200, "")));
-        endpoints.add(new Stub(Stub.status(200, "")));
-        agent = new Stub(this::agent);
+        endpoints.add(new StubServer(StubServer.status(200, "")));
+        endpoints.add(new StubServer(StubServer.status(200, "")));
+        agent = new StubServer(this::agent);
         Files.createDirectory(folder.resolve("state"));
     }
 
@@ -78,7 +78,7 @@
         for (Socket client : clients) {
             client.close();
         }
-        for (Stub stub : endpoints) {
+        for (StubServer stub : endpoints) {
             stub.close();
         }
         agent.close();
@@ -86,7 +86,7 @@
 
     // ---- the world ----
 
-    private void agent(Stub.Message request, Socket socket) throws Exception {
+    private void agent(StubServer.Message request, Socket socket) throws Exception {
         if (!agentUp) {
             return;
         }
@@ -95,17 +95,17 @@
             if (status == 204) {
                 notices.addAll(List.of(request.body().trim().split("\n")));
             }
-            Stub.write(socket, "HTTP/1.1 " + status + " x\r\n"
+            StubServer.write(socket, "HTTP/1.1 " + status + " x\r\n"
                     + (status == 204 ? "\r\n" : "Content-Length: 0\r\n\r\n"));
             return;
         }
         String known = request.line().contains("after=") ? request.line().replaceAll(".*after=(\\d+).*", "$1")
                 : "";
         if (!request.line().contains("wait_ms=0 ")) {
-            Stub.await("something new on the list", () -> !known.equals(generation()));
+            StubServer.await("something new on the list", () -> !known.equals(generation()));
         }
         String list = list();
-        Stub.write(socket, "HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + "\r\n\r\n" + list);
+        StubServer.write(socket, "HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + "\r\n\r\n" + list);
     }
 
     private String generation() {
@@ -177,7 +177,7 @@
     }
 
     private void awaitReady() throws InterruptedException {
-        Stub.await("it is ready", () -> unchecked(() ->
+        StubServer.await("it is ready", () -> unchecked(() ->
                 ask(client(), "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n").line().contains(" 200 ")));
     }
 
@@ -187,9 +187,9 @@
         return socket;
     }
 
-    private static Stub.Message ask(Socket socket, String text) throws IOException {
-        Stub.write(socket, text);
-        return Stub.read(new BufferedInputStream(socket.getInputStream()), 0);
+    private static StubServer.Message ask(Socket socket, String text) throws IOException {
+        StubServer.write(socket, text);
+        return StubServer.read(new BufferedInputStream(socket.getInputStream()), 0);
     }
 
     private static String message(String id, String type, String body) {
@@ -202,16 +202,16 @@
         assertEquals("HTTP/1.1 202 Accepted", ask(client(), message(id, type, "hello")).line());
     }
 
-    private List<Stub.Message> calls() {
+    private List<StubServer.Message> calls() {
         return endpoints.stream().flatMap(e -> e.requests.stream()).toList();
     }
 
-    private void script(Stub.Script script) {
+    private void script(StubServer.Script script) {
         endpoints.forEach(e -> e.script(script));
     }
 
     /** What the journal holds, read from a copy. */
-    private List<Held> journalled() {
+    private List<AcceptedMessage> journalled() {
         return journalled(journal -> List.copyOf(journal.held()));
     }
 
@@ -233,44 +233,45 @@
     }
 
     /** Leaves a journal as an earlier life would have: one message with one attempt, out since then. */
-    private Held earlierLife(String type, long attemptAgoMs, long leftMs, boolean notice) throws Exception {
+    private AcceptedMessage earlierLife(String type, long attemptAgoMs, long leftMs, boolean notice) throws Exception {
         try (Journal journal = new Journal(folder.resolve("state"), 3_000_000, 12)) {
-            Held held = Held.withTimeLeft(journal.nextNumber(), "old", type, "acme", Optional.of("key-old"), 7,
+            AcceptedMessage held = AcceptedMessage.withTimeLeft(journal.nextNumber(), "old", type, "acme",
+                    Optional.of("key-old"), 7,
                     leftMs, "hello".getBytes(StandardCharsets.ISO_8859_1), MachineClock.system());
             journal.taken(held);
             if (attemptAgoMs > 0) {
-                journal.attempt(held, Held.Attempt.sentAgo("s-0", attemptAgoMs, MachineClock.system()));
+                journal.attempt(held, AcceptedMessage.Attempt.sentAgo("s-0", attemptAgoMs, MachineClock.system()));
             }
             if (notice) {
-                journal.owed(held, new Held.Notice(true, 700));
+                journal.owed(held, new AcceptedMessage.Notice(true, 700));
             }
             return held;
         }
     }
 
     /** Leaves a journal with messages that are late, not one of them tried, and what was known of endpoints. */
-    private void earlierBacklog(int many, Map<String, Relay.State> states) throws Exception {
+    private void earlierBacklog(int many, Map<String, Relay.EndpointState> states) throws Exception {
         try (Journal journal = new Journal(folder.resolve("state"), 3_000_000, 12)) {
             for (int i = 0; i < many; i++) {
-                journal.taken(Held.withTimeLeft(journal.nextNumber(), "old-" + i, "order", "acme",
+                journal.taken(AcceptedMessage.withTimeLeft(journal.nextNumber(), "old-" + i, "order", "acme",
                         Optional.of("key-" + i), 7, 15_000, new byte[0], MachineClock.system()));
             }
-            for (Map.Entry<String, Relay.State> known : states.entrySet()) {
+            for (Map.Entry<String, Relay.EndpointState> known : states.entrySet()) {
                 journal.health(known.getKey(), Journal.Health.since(0, known.getValue(), 0, MachineClock.system()));
             }
         }
     }
 
     private int ended() {
-        return endpoints.stream().mapToInt(Stub::ended).sum();
+        return endpoints.stream().mapToInt(StubServer::ended).sum();
     }
 
     private void awaitNothingHeld() throws InterruptedException {
-        Stub.await("the journal holds nothing", () -> journalled().isEmpty());
+        StubServer.await("the journal holds nothing", () -> journalled().isEmpty());
     }
 
     private void awaitNotice(String result) throws Exception {
-        Stub.await("the notice", () -> !notices.isEmpty());
+        StubServer.await("the notice", () -> !notices.isEmpty());
         assertTrue(notices.get(0).contains(result), notices.get(0));
         awaitNothingHeld();
         assertEquals(1, notices.size());
@@ -278,7 +279,7 @@
 
     private String operator(String call) throws IOException {
         try (Socket socket = new Socket(sender.operators().getAddress(), sender.operators().getPort())) {
-            Stub.write(socket, call + "\n");
+            StubServer.write(socket, call + "\n");
             return new String(socket.getInputStream().readAllBytes(), StandardCharsets.US_ASCII);
         }
     }
@@ -295,15 +296,15 @@
         start();
         handIn("one", "order");
         awaitNothingHeld();
-        script(Stub.status(500, ""));
+        script(StubServer.status(500, ""));
         handIn("two", "once");
         awaitNotice("dead");
-        script(Stub.silent());
+        script(StubServer.silent());
         for (int i = 0; i < MAX_OPEN; i++) {
             handIn("held-" + i, "order");
         }
         assertEquals("HTTP/1.1 503 Service Unavailable", ask(client(), message("more", "order", "x")).line());
-        Stub.await("all are out", () -> calls().size() == 2 + MAX_OPEN);
+        StubServer.await("all are out", () -> calls().size() == 2 + MAX_OPEN);
         assertEquals(1, figure("completed_total{lane=\"order\"}"));
         assertEquals(0, figure("completed_total{lane=\"once\"}"));
         assertEquals(1, figure("failed_total{lane=\"once\"}"));
@@ -320,14 +321,14 @@
     void figuresTellWhichEndpointsAreAvoided() throws Exception {
         start();
         states = "DRAINING SERVING";
-        Stub.await("one drains", () -> unchecked(() -> figure("members_unavailable") == 1));
+        StubServer.await("one drains", () -> unchecked(() -> figure("members_unavailable") == 1));
         assertEquals(2, figure("members"));
         states = "DELETED SERVING";
-        Stub.await("one is gone", () -> unchecked(() -> figure("members") == 1));
+        StubServer.await("one is gone", () -> unchecked(() -> figure("members") == 1));
         assertEquals(0, figure("members_unavailable"));
         endpoints.get(1).close();
         handIn("one", "order");
-        Stub.await("the other is down", () -> unchecked(() -> figure("members_unavailable") == 1));
+        StubServer.await("the other is down", () -> unchecked(() -> figure("members_unavailable") == 1));
     }
 
     @Test
@@ -341,7 +342,7 @@
         assertEquals("YES\n", operator("evacuate"));
         assertEquals("YES\n", operator("evacuate"), "a drain may be told twice");
         assertEquals("YES\n", operator("readyz"), "the process can serve all the same");
-        Stub.Message taken = ask(used, message("one", "order", "hello"));
+        StubServer.Message taken = ask(used, message("one", "order", "hello"));
         assertEquals("HTTP/1.1 202 Accepted", taken.line(), "what comes all the same is taken");
         assertEquals("close", taken.header("Connection"));
         assertEquals(-1, used.getInputStream().read());
@@ -370,19 +371,19 @@
         start();
         assertTrue(operator("readyz").startsWith("NO"));
         agentUp = true;
-        Stub.await("ready", () -> unchecked(() -> operator("readyz").equals("YES\n")));
-        script(Stub.silent());
+        StubServer.await("ready", () -> unchecked(() -> operator("readyz").equals("YES\n")));
+        script(StubServer.silent());
         handIn("one", "order");
         Thread end = new Thread(sender::drain);
         end.start();
-        Stub.await("it ends", () -> unchecked(() -> operator("readyz").startsWith("NO")));
+        StubServer.await("it ends", () -> unchecked(() -> operator("readyz").startsWith("NO")));
         end.join();
     }
 
     /** What is read just before the process is gone would be taken and not answered. */
     @Test
     void nothingIsReadOnceASenderEnds() throws Exception {
-        script(Stub.silent());
+        script(StubServer.silent());
         start(700);
         handIn("one", "order");
         Socket idle = client();
@@ -390,13 +391,13 @@
         String health = "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n";
         assertEquals("HTTP/1.1 200 OK", ask(idle, health).line());
         assertEquals("HTTP/1.1 200 OK", ask(inPart, health).line());
-        Stub.write(inPart, "POST /order HTTP/1.1\r\n");
+        StubServer.write(inPart, "POST /order HTTP/1.1\r\n");
         sender.drain();
         idle.setSoTimeout(30_000);
         assertEquals(-1, idle.getInputStream().read());
         inPart.setSoTimeout(30_000);
         assertEquals("HTTP/1.1 503 Service Unavailable",
-                Stub.read(new BufferedInputStream(inPart.getInputStream()), 0).line());
+                StubServer.read(new BufferedInputStream(inPart.getInputStream()), 0).line());
         assertEquals(1, journalled().size());
     }
 
@@ -407,7 +408,7 @@
         before = sender;
         listen = address.getHostString() + ":" + address.getPort();
         start();
-        Stub.await("it can take over", () -> unchecked(() -> operator("readyz").equals("YES\n")));
+        StubServer.await("it can take over", () -> unchecked(() -> operator("readyz").equals("YES\n")));
     }
 
     /** Tells the first process to end, and waits until the second one serves; the thread ends with the first. */
@@ -415,7 +416,7 @@
         Thread end = new Thread(before::drain);
         end.setDaemon(true);
         end.start();
-        Stub.await("the second process takes clients", () -> unchecked(() -> {
+        StubServer.await("the second process takes clients", () -> unchecked(() -> {
             try (Socket socket = new Socket(address.getAddress(), address.getPort())) {
                 ask(socket, message("one", "order", "hello"));
             } catch (SocketException refused) {
@@ -430,22 +431,22 @@
     /** Its message is over with the first line; the head that follows binds the process that sends now. */
     @Test
     void aWaitToldToTheProcessBeforeIsKeptByTheNext() throws Exception {
-        script(Stub.silent());
+        script(StubServer.silent());
         start(60_000);
         handIn("early", "order");
-        Stub.await("its call", () -> calls().size() == 1);
+        StubServer.await("its call", () -> calls().size() == 1);
         startBeside();
         Thread end = new Thread(before::drain);
         end.setDaemon(true);
         end.start();
-        Stub.await("the next process leads", () -> unchecked(() -> figure("pending") == 1));
-        for (Stub endpoint : endpoints) {
+        StubServer.await("the next process leads", () -> unchecked(() -> figure("pending") == 1));
+        for (StubServer endpoint : endpoints) {
             endpoint.answerAll("HTTP/1.1 200 OK\r\nRetry-After: 2\r\nContent-Length: 0\r\n\r\n");
         }
-        Stub.await("the end is told", () -> unchecked(() -> figure("pending") == 0));
+        StubServer.await("the end is told", () -> unchecked(() -> figure("pending") == 0));
         long told = System.nanoTime();
-        script(Stub.status(200, ""));
-        Stub.await("the next process takes clients", () -> unchecked(() -> operator("readyz").equals("YES\n")));
+        script(StubServer.status(200, ""));
+        StubServer.await("the next process takes clients", () -> unchecked(() -> operator("readyz").equals("YES\n")));
         awaitReady();
         handIn("two", "order");
         awaitNothingHeld();
@@ -460,26 +461,26 @@
     }
 
     private void answerCallsOut() throws IOException {
-        for (Stub endpoint : endpoints) {
+        for (StubServer endpoint : endpoints) {
             endpoint.answerAll("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
         }
     }
 
     @Test
     void theNextProcessTakesOverWithCallsOut() throws Exception {
-        script(Stub.silent());
+        script(StubServer.silent());
         start(60_000);
         Socket kept = client();
         assertEquals("202", ask(kept, message("one", "order", "hello")).line().split(" ")[1]);
         handIn("two", "once");
-        Stub.await("both calls", () -> calls().size() == 2);
+        StubServer.await("both calls", () -> calls().size() == 2);
         startBeside();
         assertEquals(2, journalled().size(), "it only follows");
         Thread end = replace();
         assertEquals(2, figure("pending"), "what is held goes to the next process");
         assertEquals("202", ask(kept, message("three", "once", "hello")).line().split(" ")[1],
                 "a request on a connection of the old process is handed on");
-        Stub.await("its call", () -> calls().size() == 3);
+        StubServer.await("its call", () -> calls().size() == 3);
         answerCallsOut();
         awaitNothingHeld();
         end.join();
@@ -492,14 +493,14 @@
 
     @Test
     void aCallThatEndsUndeliveredInTheOldProcessIsRepeatedByTheNext() throws Exception {
-        script(Stub.silent());
+        script(StubServer.silent());
         start(60_000);
         handIn("one", "order");
-        Stub.await("the call", () -> calls().size() == 1);
+        StubServer.await("the call", () -> calls().size() == 1);
         startBeside();
         Thread end = replace();
-        script(Stub.status(200, ""));
-        for (Stub endpoint : endpoints) {
+        script(StubServer.status(200, ""));
+        for (StubServer endpoint : endpoints) {
             endpoint.answerAll("HTTP/1.1 500 x\r\nContent-Length: 0\r\n\r\n");
         }
         awaitNothingHeld();
@@ -509,32 +510,32 @@
 
     @Test
     void anOldProcessThatIsKilledInMidHandoverTakesNothingWithIt() throws Exception {
-        script(Stub.silent());
+        script(StubServer.silent());
         start(60_000);
         handIn("one", "order");
         handIn("two", "once");
-        Stub.await("both calls", () -> calls().size() == 2);
+        StubServer.await("both calls", () -> calls().size() == 2);
         startBeside();
         replace();
-        script(Stub.status(200, ""));
+        script(StubServer.status(200, ""));
         killBefore();
-        Stub.await("what may be repeated is", () -> calls().size() == 3);
+        StubServer.await("what may be repeated is", () -> calls().size() == 3);
         awaitNotice("{\"ref\":\"two\",\"result\":\"dead\"}");
         assertEquals(2, calls().stream().filter(c -> c.header("X-Call-Id").equals("one")).count());
     }
 
     @Test
     void aProcessThatDiesWithoutAWordIsReplacedByTheOneBeside() throws Exception {
-        script(Stub.silent());
+        script(StubServer.silent());
         start();
         handIn("one", "order");
-        Stub.await("the call", () -> calls().size() == 1);
+        StubServer.await("the call", () -> calls().size() == 1);
         startBeside();
-        script(Stub.status(200, ""));
+        script(StubServer.status(200, ""));
         killBefore();
         awaitNothingHeld();
         assertEquals(2, calls().size(), "its journal is taken up");
-        Stub.await("clients are taken", () -> unchecked(() -> {
+        StubServer.await("clients are taken", () -> unchecked(() -> {
             try (Socket socket = new Socket(address.getAddress(), address.getPort())) {
                 return ask(socket, message("two", "order", "hello")).line().contains("202");
             } catch (SocketException notYet) {
@@ -545,7 +546,7 @@
 
     @Test
     void aProcessThatOnlyFollowsEndsWithoutATrace() throws Exception {
-        script(Stub.silent());
+        script(StubServer.silent());
         start(60_000);
         handIn("one", "order");
         startBeside();
@@ -563,7 +564,7 @@
     private void startBesideAgain() throws Exception {
         sender = new Sender(config(), links, Sender.TAKING_MS, Sender.CLOSING_MS);
         sender.start();
-        Stub.await("it can take over", () -> unchecked(() -> operator("readyz").equals("YES\n")));
+        StubServer.await("it can take over", () -> unchecked(() -> operator("readyz").equals("YES\n")));
     }
 
     @Test
@@ -604,7 +605,7 @@
             // A call with one message is answered by its first line; the body means nothing then.
             String ends = request.body().lines().filter(line -> line.startsWith("old-"))
                     .map(line -> line.split(" ")[0] + " accepted\r\n").collect(Collectors.joining());
-            Stub.write(socket, "HTTP/1.1 200 x\r\nContent-Length: " + ends.length() + "\r\n\r\n" + ends);
+            StubServer.write(socket, "HTTP/1.1 200 x\r\nContent-Length: " + ends.length() + "\r\n\r\n" + ends);
         });
         start();
         awaitNothingHeld();
@@ -615,7 +616,7 @@
 
     @Test
     void aMessageThatIsOverIsOwedNothing() throws Exception {
-        script(Stub.status(410, ""));
+        script(StubServer.status(410, ""));
         start();
         handIn("one", "order");
         awaitNothingHeld();
@@ -624,7 +625,7 @@
 
     @Test
     void aMessageThatMayNotBeRepeatedEndsByANotice() throws Exception {
-        script(Stub.status(500, ""));
+        script(StubServer.status(500, ""));
         start();
         handIn("one", "once");
         awaitNotice("{\"ref\":\"one\",\"result\":\"dead\"}");
@@ -633,11 +634,11 @@
 
     @Test
     void aNoticeIsRepeatedUntilItIsHeard() throws Exception {
-        script(Stub.status(500, ""));
+        script(StubServer.status(500, ""));
         reportStatus = 500;
         start();
         handIn("one", "once");
-        Stub.await("several tries", () -> agent.requests.stream().filter(r -> r.line().startsWith("POST"))
+        StubServer.await("several tries", () -> agent.requests.stream().filter(r -> r.line().startsWith("POST"))
                 .count() > 2);
         assertEquals(1, journalled().size());
         reportStatus = 204;
@@ -647,37 +648,37 @@
     @Test
     void aToldWaitIsKept() throws Exception {
         start();
-        script(Stub.status(429, "Retry-After: 0.6\r\n"));
+        script(StubServer.status(429, "Retry-After: 0.6\r\n"));
         handIn("one", "order");
-        Stub.await("the wait is told", () -> journalled().get(0).attempts.stream().anyMatch(a -> a.neverRan));
-        script(Stub.status(200, ""));
+        StubServer.await("the wait is told", () -> journalled().get(0).attempts.stream().anyMatch(a -> a.neverRan));
+        script(StubServer.status(200, ""));
         handIn("two", "order");
-        Stub.await("both delivered", () -> calls().size() == 3);
-        long first = calls().stream().mapToLong(Stub.Message::atNanos).min().orElseThrow();
-        for (Stub.Message later : calls()) {
+        StubServer.await("both delivered", () -> calls().size() == 3);
+        long first = calls().stream().mapToLong(StubServer.Message::atNanos).min().orElseThrow();
+        for (StubServer.Message later : calls()) {
             assertTrue(later.atNanos() == first || later.atNanos() - first >= 600_000_000, "sent while waiting");
         }
     }
 
     /** Has the first endpoint's connections come up late, and gives a message to each of the two. */
-    private void startWithALateConnect(Stub.Script first, Stub.Script other) throws Exception {
+    private void startWithALateConnect(StubServer.Script first, StubServer.Script other) throws Exception {
         dialMs = 20_000;
         endpoints.get(0).close();
-        endpoints.set(0, Stub.busy(first));
+        endpoints.set(0, StubServer.busy(first));
         endpoints.get(1).script(other);
         start();
         handIn("late", "order");
         handIn("two", "order");
-        Stub.await("the call that connects", () -> endpoints.get(1).requests.size() == 1);
+        StubServer.await("the call that connects", () -> endpoints.get(1).requests.size() == 1);
     }
 
     /** Found on zone+brink+mass: a connect took 0.35 s, and meanwhile the destination told to wait for 0.62 s. */
     @Test
     void aToldWaitIsKeptByACallThatConnectsLate() throws Exception {
-        Stub.Script taken = Stub.status(200, "");
+        StubServer.Script taken = StubServer.status(200, "");
         startWithALateConnect(taken, (request, socket) -> {
             endpoints.get(1).script(taken);
-            Stub.status(429, "Retry-After: 2\r\n").come(request, socket);
+            StubServer.status(429, "Retry-After: 2\r\n").come(request, socket);
         });
         endpoints.get(0).accepts();
         awaitNothingHeld();
@@ -689,12 +690,12 @@
     @Test
     void aWaitToldByAnAnswerThatNeverEndsIsKept() throws Exception {
         script((request, socket) -> {
-            script(Stub.status(200, ""));
-            Stub.write(socket, "HTTP/1.1 429 x\r\nRetry-After: 2\r\nX-Endless: ");
+            script(StubServer.status(200, ""));
+            StubServer.write(socket, "HTTP/1.1 429 x\r\nRetry-After: 2\r\nX-Endless: ");
         });
         start();
         handIn("one", "order");
-        Stub.await("the wait is told", () -> calls().size() == 1);
+        StubServer.await("the wait is told", () -> calls().size() == 1);
         long told = System.nanoTime();
         awaitNothingHeld();
         assertEquals(2, calls().size());
@@ -706,13 +707,13 @@
     void nothingIsWrittenLateForAMessageThatIsOver() throws Exception {
         copies = true;
         cancels = false;
-        Stub.Script taken = Stub.status(200, "");
+        StubServer.Script taken = StubServer.status(200, "");
         startWithALateConnect(taken, taken);
         awaitNothingHeld();
         assertEquals(2, endpoints.get(1).requests.size());
         int others = 2;
         endpoints.get(0).accepts();
-        Stub.await("the late connection", () -> endpoints.get(0).connections() > others);
+        StubServer.await("the late connection", () -> endpoints.get(0).connections() > others);
         handIn("three", "order");
         awaitNothingHeld();
         assertEquals(List.of(), endpoints.get(0).requests.stream().map(c -> c.header("X-Call-Id"))
@@ -721,11 +722,11 @@
 
     @Test
     void nothingIsWrittenLateToAnEndpointThatDrains() throws Exception {
-        Stub.Script taken = Stub.status(200, "");
+        StubServer.Script taken = StubServer.status(200, "");
         startWithALateConnect(taken, taken);
         states = "DRAINING SERVING";
         String generation = generation();
-        Stub.await("the list is read", () -> agent.requests.stream()
+        StubServer.await("the list is read", () -> agent.requests.stream()
                 .anyMatch(r -> r.line().contains("after=" + generation)));
         endpoints.get(0).accepts();
         awaitNothingHeld();
@@ -739,7 +740,7 @@
         for (int round = 0; round < 2; round++) {
             states = round == 0 ? "DRAINING SERVING" : "SERVING DELETED";
             String generation = generation();
-            Stub.await("the list is read", () -> agent.requests.stream()
+            StubServer.await("the list is read", () -> agent.requests.stream()
                     .anyMatch(r -> r.line().contains("after=" + generation)));
             int before = endpoints.get(round).requests.size();
             for (int i = 0; i < 4; i++) {
@@ -764,12 +765,12 @@
             known = !spread;
             start();
             awaitReady();
-            Stub.await("the whole list", () -> unchecked(() -> figure("members") == 1024));
+            StubServer.await("the whole list", () -> unchecked(() -> figure("members") == 1024));
             Socket client = client();
             for (int i = 0; i < 300; i++) {
                 String message = message((spread ? "b-" : "a-") + i, "order", "hello");
                 int cell = 100 + i * 3;
-                Stub.await("it is taken", () -> unchecked(() ->
+                StubServer.await("it is taken", () -> unchecked(() ->
                         ask(client, message.replace("dest=7", "dest=" + cell)).line().contains(" 202 ")));
             }
             awaitNothingHeld();
@@ -786,7 +787,7 @@
         handIn("one", "order");
         awaitNothingHeld();
         agentUp = true;
-        Stub.await("the list is asked for again", () -> agent.requests.stream()
+        StubServer.await("the list is asked for again", () -> agent.requests.stream()
                 .anyMatch(r -> r.line().contains("after=")));
     }
 
@@ -817,9 +818,10 @@
             }
         });
         start();
-        Stub.await("it is asked without a wait", () -> asked().contains("&wait_ms=0 "));
+        StubServer.await("it is asked without a wait", () -> asked().contains("&wait_ms=0 "));
         agent.script(this::agent);
-        Stub.await("the watch goes on", () -> asked().lastIndexOf("&wait_ms=3000 ") > asked().indexOf("&wait_ms=0 "));
+        StubServer.await("the watch goes on",
+                () -> asked().lastIndexOf("&wait_ms=3000 ") > asked().indexOf("&wait_ms=0 "));
     }
 
     @Test
@@ -830,7 +832,7 @@
                 states = "DRAINING SERVING";
                 agent.script(this::agent);
                 String list = list();
-                Stub.write(socket, "HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + "\r\n\r\n"
+                StubServer.write(socket, "HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + "\r\n\r\n"
                         + list.substring(0, list.length() - 2));
                 socket.close();
             } else {
@@ -838,7 +840,7 @@
             }
         });
         start();
-        Stub.await("the change is known", () -> unchecked(() -> figure("members_unavailable") == 1));
+        StubServer.await("the change is known", () -> unchecked(() -> figure("members_unavailable") == 1));
         List<String> watches = asked().lines().filter(line -> line.contains("after=" + before + "&")).toList();
         assertEquals(2, watches.size(), watches.toString());
     }
@@ -851,11 +853,11 @@
                 .replace("\"generation\":" + generation(), "\"generation\":7");
         agent.script((request, socket) -> {
             if (!request.line().contains("after=7&")) {
-                Stub.write(socket, "HTTP/1.1 200 OK\r\nContent-Length: " + spoilt.length() + "\r\n\r\n" + spoilt);
+                StubServer.write(socket, "HTTP/1.1 200 OK\r\nContent-Length: " + spoilt.length() + "\r\n\r\n" + spoilt);
             }
         });
         states = "SERVING DRAINING";
-        Stub.await("the list is taken", () -> asked().contains("after=7&"));
+        StubServer.await("the list is taken", () -> asked().contains("after=7&"));
         for (int i = 0; i < 4; i++) {
             handIn("m" + i, "order");
             awaitNothingHeld();
@@ -865,12 +867,12 @@
 
     /** What the agent was asked. */
     private String asked() {
-        return agent.requests.stream().map(Stub.Message::line).collect(Collectors.joining("\n"));
+        return agent.requests.stream().map(StubServer.Message::line).collect(Collectors.joining("\n"));
     }
 
     @Test
     void nothingIsTakenOrGivenUpBeforeAListIsKnown() throws Exception {
-        Held old = earlierLife("order", 1000, 20_000, false);
+        AcceptedMessage old = earlierLife("order", 1000, 20_000, false);
         known = false;
         agentUp = false;
         start();
@@ -900,41 +902,41 @@
     @Test
     void aLateBacklogGoesOutAtOnceInTheNextLife() throws Exception {
         earlierBacklog(5, Map.of());
-        script(Stub.silent());
+        script(StubServer.silent());
         start();
-        Stub.await("all calls", () -> calls().stream().map(c -> c.header("X-Call-Id")).distinct().count() == 5);
+        StubServer.await("all calls", () -> calls().stream().map(c -> c.header("X-Call-Id")).distinct().count() == 5);
         assertEquals(0, ended(), "none waited for the end of another");
     }
 
     @Test
     void anOutageThatAnEarlierLifeSawGoesOnWithTrials() throws Exception {
-        earlierBacklog(5, Map.of("s-0", Relay.State.DOWN, "s-1", Relay.State.DOWN));
-        script(Stub.silent());
+        earlierBacklog(5, Map.of("s-0", Relay.EndpointState.DOWN, "s-1", Relay.EndpointState.DOWN));
+        script(StubServer.silent());
         start();
-        Stub.await("the end of a trial", () -> ended() > 0);
+        StubServer.await("the end of a trial", () -> ended() > 0);
         assertTrue(calls().size() <= 3, "one out at each endpoint: " + calls().size());
     }
 
     @Test
     void anOutageIsInTheJournal() throws Exception {
         start();
-        for (Stub endpoint : endpoints) {
+        for (StubServer endpoint : endpoints) {
             endpoint.close();
         }
         handIn("one", "order");
-        Stub.await("the state of both", () -> journalledHealth().values().stream()
-                .filter(h -> h.state() == Relay.State.DOWN).count() == 2);
+        StubServer.await("the state of both", () -> journalledHealth().values().stream()
+                .filter(h -> h.state() == Relay.EndpointState.DOWN).count() == 2);
     }
 
     @Test
     void aKeyedAttemptThatWasOutIsRepeatedWithinItsWindow() throws Exception {
-        script(Stub.silent());
+        script(StubServer.silent());
         start();
         handIn("one", "order");
-        Stub.await("the call", () -> calls().size() == 1);
-        script(Stub.status(200, ""));
+        StubServer.await("the call", () -> calls().size() == 1);
+        script(StubServer.status(200, ""));
         killAndStart();
-        Stub.await("the repeat", () -> calls().size() == 2);
+        StubServer.await("the repeat", () -> calls().size() == 2);
         assertEquals(List.of("one", "one"), calls().stream().map(c -> c.header("X-Call-Id")).toList());
         assertEquals(List.of("key-one", "key-one"),
                 calls().stream().map(c -> c.header("Idempotency-Key")).toList());
@@ -951,10 +953,10 @@
 
     @Test
     void anUnsafeAttemptThatWasOutIsGivenUp() throws Exception {
-        script(Stub.silent());
+        script(StubServer.silent());
         start();
         handIn("one", "once");
-        Stub.await("the call", () -> calls().size() == 1);
+        StubServer.await("the call", () -> calls().size() == 1);
         killAndStart();
         awaitNotice("dead");
         assertEquals(1, calls().size());
@@ -962,12 +964,12 @@
 
     @Test
     void anUnsafeMessageWhoseAttemptNeverRanIsSentAgain() throws Exception {
-        script(Stub.status(503, ""));
+        script(StubServer.status(503, ""));
         start();
         handIn("one", "once");
-        Stub.await("the refusal is known", () -> journalled().get(0).attempts.stream()
+        StubServer.await("the refusal is known", () -> journalled().get(0).attempts.stream()
                 .anyMatch(a -> a.neverRan));
-        script(Stub.status(200, ""));
+        script(StubServer.status(200, ""));
         killAndStart();
         awaitNothingHeld();
         assertTrue(notices.isEmpty());
@@ -1000,42 +1002,42 @@
     // ---- a new configuration ----
 
     /** A second agent, which counts its generations from anew; nothing moves before the program is told. */
-    private Stub secondAgent(List<String> told) throws IOException {
-        return new Stub((request, socket) -> {
+    private StubServer secondAgent(List<String> told) throws IOException {
+        return new StubServer((request, socket) -> {
             if (request.line().startsWith("POST")) {
                 told.addAll(List.of(request.body().trim().split("\n")));
-                Stub.write(socket, "HTTP/1.1 204 x\r\n\r\n");
+                StubServer.write(socket, "HTTP/1.1 204 x\r\n\r\n");
             } else if (!request.line().contains("after=")) {
                 String list = list().replace("\"generation\":" + generation(), "\"generation\":1");
-                Stub.write(socket, "HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + "\r\n\r\n" + list);
+                StubServer.write(socket, "HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + "\r\n\r\n" + list);
             }
         });
     }
 
     @Test
     void aNewConfigurationMovesTheWatchAndTheNoticesAtOnce() throws Exception {
-        script(Stub.status(500, ""));
+        script(StubServer.status(500, ""));
         reportStatus = 500;
         start();
         handIn("one", "once");
-        Stub.await("the watch and a notice that is not heard", () -> agent.requests.stream()
+        StubServer.await("the watch and a notice that is not heard", () -> agent.requests.stream()
                 .anyMatch(r -> r.line().contains("after=")) && agent.requests.stream()
                 .anyMatch(r -> r.line().startsWith("POST")));
         List<String> told = new CopyOnWriteArrayList<>();
-        Stub old = agent;
-        try (Stub fresh = secondAgent(told)) {
+        StubServer old = agent;
+        try (StubServer fresh = secondAgent(told)) {
             agent = fresh;
             config();
             sender.reload(environment());
-            Stub.await("the notice, told to the new address", () -> told.size() == 1);
-            Stub.await("a whole list, then a watch", () -> fresh.requests.stream()
+            StubServer.await("the notice, told to the new address", () -> told.size() == 1);
+            StubServer.await("a whole list, then a watch", () -> fresh.requests.stream()
                     .filter(r -> r.line().startsWith("GET")).count() == 2);
-            List<String> asked = fresh.requests.stream().map(Stub.Message::line)
+            List<String> asked = fresh.requests.stream().map(StubServer.Message::line)
                     .filter(line -> line.startsWith("GET")).toList();
             assertEquals("GET /v1/servers HTTP/1.1", asked.get(0));
             assertTrue(asked.get(1).startsWith("GET /v1/servers?after=1&"), asked.get(1));
             awaitNothingHeld();
-            script(Stub.status(200, ""));
+            script(StubServer.status(200, ""));
             handIn("two", "order");
             awaitNothingHeld();
         } finally {
@@ -1052,7 +1054,7 @@
         sender.reload(environment());
         String before = generation();
         states = "SERVING DRAINING";
-        Stub.await("the old agent is asked on", () -> !before.equals(generation()) && agent.requests.stream()
+        StubServer.await("the old agent is asked on", () -> !before.equals(generation()) && agent.requests.stream()
                 .anyMatch(r -> r.line().contains("after=" + generation())));
         handIn("one", "order");
         awaitNothingHeld();
@@ -1084,15 +1086,15 @@
 
     private void moveOnSighup(Process process) throws Exception {
         List<String> told = new CopyOnWriteArrayList<>();
-        Stub old = agent;
-        try (Stub fresh = secondAgent(told)) {
+        StubServer old = agent;
+        try (StubServer fresh = secondAgent(told)) {
             agent = fresh;
             config();
             assertEquals(0, new ProcessBuilder("sh", "-c", "kill -HUP " + process.pid()).start().waitFor());
-            Stub.await("the new agent is asked", () -> !fresh.requests.isEmpty());
-            script(Stub.status(500, ""));
+            StubServer.await("the new agent is asked", () -> !fresh.requests.isEmpty());
+            script(StubServer.status(500, ""));
             handIn("one", "once");
-            Stub.await("the notice, told to the new address", () -> told.size() == 1);
+            StubServer.await("the notice, told to the new address", () -> told.size() == 1);
             process.destroy();
             assertNotEquals(129, process.waitFor());
         } finally {
@@ -1126,7 +1128,7 @@
                 Map.entry(good.replace("X-Call-Class: order", "X-Call-Class: once"), "400"),
                 Map.entry(good.replace("Content-Length: 5", "Content-Length: five"), "400"));
         for (Map.Entry<String, String> e : answers.entrySet()) {
-            Stub.Message answer = ask(client(), e.getKey());
+            StubServer.Message answer = ask(client(), e.getKey());
             assertEquals(e.getValue(), answer.line().split(" ")[1], e.getKey());
         }
         assertTrue(journalled().isEmpty());
@@ -1149,7 +1151,7 @@
         String hidden = message("hidden", "order", "hello");
         for (String coding : List.of("chunked", "xchunked", "gzip, chunked", "identity")) {
             Socket client = client();
-            Stub.write(client, message("outer", "order", "0\r\n\r\n" + hidden).replace("Host: x\r\n",
+            StubServer.write(client, message("outer", "order", "0\r\n\r\n" + hidden).replace("Host: x\r\n",
                     "Host: x\r\nTransfer-Encoding: " + coding + "\r\n"));
             String answers = untilClosed(client);
             assertTrue(answers.startsWith("HTTP/1.1 400 ") && !answers.contains("202"), coding + ": " + answers);
@@ -1163,15 +1165,15 @@
         String whole = message("half", "order", "hello");
         Socket silent = client();
         Socket half = client();
-        Stub.write(half, whole.substring(0, whole.length() - 2));
+        StubServer.write(half, whole.substring(0, whole.length() - 2));
         Socket later = client();
         ask(later, "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n");
-        Stub.write(later, whole.substring(0, 30));
+        StubServer.write(later, whole.substring(0, 30));
         Socket behind = client();
         assertEquals("HTTP/1.1 200 OK", ask(behind, "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n"
                 + whole.substring(0, 30)).line());
         Socket endless = client();
-        Stub.write(endless, "GET /healthz HTTP/1.1\r\n" + "X-More: more\r\n".repeat(2000));
+        StubServer.write(endless, "GET /healthz HTTP/1.1\r\n" + "X-More: more\r\n".repeat(2000));
         Socket once = client();
         assertEquals("HTTP/1.1 200 OK", ask(once, "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n").line());
         assertEquals("", untilClosed(once), "what asks once does not stay for good");
@@ -1203,7 +1205,7 @@
         assertEquals("503", ask(client(), other).line().split(" ")[1]);
         assertTrue(journalled().isEmpty());
         states = "DRAINING DRAINING";
-        Stub.await("the list is read", () -> agent.requests.stream()
+        StubServer.await("the list is read", () -> agent.requests.stream()
                 .anyMatch(r -> r.line().contains("after=" + generation())));
         handIn("away", "order");
         assertEquals(1, journalled().size());
@@ -1211,7 +1213,7 @@
 
     @Test
     void aBudgetIsBoundedByItsClassAndLeavesRoomForTimeUnread() throws Exception {
-        script(Stub.silent());
+        script(StubServer.silent());
         start();
         long before = System.nanoTime();
         assertEquals("202", ask(client(), withBudget("one", Long.MAX_VALUE)).line().split(" ")[1]);
@@ -1223,7 +1225,7 @@
     /** Seen on join+mass: clients come again with some milliseconds left, which a request that stands unread has lost. */
     @Test
     void whatMayBeOverByTheTimeItIsReadIsNotTakenOn() throws Exception {
-        script(Stub.silent());
+        script(StubServer.silent());
         start();
         assertEquals("503", ask(client(), withBudget("late", 399)).line().split(" ")[1]);
         assertTrue(journalled().isEmpty());
@@ -1241,7 +1243,7 @@
         handIn("one", "order");
         awaitNothingHeld();
         handIn("one", "order");
-        script(Stub.status(500, ""));
+        script(StubServer.status(500, ""));
         handIn("two", "once");
         awaitNotice("{\"ref\":\"two\",\"result\":\"dead\"}");
         assertEquals("409", ask(client(), message("two", "order", "hello")).line().split(" ")[1]);
@@ -1255,7 +1257,7 @@
         start();
         handIn("one", "once");
         awaitNothingHeld();
-        script(Stub.status(500, ""));
+        script(StubServer.status(500, ""));
         handIn("two", "once");
         awaitNotice("{\"ref\":\"two\",\"result\":\"dead\"}");
         killAndStart();
@@ -1285,7 +1287,7 @@
         Socket client = client();
         for (char c : message("one", "order", "").replace("Content-Length: 0", "Transfer-Encoding: chunked")
                 .toCharArray()) {
-            Stub.write(client, String.valueOf(c));
+            StubServer.write(client, String.valueOf(c));
         }
         assertEquals("202", ask(client, "3\r\nhel\r\n2\r\nlo\r\n0\r\n\r\n").line().split(" ")[1]);
         awaitNothingHeld();
@@ -1294,7 +1296,7 @@
 
     @Test
     void aFullSenderRefuses() throws Exception {
-        script(Stub.silent());
+        script(StubServer.silent());
         start();
         for (int i = 0; i < MAX_OPEN; i++) {
             handIn("m" + i, "order");
@@ -1305,7 +1307,7 @@
 
     @Test
     void theSameIdIsTakenOnce() throws Exception {
-        script(Stub.silent());
+        script(StubServer.silent());
         start();
         handIn("one", "order");
         handIn("one", "order");
@@ -1317,7 +1319,7 @@
         start();
         Socket gone = client();
         String whole = message("gone", "order", "hello");
-        Stub.write(gone, whole.substring(0, whole.length() - 2));
+        StubServer.write(gone, whole.substring(0, whole.length() - 2));
         gone.close();
         handIn("one", "order");
         awaitNothingHeld();
@@ -1328,14 +1330,14 @@
 
     @Test
     void aDrainTakesThenClosesAndLetsCallsOutFinish() throws Exception {
-        script(Stub.silent());
+        script(StubServer.silent());
         start(60_000);
         Socket kept = client();
         assertEquals("202", ask(kept, message("one", "once", "hello")).line().split(" ")[1]);
-        Stub.await("the call", () -> calls().size() == 1);
+        StubServer.await("the call", () -> calls().size() == 1);
         Thread drain = new Thread(sender::drain);
         drain.start();
-        Stub.await("no new connection is taken", () -> {
+        StubServer.await("no new connection is taken", () -> {
             try {
                 client().close();
                 return false;
@@ -1343,13 +1345,13 @@
                 return true;
             }
         });
-        Stub.Message last = ask(kept, message("two", "order", "hello"));
+        StubServer.Message last = ask(kept, message("two", "order", "hello"));
         assertEquals("202", last.line().split(" ")[1], "a request on a kept connection is still answered");
         assertEquals("close", last.header("Connection"));
         assertEquals(-1, kept.getInputStream().read());
         assertTrue(drain.isAlive(), "calls out are waited for");
-        Stub.await("both calls", () -> calls().size() == 2);
-        for (Stub endpoint : endpoints) {
+        StubServer.await("both calls", () -> calls().size() == 2);
+        for (StubServer endpoint : endpoints) {
             endpoint.answerAll("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
         }
         drain.join();
@@ -1358,10 +1360,10 @@
 
     @Test
     void aDrainEndsInTimeAndTheJournalHoldsTheRest() throws Exception {
-        script(Stub.silent());
+        script(StubServer.silent());
         start();
         handIn("one", "order");
-        Stub.await("the call", () -> calls().size() == 1);
+        StubServer.await("the call", () -> calls().size() == 1);
         sender.drain();
         assertEquals("one", journalled().get(0).id);
         assertEquals(1, journalled().get(0).attempts.size());
@@ -1370,15 +1372,15 @@
     /** Found on the fleet days: an old list was acted on for longer than a drain leaves time. */
     @Test
     void theNextLifeAsksTheAgentBeforeItSendsByAnOldList() throws Exception {
-        script(Stub.silent());
+        script(StubServer.silent());
         start();
         handIn("one", "order");
-        Stub.await("the call", () -> calls().size() == 1);
+        StubServer.await("the call", () -> calls().size() == 1);
         sender.kill();
         sender = new Sender(config(), links, Sender.TAKING_MS, Sender.CLOSING_MS);
         states = "DRAINING DRAINING";
         address = sender.start();
-        Stub.await("the list is known", () -> unchecked(() -> figure("members_unavailable") == 2));
+        StubServer.await("the list is known", () -> unchecked(() -> figure("members_unavailable") == 2));
         assertEquals(1, calls().size());
     }
 
@@ -1386,29 +1388,29 @@
     @Test
     void withoutLinksASecondProcessWaitsForTheEnd() throws Exception {
         links = false;
-        script(Stub.silent());
+        script(StubServer.silent());
         start();
         assertFalse(Files.exists(folder.resolve("state/helm.sock")));
         handIn("one", "order");
-        Stub.await("the call", () -> calls().size() == 1);
+        StubServer.await("the call", () -> calls().size() == 1);
         before = sender;
         start();
         assertEquals("NO not serving\n", operator("readyz"));
         killBefore();
-        Stub.await("the second one goes on", () -> calls().size() == 2);
+        StubServer.await("the second one goes on", () -> calls().size() == 2);
         assertFalse(Files.exists(folder.resolve("state/helm.sock")));
     }
 
     /** The program itself, as a process: SIGKILL loses nothing, and SIGTERM ends it by its own will. */
     @Test
     void theProcessOutlivesItsSignals() throws Exception {
-        script(Stub.silent());
+        script(StubServer.silent());
         config();
         Process first = process();
         handIn("one", "order");
-        Stub.await("the call", () -> calls().size() == 1);
+        StubServer.await("the call", () -> calls().size() == 1);
         first.destroyForcibly().waitFor();
-        script(Stub.status(200, ""));
+        script(StubServer.status(200, ""));
         Process second = process();
         awaitNothingHeld();
         assertEquals(2, calls().size());
@@ -1428,7 +1430,7 @@
         Path log = Files.createTempFile(folder, "log", "");
         Process process = builder.redirectErrorStream(true).redirectOutput(log.toFile()).start();
         String ready = " listens at 127.0.0.1:";
-        Stub.await("the process is ready", () -> {
+        StubServer.await("the process is ready", () -> {
             try {
                 String text = Files.readString(log);
                 int at = text.indexOf(ready);
--- a/src/test/java/kestreldeal/net/Surroundings.java
+++ b/src/test/java/kestreldeal/net/SenderTestEnvironment.java
@@ -17,14 +17,14 @@
  * What one sender has round it, over loopback sockets: its folder and configuration, an agent, and endpoints, each of a
  * destination of its own, that are all one machine.
  */
-final class Surroundings implements AutoCloseable {
+final class SenderTestEnvironment implements AutoCloseable {
     static final String HEALTH = "GET /healthz HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n";
     static final long DISK_BYTES = 3_000_000;
     static final int MAX_ATTEMPTS = 12;
 
     final Path folder;
-    final Stub endpoint;
-    final Stub agent;
+    final StubServer endpoint;
+    final StubServer agent;
     final List<String> notices = new CopyOnWriteArrayList<>();
     volatile String firstState = "SERVING";
     volatile int firstDestination;
@@ -38,10 +38,10 @@
     /** Where operators connect, or empty. */
     String operators = "";
 
-    Surroundings(Path folder, Stub endpoint) throws IOException {
+    SenderTestEnvironment(Path folder, StubServer endpoint) throws IOException {
         this.folder = folder;
         this.endpoint = endpoint;
-        this.agent = new Stub(this::answer);
+        this.agent = new StubServer(this::answer);
         Files.createDirectories(state());
     }
 
@@ -54,7 +54,7 @@
     }
 
     /** What the journal holds, read from a copy. */
-    List<Held> journalled() {
+    List<AcceptedMessage> journalled() {
         try {
             Path copy = Files.createTempDirectory(folder, "copy");
             Files.copy(state().resolve("journal"), copy.resolve("journal"));
@@ -67,13 +67,13 @@
     }
 
     /** The agent as it is when all is well; a watch without news is not answered. */
-    void answer(Stub.Message request, Socket socket) throws IOException {
+    void answer(StubServer.Message request, Socket socket) throws IOException {
         if (request.line().startsWith("POST")) {
             notices.addAll(List.of(request.body().trim().split("\n")));
-            Stub.write(socket, "HTTP/1.1 204 x\r\n\r\n");
+            StubServer.write(socket, "HTTP/1.1 204 x\r\n\r\n");
         } else if (!request.line().contains("after=" + generation())) {
             String list = list();
-            Stub.write(socket, "HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + "\r\n\r\n" + list);
+            StubServer.write(socket, "HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + "\r\n\r\n" + list);
         }
     }
 
@@ -151,15 +151,15 @@
     }
 
     static int ask(Socket socket, String request) throws IOException {
-        Stub.write(socket, request);
-        Stub.Message answer = Stub.read(new BufferedInputStream(socket.getInputStream()), 0);
+        StubServer.write(socket, request);
+        StubServer.Message answer = StubServer.read(new BufferedInputStream(socket.getInputStream()), 0);
         return answer == null ? 0 : Integer.parseInt(answer.line().split(" ")[1]);
     }
 
     /** What operators are answered, or nothing where they can't connect. */
     static String operatorsAnswer(InetSocketAddress address, String call) {
         try (Socket socket = new Socket(address.getAddress(), address.getPort())) {
-            Stub.write(socket, call + "\n");
+            StubServer.write(socket, call + "\n");
             return new String(socket.getInputStream().readAllBytes(), StandardCharsets.US_ASCII);
         } catch (IOException refused) {
             return "";
--- a/src/test/java/kestreldeal/net/StartTest.java
+++ b/src/test/java/kestreldeal/net/StartupTest.java
@@ -15,11 +15,11 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /** What fails for a moment as the program starts does not end it: it tries again, and is ready once that works. */
-class StartTest {
+class StartupTest {
     @TempDir
     private Path folder;
-    private Stub endpoint;
-    private Surroundings world;
+    private StubServer endpoint;
+    private SenderTestEnvironment world;
     private Process process;
 
     /** What fails at first. */
@@ -28,8 +28,8 @@
     }
 
     private void open() throws IOException {
-        endpoint = new Stub(Stub.status(200, ""));
-        world = new Surroundings(folder, endpoint);
+        endpoint = new StubServer(StubServer.status(200, ""));
+        world = new SenderTestEnvironment(folder, endpoint);
     }
 
     @AfterEach
@@ -58,7 +58,7 @@
     }
 
     private void awaitAlive(String what, BooleanSupplier condition) throws Exception {
-        Stub.await(what, () -> !process.isAlive() || condition.getAsBoolean());
+        StubServer.await(what, () -> !process.isAlive() || condition.getAsBoolean());
         assertTrue(process.isAlive(), "it ended: " + Files.readString(world.log()));
     }
 
@@ -86,8 +86,9 @@
             Files.delete(journal);
         }
         InetSocketAddress clients = Config.address(world.listen);
-        awaitAlive("it is ready", () -> Surroundings.ask(clients, Surroundings.HEALTH) == 200);
+        awaitAlive("it is ready", () -> SenderTestEnvironment.ask(clients, SenderTestEnvironment.HEALTH) == 200);
         InetSocketAddress operators = Config.address(world.operators);
-        awaitAlive("operators are answered", () -> Surroundings.operatorsAnswer(operators, "readyz").equals("YES\n"));
+        awaitAlive("operators are answered",
+                () -> SenderTestEnvironment.operatorsAnswer(operators, "readyz").equals("YES\n"));
     }
 }
--- a/src/test/java/kestreldeal/net/Stub.java
+++ b/src/test/java/kestreldeal/net/StubServer.java
@@ -20,7 +20,7 @@
 import java.util.function.BooleanSupplier;
 
 /** A scripted HTTP server on a loopback socket, and the plain client side, for tests. */
-final class Stub implements AutoCloseable {
+final class StubServer implements AutoCloseable {
     /** A request or an answer; {@code connection} numbers those of one server. */
     record Message(String line, Map<String, String> headers, String body, int connection, long atNanos) {
         String header(String name) {
@@ -40,19 +40,19 @@
     private final AtomicInteger connections = new AtomicInteger();
     private final AtomicInteger ended = new AtomicInteger();
 
-    Stub(Script script) throws IOException {
+    StubServer(Script script) throws IOException {
         this(script, 50);
         accepts();
     }
 
-    private Stub(Script script, int backlog) throws IOException {
+    private StubServer(Script script, int backlog) throws IOException {
         this.script = script;
         this.server = new ServerSocket(0, backlog, InetAddress.getLoopbackAddress());
     }
 
     /** One whose queue of connections is full: others come up late, a second or more after {@link #accepts}. */
-    static Stub busy(Script script) throws IOException {
-        Stub stub = new Stub(script, 1);
+    static StubServer busy(Script script) throws IOException {
+        StubServer stub = new StubServer(script, 1);
         // The system's queue holds one more than it is told.
         for (int i = 0; i < 2; i++) {
             stub.sockets.add(new Socket(stub.address().getAddress(), stub.address().getPort()));
--- a/src/test/java/kestreldeal/net/WallClockTest.java
+++ b/src/test/java/kestreldeal/net/WallClockTest.java
@@ -23,8 +23,8 @@
     @TempDir
     private Path folder;
     private final ManualClock clock = new ManualClock();
-    private Stub endpoint;
-    private Surroundings world;
+    private StubServer endpoint;
+    private SenderTestEnvironment world;
     private Sender sender;
 
     @AfterEach
@@ -42,7 +42,7 @@
         return new Journal(folder, DISK, 12, clock, FileChannel::open);
     }
 
-    private void assertSpans(Held held, Journal.Health health, long passedMs) {
+    private void assertSpans(AcceptedMessage held, Journal.Health health, long passedMs) {
         assertEquals(24_000 - passedMs, held.leftMs(clock));
         assertFalse(held.isTimeUp(clock));
         assertEquals(passedMs, held.attempts.get(0).ageMs(clock));
@@ -53,11 +53,11 @@
     @ValueSource(longs = {3_600_000, 5000, -5000, -3_600_000})
     void aStepMovesNoSpan(long stepMs) throws Exception {
         try (Journal journal = journal()) {
-            Held held = Held.withTimeLeft(journal.nextNumber(), "id", "order", "", Optional.of("key"), 7, 24_000,
-                    new byte[1], clock);
+            AcceptedMessage held = AcceptedMessage.withTimeLeft(journal.nextNumber(), "id", "order", "",
+                    Optional.of("key"), 7, 24_000, new byte[1], clock);
             journal.taken(held);
-            journal.attempt(held, Held.Attempt.sentAgo("e", 0, clock));
-            journal.health("e", Journal.Health.since(0, Relay.State.DOWN, 0.5, clock));
+            journal.attempt(held, AcceptedMessage.Attempt.sentAgo("e", 0, clock));
+            journal.health("e", Journal.Health.since(0, Relay.EndpointState.DOWN, 0.5, clock));
             clock.pass(6000);
             clock.stepWall(stepMs);
             assertSpans(held, journal.health().get("e"), 6000);
@@ -75,7 +75,7 @@
         clock.reboot(5_000);
         for (int life = 0; life < 2; life++) {
             try (Journal journal = journal()) {
-                Held held = journal.held().iterator().next();
+                AcceptedMessage held = journal.held().iterator().next();
                 assertTrue(held.leftMs(clock) > 24_000, "left: " + held.leftMs(clock));
                 assertTrue(held.attempts.get(0).ageMs(clock) > TimeUnit.DAYS.toMillis(1));
                 assertEquals(0, journal.health().get("e").ageMs(clock));
@@ -90,7 +90,7 @@
         leave();
         clock.rewind(5_000);
         try (Journal journal = journal()) {
-            Held held = journal.held().iterator().next();
+            AcceptedMessage held = journal.held().iterator().next();
             assertTrue(held.leftMs(clock) > 24_000, "left: " + held.leftMs(clock));
             assertTrue(held.attempts.get(0).ageMs(clock) > TimeUnit.DAYS.toMillis(1));
         }
@@ -98,11 +98,11 @@
 
     private void leave() throws IOException {
         try (Journal journal = journal()) {
-            Held held = Held.withTimeLeft(journal.nextNumber(), "id", "order", "", Optional.of("key"), 7, 24_000,
-                    new byte[1], clock);
+            AcceptedMessage held = AcceptedMessage.withTimeLeft(journal.nextNumber(), "id", "order", "",
+                    Optional.of("key"), 7, 24_000, new byte[1], clock);
             journal.taken(held);
-            journal.attempt(held, Held.Attempt.sentAgo("e", 0, clock));
-            journal.health("e", Journal.Health.since(0, Relay.State.WARMING, 0.5, clock));
+            journal.attempt(held, AcceptedMessage.Attempt.sentAgo("e", 0, clock));
+            journal.health("e", Journal.Health.since(0, Relay.EndpointState.WARMING, 0.5, clock));
         }
     }
 
@@ -119,23 +119,23 @@
         }
 
         @Override
-        public String boot() {
-            return MachineClock.system().boot();
+        public String bootId() {
+            return MachineClock.system().bootId();
         }
     }
 
     @ParameterizedTest
     @ValueSource(longs = {3_600_000, -3_600_000})
     void whatIsHeldIsTriedInTheNextLifeWhateverTheWallClockSays(long stepMs) throws Exception {
-        endpoint = new Stub(Stub.status(200, ""));
-        world = new Surroundings(folder, endpoint);
+        endpoint = new StubServer(StubServer.status(200, ""));
+        world = new SenderTestEnvironment(folder, endpoint);
         try (Journal journal = world.journal()) {
-            journal.taken(Held.withTimeLeft(journal.nextNumber(), "untried", "once", "", Optional.empty(), 0, 20_000,
-                    new byte[0], MachineClock.system()));
+            journal.taken(AcceptedMessage.withTimeLeft(journal.nextNumber(), "untried", "once", "", Optional.empty(), 0,
+                    20_000, new byte[0], MachineClock.system()));
         }
         sender = world.sender(new Stepped(stepMs));
         sender.start();
-        Stub.await("the call", () -> endpoint.requests.size() == 1);
+        StubServer.await("the call", () -> endpoint.requests.size() == 1);
         assertEquals("untried", endpoint.requests.get(0).header("X-Call-Id"));
     }
 }
--- a/src/test/java/kestreldeal/scale/fleet/ColdReturnTest.java
+++ b/src/test/java/kestreldeal/scale/fleet/ColdReturnTest.java
@@ -10,7 +10,7 @@
 /** The rule on cold destinations, against figures reckoned by hand. */
 class ColdReturnTest {
     /** Ten calls a second, cold from 10 s to 22 s at a fifth, twice that for 3 s. */
-    private final ColdReturn cold = new ColdReturn(0.01, new Relay.ColdStart(0.2, 12_000, 2, 3000), 10_000,
+    private final ColdReturn cold = new ColdReturn(0.01, new Relay.SlowStart(0.2, 12_000, 2, 3000), 10_000,
             HollowEndpoint.State.SHUT);
 
     private static double most(double n) {
@@ -31,7 +31,7 @@
     @Test
     void aWindowHoldsTheCallsOfItsSpanOnly() {
         for (int i = 0; i < 20; i++) {
-            cold.arrived(10_000 + i, i < 14, i < 3 ? Relay.State.UP : Relay.State.DOWN);
+            cold.arrived(10_000 + i, i < 14, i < 3 ? Relay.EndpointState.UP : Relay.EndpointState.DOWN);
         }
         assertEquals(20, cold.worst().calls());
         assertEquals(14, cold.worst().told());
@@ -40,19 +40,19 @@
         assertEquals(HollowEndpoint.State.SHUT, cold.worst().after());
         assertTrue(cold.worst().isTold());
         assertFalse(cold.worst().ratio() > 1, "20.9 are allowed");
-        assertTrue(cold.arrived(10_020, false, Relay.State.WARMING).ratio() > 1);
+        assertTrue(cold.arrived(10_020, false, Relay.EndpointState.WARMING).ratio() > 1);
         assertFalse(cold.worst().isTold(), "14 of 21 are not over two thirds");
-        assertEquals(1, cold.arrived(13_020, false, Relay.State.WARMING).calls());
+        assertEquals(1, cold.arrived(13_020, false, Relay.EndpointState.WARMING).calls());
         assertFalse(cold.isBroken());
     }
 
     @Test
     void theRuleIsBrokenBySendersThatWereTold() {
         for (int i = 0; i < 20; i++) {
-            cold.arrived(10_000 + i, i < 15, Relay.State.WARMING);
+            cold.arrived(10_000 + i, i < 15, Relay.EndpointState.WARMING);
         }
         assertFalse(cold.isBroken());
-        cold.arrived(10_020, false, Relay.State.WARMING);
+        cold.arrived(10_020, false, Relay.EndpointState.WARMING);
         assertTrue(cold.isBroken(), "15 of 21 are over two thirds");
     }
 }
--- a/src/test/java/kestreldeal/scale/fleet/Doctored.java
+++ b/src/test/java/kestreldeal/scale/fleet/Doctored.java
@@ -12,58 +12,58 @@
     }
 
     @Override
-    public void endpoints(double now, boolean whole, List<Endpoint> entries) {
-        real.endpoints(now, whole, entries);
+    public void endpointsChanged(double now, boolean whole, List<Endpoint> entries) {
+        real.endpointsChanged(now, whole, entries);
     }
 
     @Override
-    public void message(double now, Message message) {
-        real.message(now, message);
+    public void messageAccepted(double now, Message message) {
+        real.messageAccepted(now, message);
     }
 
     @Override
-    public void resumed(double now, Message message, List<EarlierAttempt> attempts) {
-        real.resumed(now, message, attempts);
+    public void messageRestored(double now, Message message, List<EarlierAttempt> attempts) {
+        real.messageRestored(now, message, attempts);
     }
 
     @Override
-    public void recalled(double now, long endpoint, Health health) {
-        real.recalled(now, endpoint, health);
+    public void restoreEndpointHealth(double now, long endpoint, EndpointHealth health) {
+        real.restoreEndpointHealth(now, endpoint, health);
     }
 
     @Override
-    public Memory memory(double now) {
-        return real.memory(now);
+    public LearnedState learnedState(double now) {
+        return real.learnedState(now);
     }
 
     @Override
-    public void recalled(double now, Memory memory) {
-        real.recalled(now, memory);
+    public void restoreLearnedState(double now, LearnedState memory) {
+        real.restoreLearnedState(now, memory);
     }
 
     @Override
-    public void closing(double now, double end) {
-        real.closing(now, end);
+    public void shutdownScheduled(double now, double end) {
+        real.shutdownScheduled(now, end);
     }
 
     @Override
-    public void attemptEnded(double now, AttemptEnd end) {
-        real.attemptEnded(now, end);
+    public void attemptCompleted(double now, AttemptResult end) {
+        real.attemptCompleted(now, end);
     }
 
     @Override
-    public void waitTold(double now, long endpoint, double waitMs) {
-        real.waitTold(now, endpoint, waitMs);
+    public void retryAfterReceived(double now, long endpoint, double waitMs) {
+        real.retryAfterReceived(now, endpoint, waitMs);
     }
 
     @Override
-    public boolean mayStillGo(double now, long endpoint) {
-        return real.mayStillGo(now, endpoint);
+    public boolean sendAllowed(double now, long endpoint) {
+        return real.sendAllowed(now, endpoint);
     }
 
     @Override
-    public void withdrawn(double now, long message) {
-        real.withdrawn(now, message);
+    public void messageCancelled(double now, long message) {
+        real.messageCancelled(now, message);
     }
 
     @Override
@@ -72,8 +72,8 @@
     }
 
     @Override
-    public Standing standing() {
-        return real.standing();
+    public EndpointCounts endpointCounts() {
+        return real.endpointCounts();
     }
 
     @Override
@@ -100,13 +100,13 @@
         }
 
         @Override
-        public void closeIdle(long endpoint) {
-            to.closeIdle(endpoint);
+        public void closeIdleConnections(long endpoint) {
+            to.closeIdleConnections(endpoint);
         }
 
         @Override
-        public void refuse(long message, double waitMs) {
-            to.refuse(message, waitMs);
+        public void reject(long message, double waitMs) {
+            to.reject(message, waitMs);
         }
 
         @Override
@@ -120,8 +120,8 @@
         }
 
         @Override
-        public void remember(long endpoint, Health health) {
-            to.remember(endpoint, health);
+        public void saveEndpointHealth(long endpoint, EndpointHealth health) {
+            to.saveEndpointHealth(endpoint, health);
         }
 
         @Override
--- a/src/test/java/kestreldeal/scale/fleet/LedgerTest.java
+++ b/src/test/java/kestreldeal/scale/fleet/LedgerTest.java
@@ -37,7 +37,7 @@
     void aMessageWithoutAnAnswerIsFound() {
         breaks(Scenario.RETURN, (s, seed, actions) -> Relay.create(s, seed, new Doctored.Passing(actions) {
             @Override
-            public void refuse(long message, double waitMs) {
+            public void reject(long message, double waitMs) {
                 // Left out.
             }
         }), "no final answer [0-9]+ ms after its time");
@@ -47,14 +47,16 @@
     void anAnswerTooLateIsFound() {
         breaks(Scenario.RETURN, (s, seed, actions) -> new Doctored(Relay.create(s, seed, actions)) {
             @Override
-            public void message(double now, Message m) {
-                super.message(now, new Message(m.id(), m.messageClass(), m.tenant(), m.key(), m.timeLeftMs() + 60,
+            public void messageAccepted(double now, Message m) {
+                super.messageAccepted(now,
+                        new Message(m.id(), m.messageClass(), m.tenant(), m.key(), m.timeLeftMs() + 60,
                         m.destination()));
             }
 
             @Override
-            public void resumed(double now, Message m, List<EarlierAttempt> attempts) {
-                super.resumed(now, new Message(m.id(), m.messageClass(), m.tenant(), m.key(), m.timeLeftMs() + 60,
+            public void messageRestored(double now, Message m, List<EarlierAttempt> attempts) {
+                super.messageRestored(now,
+                        new Message(m.id(), m.messageClass(), m.tenant(), m.key(), m.timeLeftMs() + 60,
                         m.destination()), attempts);
             }
         }, "no final answer 20 ms after its time");
@@ -64,8 +66,8 @@
     void aSecondAnswerIsFound() {
         breaks(Scenario.RETURN, (s, seed, actions) -> Relay.create(s, seed, new Doctored.Passing(actions) {
             @Override
-            public void refuse(long message, double waitMs) {
-                super.refuse(message, waitMs);
+            public void reject(long message, double waitMs) {
+                super.reject(message, waitMs);
                 super.fail(message);
             }
         }), "failed by sender [0-9]+, which does not have it");
@@ -82,17 +84,18 @@
         }
 
         @Override
-        public void message(double now, Message message) {
+        public void messageAccepted(double now, Message message) {
             if (message.messageClass() == messageClass) {
                 ofClass.add(message.id());
             }
-            super.message(now, message);
+            super.messageAccepted(now, message);
         }
 
         @Override
-        public void attemptEnded(double now, AttemptEnd e) {
-            boolean lie = ofClass.contains(e.message()) && e.outcome().mayHaveRun() && !e.finished();
-            super.attemptEnded(now, lie ? new AttemptEnd(e.message(), e.attempt(), Outcome.UNREACHABLE, e.tookMs(),
+        public void attemptCompleted(double now, AttemptResult e) {
+            boolean lie = ofClass.contains(e.message()) && e.outcome().mayHaveRun() && !e.messageFinished();
+            super.attemptCompleted(now, lie
+                    ? new AttemptResult(e.message(), e.attempt(), Outcome.UNREACHABLE, e.durationMs(),
                     false, 0, e.report()) : e);
         }
     }
@@ -113,8 +116,8 @@
     void aSendAfterWordOfADrainIsFound() {
         breaks(Scenario.STEADY, (s, seed, actions) -> new Doctored(Relay.create(s, seed, actions)) {
             @Override
-            public void endpoints(double now, boolean whole, List<Endpoint> entries) {
-                super.endpoints(now, whole, entries.stream().filter(Endpoint::serving).toList());
+            public void endpointsChanged(double now, boolean whole, List<Endpoint> entries) {
+                super.endpointsChanged(now, whole, entries.stream().filter(Endpoint::serving).toList());
             }
         }, "after word that it drains or is gone");
     }
@@ -123,9 +126,9 @@
     void aSendWithinAToldWaitIsFound() {
         breaks(Scenario.RETURN, (s, seed, actions) -> new Doctored(Relay.create(s, seed, actions)) {
             @Override
-            public void attemptEnded(double now, AttemptEnd e) {
-                super.attemptEnded(now, new AttemptEnd(e.message(), e.attempt(), e.outcome(), e.tookMs(),
-                        e.finished(), 0, e.report()));
+            public void attemptCompleted(double now, AttemptResult e) {
+                super.attemptCompleted(now, new AttemptResult(e.message(), e.attempt(), e.outcome(), e.durationMs(),
+                        e.messageFinished(), 0, e.report()));
             }
         }, "before a told wait ends");
     }
@@ -134,8 +137,9 @@
     @Test
     void tooManyCallsInAColdReturnAreSeenAndPushOver() {
         Fleet.RelayFactory alone = (s, seed, actions) -> Relay.create(new Relay.Settings(s.classes(), s.kinds(),
-                s.ratesListed(), s.decay(), s.zoneFees(), 1, s.slots(), s.maxAttempts(), s.copies(), s.cancels(),
-                s.keyRestMs(), s.keepAliveMs(), new Relay.ColdStart(1, 12_000, 50, 3000)), seed, actions);
+                s.ratesListed(), s.valueDecay(), s.zoneFees(), 1, s.slots(), s.maxAttempts(), s.hedging(),
+                s.cancellation(),
+                s.keyCoolDownMs(), s.keepAliveMs(), new Relay.SlowStart(1, 12_000, 50, 3000)), seed, actions);
         FleetSettings stands = new FleetSettings(60, 12, 8, 30, 5, Scenario.RETURN, false, Model.STANDARD);
         FleetSettings falls = new FleetSettings(60, 12, 8, 30, 5, Scenario.RETURN, true, Model.STANDARD);
         Counts seen = new Fleet(stands, alone).run((now, events) -> { });
