--- a/src/main/java/kestreldeal/InvalidInputException.java
+++ b/src/main/java/kestreldeal/InvalidInputException.java
@@ -1,10 +1,10 @@
 package kestreldeal;
 
-/** Input that can't be read, in plain words. */
+/** Thrown if input or a setting is invalid; the message is meant for the user. */
 public final class InvalidInputException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    /** Says what is wrong with it. */
+    /** Creates an exception whose message says what is wrong with the input. */
     public InvalidInputException(String text) {
         super(text);
     }
--- a/src/main/java/kestreldeal/Params.java
+++ b/src/main/java/kestreldeal/Params.java
@@ -5,15 +5,16 @@
 import java.util.Map;
 
 /**
- * The settings of one sender by their dotted names, and what the module is told of them. Shared by the
- * adapter and the real sender, lest the two read one setting in two ways; unknown ones are never asked for.
+ * The settings of one sender by their dotted names, and the decision module's settings that follow from them. The
+ * simulator adapter and the real sender share this class so that both interpret a setting alike. Unknown settings
+ * are ignored.
  */
 public record Params(Map<String, String> values) {
-    /** The names of the figures in reports: the rate of a destination's limit, and the share of it that is left. */
+    /** The names of the fields of a load report: the rate limit of a destination, and the share of it that is left. */
     public static final String REPORTED_RATE_FIELD = "x1";
     public static final String REPORTED_SHARE_LEFT_FIELD = "x0";
 
-    /** The module's settings. */
+    /** Returns the settings of the decision module. */
     public Relay.Settings settings() throws InvalidInputException {
         List<Relay.MessageClass> classes = new ArrayList<>();
         for (int i = 0; i < atLeastOne("classes.count"); i++) {
@@ -44,7 +45,10 @@
                 numberOrDefault("rules.order_pause_ms", 0), numberOrDefault("limits.keepalive_ms", 0), slowStart);
     }
 
-    /** A deployment may name its kinds only: then they share limits and take one message in a call. */
+    /**
+     * Returns the kinds of destination. A deployment may set only their names: then the endpoints of a destination
+     * share its rate limit, and a call carries one message.
+     */
     private List<Relay.DestinationKind> kinds() throws InvalidInputException {
         List<String> routes = list("family_info.separate_routes");
         List<String> batches = list("family_info.batch_by_kind");
@@ -57,12 +61,12 @@
         return kinds;
     }
 
-    /** The names of the figures that an answer's report holds, in their order on the wire. */
+    /** Returns the names of the fields of a response's load report, in their order on the wire. */
     public List<String> reportFields() {
         return list("reporting.fields");
     }
 
-    /** The value of a setting that must be there. */
+    /** Returns the value of a required setting. */
     public String text(String name) throws InvalidInputException {
         String value = values.get(name);
         if (value == null) {
@@ -71,42 +75,40 @@
         return value;
     }
 
-    /** The value of a setting, or what stands for its absence. */
     public String textOrDefault(String name, String defaultValue) {
         return values.getOrDefault(name, defaultValue);
     }
 
-    /** The number in a setting that must be there. */
+    /** Returns the number in a required setting. */
     public double number(String name) throws InvalidInputException {
         return parse(name, text(name));
     }
 
-    /** A count, or a time in milliseconds, that means nothing under 1. */
+    /** Returns a required count, or time in milliseconds, of at least 1. */
     public double atLeastOne(String name) throws InvalidInputException {
         double value = number(name);
         if (value < 1) {
-            throw new InvalidInputException("setting " + name + " is under 1: " + text(name));
+            throw new InvalidInputException("setting " + name + " is less than 1: " + text(name));
         }
         return value;
     }
 
-    /** The number in a setting, or what stands for its absence. */
     public double numberOrDefault(String name, double defaultValue) throws InvalidInputException {
         return values.containsKey(name) ? number(name) : defaultValue;
     }
 
-    /** Whether a switch is on; an absent one is off. */
+    /** Returns whether a switch is on; an absent switch is off. */
     public boolean flag(String name) {
         return textOrDefault(name, "false").equals("true");
     }
 
-    /** The parts of a list of plain values; none where it is absent. */
+    /** Returns the elements of a comma-separated list; an absent list is empty. */
     public List<String> list(String name) {
         String value = textOrDefault(name, "");
         return value.isEmpty() || value.equals("-") ? List.of() : List.of(value.split(","));
     }
 
-    /** A setting's number; none is endless. */
+    /** Parses the number in a setting, which must be finite. */
     private static double parse(String name, String value) throws InvalidInputException {
         try {
             double number = parse(value);
@@ -114,12 +116,12 @@
                 return number;
             }
         } catch (InvalidInputException e) {
-            // Told below, like what is no finite number.
+            // Reported below, with the name of the setting, as is a number that is not finite.
         }
         throw new InvalidInputException("setting " + name + " is not a number: " + value);
     }
 
-    /** A number in the wire's form. */
+    /** Parses a number as it is written on the wire. */
     static double parse(String value) throws InvalidInputException {
         try {
             return Double.parseDouble(value);
--- a/src/main/java/kestreldeal/Relay.java
+++ b/src/main/java/kestreldeal/Relay.java
@@ -5,158 +5,165 @@
 import java.util.OptionalLong;
 
 /**
- * The decision module's interface: what a sender tells it, what it tells the sender, and the values that
- * pass.
+ * The interface of the decision module: the events that a sender reports to it, the actions that it requests
+ * from the sender, and the values that both exchange.
  *
- * <p>Contract. One instance serves one sender and is called from one thread at a time. It has no clock: each
- * event carries the caller's time in milliseconds, which never goes back. Events between two calls of {@link
- * #endTurn} form a turn and share one time; new sends are decided in {@code endTurn} only, so that those of
- * one turn to one endpoint can share a call. {@link Actions} may be called during any event, in the order in
- * which they are meant; an action must not call back into the instance. Equal settings, seed and events give
- * equal actions.
+ * <p>Contract. One instance serves one sender and must not be called by two threads at the same time. It has no
+ * clock: each event carries the caller's time in milliseconds, which must never decrease. The events between two
+ * calls of {@link #endTurn} form a turn and share one time. New attempts are started in {@code endTurn} only, so
+ * that attempts of one turn to the same endpoint can share a call. The instance may invoke {@link Actions} during
+ * any event; the sender must carry them out in the order of invocation, and must not call the instance from within
+ * an action. Equal settings, seeds and events produce equal actions.
  *
- * <p>Misuse (an unknown message or attempt, a repeated id, a clock that goes back) throws {@link
- * IllegalArgumentException} or {@link IllegalStateException}; what may arrive late by nature (a withdrawal of
- * an ended message, a wake that is no longer needed, a second end of one attempt) is ignored.
+ * <p>Incorrect use (an unknown message or attempt, a repeated id, a time that decreases) throws {@link
+ * IllegalArgumentException} or {@link IllegalStateException}. Events that can arrive late in normal operation are
+ * ignored: a cancellation of a completed message, a timer that is no longer needed, a second result of an attempt.
  */
 public interface Relay {
-    /** A new instance, with no state; equal settings, seeds and events give equal actions. */
+    /** Creates an instance with no state; equal settings, seeds and events produce equal actions. */
     static Relay create(Settings settings, long seed, Actions actions) {
         return new DeliveryScheduler(settings, seed, actions);
     }
 
     /**
-     * The list of endpoints changed: the whole list, or only the entries that differ from the list before.
+     * Reports a change of the endpoint list: {@code entries} are the full list, or only the entries that differ from
+     * the previous list.
      */
     void endpointsChanged(double nowMs, boolean fullList, List<Endpoint> entries);
 
     /**
-     * The sender has taken a message; exactly one of delivered, refused or failed ends it before its time is
-     * up.
+     * Reports that the sender has accepted a message. Exactly one final result completes it before its deadline: it
+     * is delivered, rejected or failed.
      */
     void messageAccepted(double nowMs, Message message);
 
     /**
-     * A message that an earlier life of this sender took comes back from its journal, with the attempts made
-     * then, in their order; further ones are numbered on from these. One that was out when that life ended
-     * may have run, holds no slot and gets no end any more, unless it is still out: then the process that made it
-     * lives on to wait for it, and its end will be told. Messages come in the order taken.
+     * Restores a message that a previous process of this sender accepted, from the journal, with the attempts made
+     * so far in their order; further attempts continue their numbering. An attempt that was in flight when that
+     * process ended may have run; it occupies no slot and gets no result. If it is still in flight, the process
+     * that started it keeps running to wait for it, and its result will be reported. Messages are restored in the
+     * order in which they were accepted.
      */
     void messageRestored(double nowMs, Message message, List<EarlierAttempt> attempts);
 
     /**
-     * The health of an endpoint as it was last told by {@link Actions#saveEndpointHealth} in an earlier life, with its
-     * time on this life's clock; told before the messages of that life, be the endpoint listed yet or not.
+     * Restores the health of an endpoint as a previous process last saved it by {@link Actions#saveEndpointHealth};
+     * its time is converted to this process's clock. It is restored before the messages of that process, whether or
+     * not the endpoint is listed yet.
      */
     void restoreEndpointHealth(double nowMs, long endpoint, EndpointHealth health);
 
     /**
-     * What this instance knows beside its messages and what {@link Actions#saveEndpointHealth} told, for the next one.
+     * Returns what this instance has learned, for its successor: the state beyond the messages and what {@link
+     * Actions#saveEndpointHealth} has saved.
      */
     LearnedState learnedState(double nowMs);
 
-    /** What the instance knew that this one takes over from; told before its messages, and at most once. */
+    /** Restores the learned state of this instance's predecessor; called at most once, before its messages. */
     void restoreLearnedState(double nowMs, LearnedState memory);
 
     /**
-     * The sender will stop at this time: no call starts any more that can't be expected to end before it.
+     * Announces that the sender will stop at {@code endMs}. From now on the instance starts no call that it does not
+     * expect to complete before that time.
      */
     void shutdownScheduled(double nowMs, double endMs);
 
     /**
-     * An attempt has ended; each {@link Actions#send} gets exactly one. A delivered end finishes the message
-     * without a further answer from the module.
+     * Reports the result of an attempt; each {@link Actions#send} gets exactly one. The result {@link
+     * Outcome#DELIVERED} completes the message without a further action of the instance.
      */
     void attemptCompleted(double nowMs, AttemptResult result);
 
     /**
-     * An endpoint has told to wait for so long from now on, in whatever answer: one to a call that is over, or one
-     * that can't be read to its end. An attempt's end may tell the same wait again.
+     * Reports that an endpoint asked the sender to back off for {@code retryAfterMs} from now on. The response may
+     * belong to a call that is already over, or may be impossible to read to its end. The result of an attempt may
+     * report the same wait again.
      */
     void retryAfterReceived(double nowMs, long endpoint, double retryAfterMs);
 
     /**
-     * Whether a call that was decided earlier may still be written to its endpoint: while the rest of the turn, or
-     * a connect, took its time a wait may have been told, or that it drains. A question and no event: its time may
-     * be later than that of the open turn.
+     * Returns whether a call that was decided earlier may still be written to its endpoint. During the rest of the
+     * turn, or while the connection was being opened, the endpoint may have asked to back off or begun to drain.
+     * This is a query and not an event: its time may be later than that of the current turn.
      */
     boolean sendAllowed(double nowMs, long endpoint);
 
-    /** Nobody waits for this message any more; no answer is owed. */
+    /** Reports that no client waits for this message any more, so that it needs no final result. */
     void messageCancelled(double nowMs, long message);
 
-    /** A wake asked for by {@link Actions#wakeAt} has come; early and stale ones do no harm. */
+    /** Reports that a timer set by {@link Actions#wakeAt} has expired; early and outdated timers are harmless. */
     void wake(double nowMs);
 
-    /** How the endpoints of the list stand now, for the people on call. */
+    /** Returns the current numbers of endpoints, for the operators. */
     EndpointCounts endpointCounts();
 
-    /** All events of this turn have been told: queued sends are decided now. */
+    /** Ends the turn: all its events have been reported, and the instance now decides which attempts to start. */
     void endTurn(double nowMs);
 
-    /** What the module asks of the sender. */
+    /** The actions that the decision module requests from the sender. */
     interface Actions {
         /**
-         * Start the next attempt of a message, numbered 0, 1, 2 and so on within it. The time-out counts from
-         * now. Sends of one turn to one endpoint may share a call, up to the kind's batch.
+         * Starts the next attempt of a message. The attempts of a message are numbered 0, 1, 2 and so on. The timeout
+         * starts now. Attempts of one turn to the same endpoint may share a call, up to the maximum batch size of the
+         * destination's kind.
          */
         void send(long message, long endpoint, double timeoutMs);
 
-        /** Stop waiting for an attempt that is redundant; its end is still reported. */
+        /** Stops waiting for a redundant attempt; its result is still reported. */
         void cancel(long message, int attempt);
 
-        /** Close this sender's idle connections to an endpoint; its next call opens a new one. */
+        /** Closes this sender's idle connections to an endpoint; the next call opens a new one. */
         void closeIdleConnections(long endpoint);
 
         /**
-         * Final: handed back, and trying again is harmless; the client should stay away for the given time.
+         * Completes a message as rejected: it is safe to submit it again, which the client should do after the given
+         * time at the earliest.
          */
         void reject(long message, double retryAfterMs);
 
-        /** Final: given up, with no promise about its effect. */
+        /** Completes a message as failed; whether it took effect is unknown. */
         void fail(long message);
 
-        /** Call {@link Relay#wake} in a turn at or soon after this time. */
+        /** Sets a timer: {@link Relay#wake} is to be called in a turn at or soon after this time. */
         void wakeAt(double timeMs);
 
         /**
-         * An endpoint's health has changed: a later life needs to know, if there can be one. Without a
-         * journal there is none.
+         * Saves the changed health of an endpoint for the next process of this sender. A sender without a journal has
+         * nothing to save it for.
          */
         default void saveEndpointHealth(long endpoint, EndpointHealth health) {
         }
 
-        /** A line for the people on call. */
+        /** Writes a line to the log, for the operators. */
         void log(String text);
     }
 
-    /** What another attempt of a message may do. */
+    /** Whether it is safe to attempt a message more than once. */
     enum Effect {
-        /** Repeating is harmless. */
+        /** Repeating the message is harmless. */
         SAFE,
-        /** The destination drops repeats of the key for a time, within a group of endpoints. */
+        /** The destination drops repeats of the idempotency key for a time, within a group of endpoints. */
         KEYED,
-        /** It must not run twice. */
+        /** The message must not run twice. */
         UNSAFE
     }
 
-    /** How an attempt ended. */
+    /** The outcome of an attempt. */
     enum Outcome {
-        /** Delivered. */
         DELIVERED(false),
-        /** Answered with an error; it may have run. */
+        /** The endpoint answered with an error; the message may have run. */
         ERROR(true),
-        /** Turned away unseen: over the limit, queue full or shut. */
+        /** Rejected without being processed: over the rate limit, or the endpoint's queue is full or closed. */
         FULL(false),
-        /** No answer in time; it may have run or still do so. */
+        /** No answer arrived in time; the message may have run, or may still run. */
         TIMED_OUT(true),
-        /** No connection was made. */
+        /** No connection could be opened. */
         UNREACHABLE(false),
-        /** The connection broke while the attempt was out; it may have run. */
+        /** The connection broke while the attempt was in flight; the message may have run. */
         BROKEN(true),
-        /** Cancelled; it may have run. */
+        /** The sender cancelled the attempt; the message may have run. */
         CANCELLED(true),
-        /** Never sent: no slot was free, or the message was over. */
+        /** The attempt was never sent: no slot was free, or the message was already completed. */
         NOT_SENT(false);
 
         private final boolean mayHaveRun;
@@ -165,144 +172,161 @@
             this.mayHaveRun = mayHaveRun;
         }
 
-        /** True where the end leaves open whether the message took effect, unless it was delivered. */
+        /** Returns whether it is unknown if the message took effect; false for a delivery. */
         public boolean mayHaveRun() {
             return mayHaveRun;
         }
     }
 
     /**
-     * One entry of the list; the endpoints of a destination are the only ones that its messages may go to. One
-     * that is gone, as is any that a whole list does not name, is forgotten before long.
+     * One entry of the endpoint list. The messages of a destination may go only to that destination's endpoints.
+     * {@code listedRate} is the listed rate limit in calls a second, for all senders together. An endpoint that is
+     * removed, or that a full list does not contain, is forgotten after a while.
      */
     record Endpoint(long id, long destination, int kind, int zone, boolean serving, double listedRate,
             boolean removed) {
-        /** One that is there. */
+        /** An endpoint that is not removed. */
         Endpoint(long id, long destination, int kind, int zone, boolean serving, double listedRate) {
             this(id, destination, kind, zone, serving, listedRate, false);
         }
     }
 
     /**
-     * A message as it was taken. {@code timeLeftMs} is what is left of its class's deadline; {@code key} is
-     * set for classes that keep an order.
+     * A message as it was accepted. {@code timeLeftMs} is the time left until the deadline of its class; {@code key}
+     * is set for the classes whose messages are delivered in order.
      */
     record Message(long id, int messageClass, int tenant, Optional<String> key, double timeLeftMs,
             long destination) {
     }
 
     /**
-     * An attempt made in an earlier life; {@code sentAt} is on this life's clock, mostly before its start. One that
-     * is still out names its call, which others may share.
+     * An attempt made by a previous process. {@code sentAtMs} is on this process's clock, usually before its start.
+     * {@code inFlightCallId} is set if the attempt is still in flight; several attempts may share that call.
      */
     record EarlierAttempt(long endpoint, double sentAtMs, boolean mayHaveRun, OptionalLong inFlightCallId) {
-        /** One that nobody waits for any more. */
+        /** An attempt that no process waits for any more. */
         public EarlierAttempt(long endpoint, double sentAt, boolean mayHaveRun) {
             this(endpoint, sentAt, mayHaveRun, OptionalLong.empty());
         }
     }
 
     /**
-     * What one instance hands to the next: of each endpoint and its limit, and how long ago the sends were that
-     * bound copies and new tries, the oldest first.
+     * What one instance passes to its successor: the learned state of each endpoint and its rate limit, and the ages
+     * in milliseconds, oldest first, of the first sends, hedged attempts ({@code copiesAgo}) and retries from which
+     * the limits on hedging and retries are computed.
      */
     record LearnedState(List<LearnedEndpointState> endpoints, List<Double> firstSendsAgo, List<Double> copiesAgo,
             List<Double> retriesAgo) {
     }
 
-    /** What is known of one endpoint; rates are in calls a millisecond, no pace is an infinite one. */
+    /**
+     * The learned state of one endpoint and of the rate limit that applies to it. Rates are in calls a millisecond.
+     * {@code pace} is the allowed send rate, infinite if there is no limit, and {@code pressed} a count that rises with
+     * each refusal that cuts this rate and falls with each delivery. {@code sent} is the rate of sent calls, {@code
+     * told} the limit that the destination reported, {@code carried} the rate that the endpoint sustained.
+     */
     record LearnedEndpointState(long endpoint, double waitLeftMs, double pace, double paceCutAgoMs, int pressed,
                  double sent, double told, double demand, double carried, double latencyMs, double deviationMs,
                  double goodAgoMs) {
-        /** The same under the number that another process has for the endpoint. */
+        /** Returns the same state under the id that another process uses for the endpoint. */
         public LearnedEndpointState withEndpointId(long newId) {
             return new LearnedEndpointState(newId, waitLeftMs, pace, paceCutAgoMs, pressed, sent, told, demand, carried,
                     latencyMs, deviationMs, goodAgoMs);
         }
     }
 
-    /** How many endpoints the list names, and how many of them get nothing new, or trials only. */
+    /** The number of listed endpoints, and how many of those get no new messages, or probe attempts only. */
     record EndpointCounts(int listed, int unavailable) {
     }
 
-    /** What an endpoint is held to be. */
+    /** What an endpoint is assumed to be. The journal stores the ordinal, so the order must not change. */
     enum EndpointState {
         /** In service. */
         UP,
-        /** In an outage: it gets trials only. */
+        /** In an outage: the endpoint gets probe attempts only. */
         DOWN,
-        /** Back from an outage, and cold. */
+        /** Recovering from an outage, in slow start. */
         WARMING
     }
 
-    /** An endpoint's state, since when, and the rate that it carried for this sender before an outage. */
+    /**
+     * The state of an endpoint, the time since when it has been in it, and the rate in calls a millisecond that it
+     * sustained for this sender before an outage.
+     */
     record EndpointHealth(EndpointState state, double sinceMs, double sustainedPerMs) {
     }
 
     /**
-     * What an answer tells of its destination's limit: the calls a second that it takes from all senders together,
-     * 0 where it does not say, and the share of its allowance that is left just now, negative where it does not.
+     * What a response reports about the rate limit of its destination. {@code rate} is the limit in calls a second
+     * for all senders together, 0 if not reported; {@code left} is the share of the limit that is currently left,
+     * negative if not reported.
      */
     record LoadReport(double rate, double left) {
-        /** Nothing is told. */
+        /** A report without any values. */
         public static final LoadReport NONE = new LoadReport(0, -1);
     }
 
     /**
-     * The end of one attempt. {@code finished} tells that the message needs no further answer; {@code waitMs}
-     * is the wait that a full destination told, or 0.
+     * The result of one attempt. {@code messageFinished} is set if the message needs no further action; {@code
+     * retryAfterMs} is the wait that an overloaded destination asked for, or 0.
      */
     record AttemptResult(long message, int attempt, Outcome outcome, double durationMs, boolean messageFinished,
             double retryAfterMs, LoadReport report) {
-        /** An end without a report. */
+        /** A result without a load report. */
         AttemptResult(long message, int attempt, Outcome outcome, double tookMs, boolean finished, double waitMs) {
             this(message, attempt, outcome, tookMs, finished, waitMs, LoadReport.NONE);
         }
     }
 
-    /** What worth falls to after the aim: evenly to the last, or by half with each further aim. */
+    /** How the value of a message decreases after its target latency has passed. */
     enum Decay {
-        /** Evenly, down to the late worth at the deadline. */
+        /** Linearly, down to the late share at the deadline. */
         LINEAR,
-        /** By half with each further aim, the late worth at least. */
+        /** By half with each further target latency, but not below the late share. */
         HALVING
     }
 
     /**
-     * A class of message; times in milliseconds. {@code sameZone}: repeats are dropped within one zone only.
+     * A message class. {@code value} is the value of a delivery within the target latency, and {@code lateValue} the
+     * smallest share of it that a later delivery has, see {@link Decay}. {@code dedupWindowMs} is the time for which
+     * the destination drops repeats of a key, and {@code dedupWithinZone} tells whether it does so within one zone
+     * only. The messages of an {@code ordered} class are delivered in order by key.
      */
     record MessageClass(double targetLatencyMs, double deadlineMs, double value, double lateValue, Effect effect,
                         boolean dedupWithinZone, double dedupWindowMs, boolean ordered) {
     }
 
     /**
-     * A kind of destination: whether its endpoints are separate routes, and how many messages one call
-     * carries.
+     * A kind of destination: whether its endpoints are separate routes, each with a rate limit of its own, and the
+     * maximum number of messages in one call.
      */
     record DestinationKind(boolean separateRoutes, int maxBatchSize) {
     }
 
     /**
-     * How a destination that returns from an outage must be treated; see the rule on returning destinations.
+     * How a destination that recovers from an outage must be treated. Its capacity rises linearly from the initial
+     * share to all of it within {@code rampUpMs}; until then it must not get more than {@code overloadMultiple} times
+     * its current capacity in any period of {@code overloadMs}.
      */
     record SlowStart(double initialCapacityShare, double rampUpMs, double overloadMultiple, double overloadMs) {
     }
 
     /**
-     * All settings of a deployment and a sender; {@code zoneFees} are by zone, for separate routes, and
-     * {@code ratesListed} tells that the list's rates mean something; a connection without use closes after
-     * {@code keepAliveMs}.
+     * The settings of a deployment and of a sender. {@code ratesListed} tells whether the rates of the endpoint list
+     * are meaningful; {@code zoneFees} are the fees by zone, for separate routes; {@code senderCount} is the number
+     * of senders that share the destinations; {@code keyCoolDownMs} is the pause of a key after an attempt that may
+     * still run; an idle connection closes after {@code keepAliveMs}.
      */
     record Settings(List<MessageClass> classes, List<DestinationKind> kinds, boolean ratesListed, Decay valueDecay,
                     List<Double> zoneFees, int senderCount, int slots, int maxAttempts, boolean hedging,
                     boolean cancellation, double keyCoolDownMs, double keepAliveMs, SlowStart slowStart) {
-        /** Checks what no deployment can mean. */
+        /** Rejects settings that are invalid in any deployment. */
         public Settings {
             if (classes.isEmpty() || kinds.isEmpty()) {
-                throw new IllegalArgumentException("settings need at least one class and one kind");
+                throw new IllegalArgumentException("settings need at least one message class and destination kind");
             }
             if (slots < 1 || maxAttempts < 1 || senderCount < 1) {
-                throw new IllegalArgumentException("slots, attempts and senders must be at least 1");
+                throw new IllegalArgumentException("the numbers of slots, attempts and senders must be at least 1");
             }
             classes = List.copyOf(classes);
             kinds = List.copyOf(kinds);
--- a/src/main/java/kestreldeal/SimulatorAdapter.java
+++ b/src/main/java/kestreldeal/SimulatorAdapter.java
@@ -14,7 +14,10 @@
 import java.util.Optional;
 import java.util.Set;
 
-/** The adapter: the simulator's wire to {@link Relay} and back, for many instances. It decides nothing. */
+/**
+ * Translates between the simulator's line protocol and {@link Relay}, for many instances. The adapter itself makes no
+ * delivery decisions.
+ */
 final class SimulatorAdapter {
     private final BufferedReader in;
     private final PrintStream out;
@@ -32,7 +35,7 @@
         this.err = err;
     }
 
-    /** Answers batches until input ends; returns the exit code: 0, or 1 after input that can't be read. */
+    /** Answers batches until the end of the input; returns the exit code: 0, or 1 after invalid or unreadable input. */
     int run() {
         try {
             for (String line = nextLine(); line != null; line = nextLine()) {
@@ -86,7 +89,7 @@
         out.flush();
     }
 
-    /** An exception in the module becomes the wire's fault action, with its text on one line. */
+    /** Runs an event; an exception in the decision module becomes a BUG action with its text on one line. */
     private void runGuarded(String instance, Runnable event) {
         try {
             event.run();
@@ -128,7 +131,7 @@
     private Relay relay(String instance) {
         Relay relay = instances.get(instance);
         if (relay == null) {
-            throw new IllegalStateException("event for an instance that does not run: " + instance);
+            throw new IllegalStateException("event for an instance that is not running: " + instance);
         }
         return relay;
     }
@@ -236,7 +239,7 @@
         reply.append('\n');
     }
 
-    /** The actions of one instance, written as lines of the reply. */
+    /** Writes the actions of one instance as lines of the reply. */
     private final class WireActions implements Relay.Actions {
         private final String instance;
 
@@ -280,7 +283,7 @@
         }
     }
 
-    /** The parts of one line, taken in order. */
+    /** Reads the fields of one line in order. */
     private static final class Fields {
         private final String line;
         private int position;
--- a/src/main/java/kestreldeal/net/Log.java
+++ b/src/main/java/kestreldeal/net/Log.java
@@ -3,7 +3,7 @@
 import java.time.Instant;
 import java.time.temporal.ChronoUnit;
 
-/** Lines for the people on call, on standard error; never one for each message. */
+/** Writes log lines for the operators to standard error. Nothing is logged for each single message. */
 final class Log {
     private Log() {
     }
--- a/src/main/java/kestreldeal/net/MachineClock.java
+++ b/src/main/java/kestreldeal/net/MachineClock.java
@@ -5,25 +5,28 @@
 import java.nio.file.Path;
 
 /**
- * The clocks of the machine. Spans of time (deadlines, windows, waits) are measured by the monotonic clock, which runs
- * on over processes for as long as the machine is not booted anew; the wall clock may be stepped at any time.
+ * The clocks of the machine. Durations (deadlines, windows, waits) are measured by the monotonic clock, which continues
+ * across processes until the machine reboots; the wall clock may be stepped at any time.
  */
 interface MachineClock {
-    /** The monotonic clock, in nanoseconds since a moment that is the same for all processes of one boot. */
+    /** Returns the monotonic time in nanoseconds, from an origin that all processes of one boot share. */
     long nanos();
 
-    /** The wall clock, in milliseconds of Unix time. */
+    /** Returns the wall clock time, in milliseconds of Unix time. */
     long wallMillis();
 
-    /** Names the boot that {@link #nanos} counts in; empty where it can't be told, and then no process knows another's. */
+    /**
+     * Returns an identifier of the boot to which {@link #nanos} belongs. It is empty if unknown; then times of the
+     * monotonic clock can't be compared between processes.
+     */
     String bootId();
 
-    /** The clocks of this machine. */
+    /** Returns the clocks of this machine. */
     static MachineClock system() {
         return SystemClock.INSTANCE;
     }
 
-    /** On Linux {@link System#nanoTime} is CLOCK_MONOTONIC, which counts from the boot. */
+    /** Uses {@link System#nanoTime}, which on Linux is CLOCK_MONOTONIC and counts from the boot. */
     final class SystemClock implements MachineClock {
         private static final SystemClock INSTANCE = new SystemClock();
         private static final Path BOOT_ID = Path.of("/proc/sys/kernel/random/boot_id");
--- a/src/test/java/kestreldeal/ExampleTest.java
+++ b/src/test/java/kestreldeal/ExampleTest.java
@@ -7,7 +7,7 @@
 import java.util.Optional;
 import org.junit.jupiter.api.Test;
 
-/** The README's example. */
+/** Runs the example of the README. */
 class ExampleTest {
     private final List<String> done = new ArrayList<>();
 
@@ -27,7 +27,7 @@
         assertEquals(List.of("send 1 to 51", "wake at 1000.0"), done.subList(0, 2));
     }
 
-    /** Stands for the caller's network client and timers. */
+    /** Records the actions, in place of the caller's network client and timers. */
     private final class Printing implements Relay.Actions {
         @Override
         public void send(long message, long endpoint, double timeoutMs) {
--- a/src/test/java/kestreldeal/SimulatorAdapterTest.java
+++ b/src/test/java/kestreldeal/SimulatorAdapterTest.java
@@ -10,7 +10,7 @@
 import java.nio.charset.StandardCharsets;
 import org.junit.jupiter.api.Test;
 
-/** The adapter's reading and writing of the wire. */
+/** Tests that the adapter reads and writes the simulator's line protocol. */
 class SimulatorAdapterTest {
     private static final String SETTINGS = "classes.count=1"
             + " classes.0.aim_ms=2000.0 classes.0.give_up_ms=16000.0 "
