--- a/src/main/java/kestreldeal/net/Log.java
+++ b/src/main/java/kestreldeal/net/Log.java
@@ -3,12 +3,12 @@
 import java.time.Instant;
 import java.time.temporal.ChronoUnit;
 
-/** Lines for the people on call, on standard error; never one for each message. */
+/** Writes log lines for the operators to standard error. Nothing is logged for each single message. */
 final class Log {
     private Log() {
     }
 
-    static void line(String text) {
+    static void write(String text) {
         System.err.println(Instant.now().truncatedTo(ChronoUnit.MILLIS) + " " + text);
     }
 }
