--- a/src/main/java/kestreldeal/net/AcceptedMessage.java
+++ b/src/main/java/kestreldeal/net/AcceptedMessage.java
@@ -6,17 +6,18 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A message that this sender has taken on, with all that its journal must know of it: who may send it again,
- * and how, is decided from this after a restart.
+ * A message that this sender has accepted, with everything that the journal records of it. After a restart this decides
+ * whether the message may be sent again, and how.
  */
 final class AcceptedMessage {
-    /** So long does a client wait for the answer to a request, by the protocol; then it closes the connection. */
+    /** How long a client waits for an answer, by the protocol, before it closes the connection. */
     private static final double CLIENT_WAIT_MS = 400;
+    /** Limits the time allowed for an unread request to this share of its class's deadline. */
     private static final double UNREAD_SHARE = 0.25;
     /**
-     * A request may stand unread where the CPU is scarce, for the 400 ms that its client waits, and its budget
-     * runs from when it was sent; a notice takes a turn or two of a loop that is as late. So a message is ended
-     * so much before its time is up: 421 ms late is what was seen after a start.
+     * How long before the end of the client's budget a message is completed. The budget counts from when the request
+     * was sent. When CPU time is scarce, the request may stay unread for the 400 ms that its client waits, and the
+     * notice takes a turn or two of an event loop that is as late: results were up to 421 ms late after a start.
      */
     private static final long ENDED_BEFORE_MS = 700;
 
@@ -26,36 +27,42 @@
     final String tenant;
     final Optional<String> key;
     final long destination;
-    /** Until when it may be tried, by {@link MachineClock#nanos}. */
+    /** Latest time for attempts, by {@link MachineClock#nanos}. */
     final long deadlineNanos;
-    /** When its client's time may be up at the soonest, as far as this life knows it; the deadline where it does not. */
+    /**
+     * Earliest time at which the client's budget may be used up, counting the time that the request may have been
+     * unread. Not recorded: for a message restored from the journal this is its deadline.
+     */
     private final long timeUpNanos;
     final byte[] body;
     final List<Attempt> attempts = new ArrayList<>();
-    /** How many of them the journal has a record of. */
+    /** Number of attempts that the journal has a record of. */
     int attemptRecords;
     Optional<Notice> owed = Optional.empty();
-    /** Bytes of its records in the journal. */
+    /** Bytes of the message's records in the journal. */
     long bytes;
-    /** Its client has heard that it was taken; what comes back from the journal counts as heard. */
+    /** Whether the client got the answer that the message is accepted; assumed for one restored from the journal. */
     boolean told;
-    /** It was seen to be without an end when its time was up. */
+    /** Whether the message was reported as still not completed after its deadline. */
     boolean overdue;
-    /** Nothing may be sent for it any more: delivered, over, or ended by a notice. */
+    /**
+     * Whether nothing may be sent for the message any more: it was delivered, has expired at its destination, was ended
+     * by a notice, or its client never got the answer that it is accepted.
+     */
     boolean over;
 
-    /** An attempt; it may have run unless its end proved otherwise, whatever became of this process. */
+    /** An attempt to deliver the message. It may have run unless its result proved otherwise, across restarts too. */
     static final class Attempt {
-        /** The journal has no record of it. */
+        /** Index of an attempt that the journal has no record of. */
         static final int UNRECORDED = -1;
-        /** Longer than any window. */
+        /** Age given to an attempt of unknown age: longer than any deduplication window. */
         private static final long ANY_AGE_MS = TimeUnit.DAYS.toMillis(365);
 
         final String endpoint;
-        /** When it was decided, by {@link MachineClock#nanos}. */
+        /** When the attempt was decided on, by {@link MachineClock#nanos}. */
         final long sentNanos;
         boolean neverRan;
-        /** Its place among the records of the message's attempts: one that could not be written leaves no gap. */
+        /** Index among the message's attempts in the journal, which does not count those that could not be recorded. */
         int record = UNRECORDED;
 
         private Attempt(String endpoint, long sentNanos) {
@@ -63,23 +70,23 @@
             this.sentNanos = sentNanos;
         }
 
-        /** One that was made so long ago; a negative age is one that can't be true, and so any. */
+        /** An attempt made the given time ago; a negative age can't be true and counts as unknown. */
         static Attempt sentAgo(String endpoint, long agoMs, MachineClock clock) {
             long ageMs = agoMs < 0 ? ANY_AGE_MS : agoMs;
             return new Attempt(endpoint, clock.nanos() - TimeUnit.MILLISECONDS.toNanos(ageMs));
         }
 
-        /** One that was made at this time. */
+        /** An attempt made at the given time; a time in the future can't be true and counts as unknown. */
         static Attempt sentAt(String endpoint, long sentNanos, MachineClock clock) {
             return sentNanos <= clock.nanos() ? new Attempt(endpoint, sentNanos) : ofUnknownAge(endpoint, clock);
         }
 
-        /** One of which nobody knows how long ago it was made: it counts as older than any window. */
+        /** An attempt made an unknown time ago; it counts as older than any deduplication window. */
         static Attempt ofUnknownAge(String endpoint, MachineClock clock) {
             return sentAgo(endpoint, ANY_AGE_MS, clock);
         }
 
-        /** One that was decided and not made. */
+        /** An attempt that was decided on but not made. */
         static Attempt neverMade(String endpoint, MachineClock clock) {
             Attempt attempt = sentAgo(endpoint, 0, clock);
             attempt.neverRan = true;
@@ -92,28 +99,28 @@
     }
 
     /**
-     * Whether this attempt, written now, is inside the window of all others that may have run: also of a later one,
-     * which may have overtaken it while it waited for its connection.
+     * Whether an attempt that is written now falls within the deduplication window of every other attempt that may have
+     * run. That includes later ones: they may have overtaken this one while it waited for its connection.
      */
     boolean isInWindow(int attempt, long nowNanos, double windowMs) {
         Attempt own = attempts.get(attempt);
         return attempts.stream().allMatch(a -> a == own || a.neverRan || nowNanos - a.sentNanos <= windowMs * 1e6);
     }
 
-    /** The end that the platform must still hear of. */
+    /** The final result that is still to be reported to the platform's agent. */
     record Notice(boolean bounced, double waitMs) {
     }
 
     /**
-     * A request's time runs from its last byte, and it may stand unread for as long as its client waits for the answer;
-     * so much of its time may be over once it is read. Of a class with little time a part only, else nothing of it could
-     * be taken on.
+     * The longest time that a request may have been unread, by which its budget may be used up: the budget counts from
+     * the request's last byte, and it may stay unread until its client stops waiting for the answer. For a class with a
+     * short deadline only a share of the deadline is assumed, or else none of its messages could be accepted.
      */
     static long unreadMs(double classDeadlineMs) {
         return (long) Math.min(CLIENT_WAIT_MS, classDeadlineMs * UNREAD_SHARE);
     }
 
-    /** One that is taken on now, of a class with this deadline. */
+    /** A message that is being accepted now, of a class with the given deadline. */
     static AcceptedMessage taken(long number, ClientServer.Submission s, double classDeadlineMs, MachineClock clock) {
         long leftMs = (long) Math.min(s.budgetMs(), classDeadlineMs);
         long deadlineMs = leftMs - Math.min(ENDED_BEFORE_MS, leftMs / 2);
@@ -125,7 +132,7 @@
         return clock.nanos() + TimeUnit.MILLISECONDS.toNanos(ms);
     }
 
-    /** One that may be tried for so long from now on. */
+    /** A message that may be tried for the given time from now on. */
     static AcceptedMessage withTimeLeft(long number, String id, String messageClass, String tenant,
             Optional<String> key, long destination, long leftMs, byte[] body, MachineClock clock) {
         return new AcceptedMessage(number, id, messageClass, tenant, key, destination, after(leftMs, clock), body);
@@ -136,12 +143,12 @@
         return attempts.stream().anyMatch(a -> !a.neverRan);
     }
 
-    /** How long it may still be tried. */
+    /** How long the message may still be tried; negative after its deadline. */
     double leftMs(MachineClock clock) {
         return (deadlineNanos - clock.nanos()) / 1e6;
     }
 
-    /** Whether its client's time may be up. */
+    /** Whether the client's budget may be used up. */
     boolean isTimeUp(MachineClock clock) {
         return clock.nanos() >= timeUpNanos;
     }
--- a/src/main/java/kestreldeal/net/Config.java
+++ b/src/main/java/kestreldeal/net/Config.java
@@ -21,18 +21,19 @@
 import kestreldeal.Relay;
 
 /**
- * What a sender is told, by its environment and its JSON configuration. The environment comes first, but for
- * discovery: the file may be replaced while the sender runs, and the environment then still names the old
- * address, also after a restart. Settings keep their dotted names, so that the adapter and the sender read them in one way.
+ * The configuration of a sender, from its environment variables and its JSON file. A variable takes precedence over the
+ * file, except for the address of discovery: the file may be replaced while the sender runs, and the environment then
+ * still has the old address, even after a restart. Settings keep their dotted names, so that the sender and the
+ * simulator's adapter read them in the same way.
  */
 record Config(String name, InetSocketAddress listen, Optional<InetSocketAddress> ops,
               InetSocketAddress discovery, Path state, long seed,
               int sockets, long diskBytes, Relay.Settings settings, List<String> classes,
               List<String> tenants, List<String> kinds, List<String> zones, int maxOpen, double dialMs,
               Path file) {
-    /** Where the file holds the list of endpoints that was known when it was written; it is read where it is used. */
+    /** Field of the list of endpoints as of when the file was written; {@link Discovery} reads it. */
     static final String KNOWN = "known";
-    /** The journal is read in one piece at the start and files count as memory: more is never used. */
+    /** Upper limit, since the journal is read into memory as a whole at the start, and files count as memory. */
     private static final double MOST_DISK_MB = 12;
 
     static Config read(Map<String, String> env) throws IOException, InvalidInputException {
@@ -65,7 +66,7 @@
                 file);
     }
 
-    /** All but the known list, which may be far longer than all else, and would stay in memory with it. */
+    /** Reads everything but the list of endpoints, which may be far longer than the rest and would stay in memory. */
     private static JsonNode json(Path file) throws IOException, InvalidInputException {
         JsonMapper mapper = JsonMapper.builder().build();
         ObjectNode json = mapper.createObjectNode();
@@ -82,12 +83,12 @@
             }
             return json;
         } catch (JsonProcessingException e) {
-            // Its own message has several lines.
+            // The complete message has several lines.
             throw new InvalidInputException(file + " is not JSON: " + e.getOriginalMessage());
         }
     }
 
-    /** An address as {@code 10.0.0.4:7070}; there is no DNS, so a host name is an error. */
+    /** Parses an address such as {@code 10.0.0.4:7070}; there is no DNS, so a host name is an error. */
     static InetSocketAddress address(String text) throws InvalidInputException {
         int cut = text.lastIndexOf(':');
         try {
@@ -101,12 +102,12 @@
         }
     }
 
-    /** An address that a deployment may leave out. */
+    /** Parses an address that a deployment may leave out. */
     private static Optional<InetSocketAddress> optionalAddress(String text) throws InvalidInputException {
         return text.isEmpty() ? Optional.empty() : Optional.of(address(text));
     }
 
-    /** Nested JSON as the dotted names of the simulator's wire. */
+    /** Flattens nested JSON to the dotted names of settings that the simulator uses. */
     static void flatten(String name, JsonNode node, Map<String, String> values) {
         if (node.isObject()) {
             String prefix = name.isEmpty() ? "" : name + ".";
--- a/src/main/java/kestreldeal/net/Journal.java
+++ b/src/main/java/kestreldeal/net/Journal.java
@@ -20,17 +20,18 @@
 import kestreldeal.Relay;
 
 /**
- * What this sender has taken on, in a file that outlasts its process. Records are appended, each with its
- * length and checksum, and reach the system's cache before the step that they stand for: that survives any
- * end of the process, so nothing is forced to disk. Times are those of the machine's monotonic clock, behind a record
- * that names the boot that they count in.
+ * Append-only journal of the messages that this sender has accepted, in a file that outlives its process. Each record
+ * has a length and a checksum, and is written to the operating system's page cache before the step that it describes is
+ * taken. That survives any end of the process, SIGKILL included, so nothing is forced to disk (fsync). Times are
+ * those of the machine's monotonic clock; a record in front of them names the boot that they belong to.
  *
- * <p>The folder never holds more than its bound: before an append would leave no room for a compacted copy
- * beside the file, the live records are written to a new file, which then takes the old one's place. New
- * messages are turned away while what is live, with the records that it may still need, fills half the bound.
+ * <p>The folder never exceeds its size limit: before an append would leave no room for a compacted copy beside the
+ * file, the live records are written to a new file, which then replaces the old one. New messages are rejected while
+ * the live records, with the later records that they may still need, fill half of the limit.
  *
- * <p>The folder may fail for a while. What can still be left undone (a message taken, an attempt) is not done then;
- * what has happened is kept here and written as soon as possible, and until then nothing new is taken on.
+ * <p>Writes may fail for a while. Steps that can still be avoided (accepting a message, starting an attempt) are then
+ * refused. Records of events that have already happened are kept in memory and written as soon as possible; until
+ * then no message is accepted.
  */
 final class Journal implements AutoCloseable {
     private static final int TAKEN = 1;
@@ -40,22 +41,25 @@
     private static final int ENDED = 5;
     private static final int HEALTH = 6;
     private static final int OVER = 7;
-    /** Times in the records behind it are those of this boot's monotonic clock; where there is none, wall time. */
+    /** Names the boot whose monotonic clock gave the times in the records after it; without one they are wall times. */
     private static final int BOOT = 8;
-    /** Room for the later records of a message: for each attempt, and for its end. */
+    /** Bytes reserved for the later records of a live message: for each attempt, and for its completion. */
     private static final int ATTEMPT_ROOM = 128;
     private static final int END_ROOM = 64;
-    /** Ids of messages that are over are known for as many, in this part of the room at most. */
+    /** Limits on the ids of completed messages that are kept: their number, and their part of the folder's limit. */
     private static final int MOST_OVER = 4096;
     private static final int OVER_PART = 16;
-    /** Files count in whole blocks: two files, those of {@link ProcessHandover}, and a block to spare. */
+    /**
+     * Disk use counts in whole blocks of 512 bytes, so each file may take up to a block more than its size: two journal
+     * files, the two files of {@link ProcessHandover}, and a spare block.
+     */
     private static final int BLOCKS = 5 * 512;
-    /** Pauses between attempts to write again what could not be written. */
+    /** Delay before a failed write is retried: the first one, doubled after each failure up to the maximum. */
     private static final long FIRST_PAUSE_MS = 10;
     private static final long MOST_PAUSE_MS = 320;
-    /** Bytes of records that wait to be written; with more, all that is live is written instead. */
+    /** Bytes of unwritten records kept in memory; beyond that they are dropped and a compaction is written instead. */
     private static final int MOST_UNWRITTEN = 1 << 18;
-    /** Longer than the deadline of any class, to which it is bounded where it is used. */
+    /** Time left for a message of another boot: longer than any class's deadline, to which its users limit it. */
     private static final long ANY_SPAN_NANOS = TimeUnit.DAYS.toNanos(1);
 
     private final JournalFile file;
@@ -63,32 +67,32 @@
     private final long messageRoom;
     private final MachineClock clock;
     private final Map<Long, AcceptedMessage> live = new TreeMap<>();
-    /** Ids of messages that were over last, the oldest first, and whether they were delivered. */
+    /** Ids of the most recently completed messages, oldest first, and whether each was delivered. */
     private final Map<String, Boolean> over = new LinkedHashMap<>();
     private long overBytes;
-    /** What the module last knew of endpoints that are not in service. */
+    /** The decision module's last state of each endpoint that is not in service. */
     private final Map<String, Health> health = new TreeMap<>();
     private long liveBytes;
     private long numbers;
-    /** Records of what has happened that could not be written yet, in order; or all is to be written anew. */
+    /** Records of past events that could not be written yet, in order; a compaction makes all of them obsolete. */
     private final Deque<byte[]> unwritten = new ArrayDeque<>();
     private long unwrittenBytes;
+    /** A compaction has to be written before anything else: the last one failed, or unwritten records were dropped. */
     private boolean needsSnapshot;
     private boolean failing;
     private long failures;
     private long pauseMs = FIRST_PAUSE_MS;
     private long tryAgainNanos = Long.MIN_VALUE;
     private LongConsumer tryAgain = ms -> { };
-    /** How the times in the records that are read, or are in the file, are meant. */
+    /** What the times in the records being read, or already in the file, count from. */
     private TimeBase base = TimeBase.WALL_CLOCK;
 
-    /** What a time in a record counts from. */
     private enum TimeBase {
-        /** Unix time in milliseconds: written by a release that kept no other. */
+        /** Unix time in milliseconds, as written by an earlier release that recorded no boot. */
         WALL_CLOCK,
         /** The monotonic clock of this boot, in nanoseconds. */
         THIS_BOOT,
-        /** That of another boot: nobody knows how long ago it was. */
+        /** The monotonic clock of another boot: how long ago it was is unknown. */
         OTHER_BOOT
     }
 
@@ -96,12 +100,12 @@
         this(folder, diskBytes, maxAttempts, MachineClock.system(), FileChannel::open);
     }
 
-    /** Opens a file; it, and what is done with it, may fail. */
+    /** Opens the journal's files; a test can pass one whose files fail. */
     interface FileOpener {
         FileChannel open(Path file, OpenOption... options) throws IOException;
     }
 
-    /** The same with clocks and files of its own. */
+    /** Opens the journal with the given clock and access to files. */
     Journal(Path folder, long diskBytes, int maxAttempts, MachineClock clock, FileOpener files) throws IOException {
         this.clock = clock;
         this.bound = diskBytes - BLOCKS;
@@ -116,13 +120,13 @@
             throw e;
         }
         if (base == TimeBase.OTHER_BOOT && !live.isEmpty()) {
-            Log.write("the journal was written before this boot: " + live.size()
-                    + " messages have all their time again,"
-                    + " and none that may have run is repeated");
+            Log.write("the journal was written before the machine was rebooted, so its times are unknown: "
+                    + live.size() + " messages get their full deadline again,"
+                    + " and earlier attempts count as past the deduplication window");
         }
     }
 
-    /** There is no room within the bound of the folder; nothing has failed. */
+    /** The folder's size limit leaves no room for the record; no I/O has failed. */
     static final class JournalFullException extends IOException {
         private static final long serialVersionUID = 1;
 
@@ -131,32 +135,32 @@
         }
     }
 
-    /** What was held when the last process ended, in the order taken. */
+    /** The messages that are not completed or have a notice pending, in the order in which they were accepted. */
     Collection<AcceptedMessage> held() {
         return new ArrayList<>(live.values());
     }
 
-    /** A number for the next message, above all that were used. */
+    /** Returns a number for the next message, above all numbers used before. */
     long nextNumber() {
         return numbers++;
     }
 
-    /** Told each time that something could not be written, and after how long {@link #catchUp} should be called. */
+    /** Sets a callback for failed writes; it gets the delay in milliseconds after which to call {@link #catchUp}. */
     void onFailure(LongConsumer told) {
         tryAgain = told;
     }
 
-    /** Whether there is something that could not be written yet: until it is, nothing new is taken on. */
+    /** Whether something is still to be written after a failure; no message is accepted until it is. */
     boolean isBehind() {
         return needsSnapshot || !unwritten.isEmpty() || file.isTorn();
     }
 
-    /** How often something could not be written. */
+    /** Number of failed writes in this process. */
     long failures() {
         return failures;
     }
 
-    /** Writes what could not be written before, unless it is too soon to try again; returns whether all is written. */
+    /** Retries failed writes unless the retry delay is still running; returns whether everything is written. */
     boolean catchUp() {
         if (isBehind()) {
             if (!file.isOpen() || clock.nanos() < tryAgainNanos) {
@@ -172,7 +176,7 @@
         if (failing) {
             failing = false;
             pauseMs = FIRST_PAUSE_MS;
-            Log.write("the journal is whole again; messages are taken");
+            Log.write("the journal can be written again; messages are accepted");
         }
         return true;
     }
@@ -185,7 +189,7 @@
         while (!unwritten.isEmpty()) {
             byte[] record = unwritten.peek();
             write(record);
-            // A compaction has written all of them.
+            // Writing may have compacted the journal, which empties the queue.
             if (unwritten.peek() == record) {
                 unwrittenBytes -= record.length;
                 unwritten.remove();
@@ -197,14 +201,14 @@
         failures++;
         if (!failing) {
             failing = true;
-            Log.write("the journal can't be written, and no message is taken until it can: " + e.getMessage());
+            Log.write("the journal can't be written; messages are rejected until a retry succeeds: " + e.getMessage());
         }
         tryAgainNanos = clock.nanos() + TimeUnit.MILLISECONDS.toNanos(pauseMs);
         tryAgain.accept(pauseMs);
         pauseMs = Math.min(MOST_PAUSE_MS, 2 * pauseMs);
     }
 
-    /** Takes a message on, or throws: then it must be refused. */
+    /** Records that a message is accepted. If this throws, the message must be rejected. */
     void taken(AcceptedMessage held) throws IOException {
         byte[] record = takenFrame(held);
         long needed = liveBytes + record.length + messageRoom * (live.size() + 1L);
@@ -217,8 +221,8 @@
     }
 
     /**
-     * An attempt is about to be made; it counts as one that may have run from here on. If it can't be recorded it
-     * must not be made; it keeps its place among the attempts all the same, as one that never ran.
+     * Records an attempt that is about to be made; from here on it counts as one that may have run. If this throws, the
+     * attempt must not be made. It still keeps its place in the message's list of attempts, as one that never ran.
      */
     void attempt(AcceptedMessage held, AcceptedMessage.Attempt attempt) throws IOException {
         held.attempts.add(attempt);
@@ -230,7 +234,7 @@
         attempt.record = held.attemptRecords++;
     }
 
-    /** An end proved that the attempt never ran. */
+    /** Records that the result of an attempt proved that it never ran. */
     void neverRan(AcceptedMessage held, int number) {
         AcceptedMessage.Attempt attempt = held.attempts.get(number);
         attempt.neverRan = true;
@@ -239,14 +243,17 @@
         }
     }
 
-    /** The message has ended by a notice that is still to be heard. */
+    /** Records that the message ended with a notice, which the agent has not confirmed yet. */
     void owed(AcceptedMessage held, AcceptedMessage.Notice notice) {
         held.owed = Optional.of(notice);
         markEnded(held.id, false);
         append(held, owedFrame(held, notice));
     }
 
-    /** Nothing more is owed for the message. */
+    /**
+     * Records that nothing is left to do for the message: it was delivered, its notice was confirmed, or its client
+     * never got the answer that it was accepted.
+     */
     void ended(AcceptedMessage held) {
         if (live.remove(held.number) != null) {
             liveBytes -= held.bytes;
@@ -255,17 +262,17 @@
         }
     }
 
-    /** Whether the message with this id was delivered, if it is one of those that were over last. */
+    /** Whether the message with this id was delivered; empty if it is not among the most recently completed ones. */
     Optional<Boolean> deliveredBefore(String id) {
         return Optional.ofNullable(over.get(id));
     }
 
-    /** Ids of messages that were over last, the oldest first, and whether they were delivered. */
+    /** Ids of the most recently completed messages, oldest first, and whether each was delivered. */
     Map<String, Boolean> over() {
         return new LinkedHashMap<>(over);
     }
 
-    /** A message of this id is over: it must not be taken on again, neither in this life nor in a later one. */
+    /** Remembers the id of a completed message, so that neither this process nor the next accepts it again. */
     void markEnded(String id, boolean delivered) {
         if (over.put(id, delivered) == null) {
             overBytes += overSize(id);
@@ -279,7 +286,7 @@
         }
     }
 
-    /** One that nothing was ever done for was not taken on, as far as its client knows. */
+    /** A message with neither an attempt nor a notice is not remembered: its client does not know it was accepted. */
     private void markIfTried(AcceptedMessage held) {
         if (held.owed.isPresent() || !held.attempts.isEmpty()) {
             markEnded(held.id, held.owed.isEmpty());
@@ -290,27 +297,27 @@
         return overFrame(id, true).length;
     }
 
-    /** An endpoint's state, since when by {@link MachineClock#nanos}, and the rate that it carried before. */
+    /** An endpoint's state, since when ({@link MachineClock#nanos}), and its sustained call rate before an outage. */
     record Health(Relay.EndpointState state, long sinceNanos, double carriedPerMs) {
-        /** A state that has stood for so long. */
+        /** A state that began the given time ago. */
         static Health since(double agoMs, Relay.EndpointState state, double carriedPerMs, MachineClock clock) {
             return new Health(state, clock.nanos() - (long) (agoMs * 1e6), carriedPerMs);
         }
 
-        /** How long it has stood. */
+        /** How long the endpoint has been in this state. */
         double ageMs(MachineClock clock) {
             return Math.max(0, (clock.nanos() - sinceNanos) / 1e6);
         }
     }
 
-    /** What is known of an endpoint has changed; one that is in service, or forgotten, takes up no room. */
+    /** Records a change of an endpoint's health; an endpoint in service needs no live record. */
     void health(String endpoint, Health now) {
         byte[] record = healthFrame(endpoint, now);
         writeInTime(record);
         keep(endpoint, now, record.length);
     }
 
-    /** What was known when the last process ended, of endpoints that were not in service. */
+    /** The recorded health of the endpoints that are not in service, by endpoint id. */
     Map<String, Health> health() {
         return new TreeMap<>(health);
     }
@@ -323,17 +330,17 @@
         liveBytes += (health.containsKey(endpoint) ? bytes : 0) - (before ? bytes : 0);
     }
 
-    /** Leaves the file to another process, which reads it all: only what is live is left in it. */
+    /** Closes the journal for another process to open, compacted so that it has only the live records to read. */
     void handOver() {
         try {
             compact();
         } catch (IOException e) {
-            Log.write("the journal is handed over as it is: " + e.getMessage());
+            Log.write("the journal is handed over without a compaction, which failed: " + e.getMessage());
         }
         close();
     }
 
-    /** Bytes of the file now. */
+    /** Current size of the journal's file in bytes. */
     long size() {
         return file.size();
     }
@@ -348,7 +355,7 @@
     private byte[] bootFrame() {
         return JournalFrames.frame(out -> {
             out.writeByte(BOOT);
-            // Where the other records have a message's number.
+            // In the place of the message number in other records.
             out.writeLong(clock.nanos());
             out.writeUTF(clock.bootId());
         });
@@ -399,7 +406,7 @@
     private static byte[] overFrame(String id, boolean delivered) {
         return JournalFrames.frame(out -> {
             out.writeByte(OVER);
-            // Where the other records have a message's number.
+            // In the place of the message number in other records.
             out.writeLong(0);
             out.writeUTF(id);
             out.writeBoolean(delivered);
@@ -409,7 +416,7 @@
     private static byte[] healthFrame(String endpoint, Health health) {
         return JournalFrames.frame(out -> {
             out.writeByte(HEALTH);
-            // Where the other records have a message's number.
+            // In the place of the message number in other records.
             out.writeLong(health.sinceNanos());
             out.writeUTF(endpoint);
             out.writeByte(health.state().ordinal());
@@ -429,13 +436,13 @@
         count(held, record.length);
     }
 
-    /** Writes a record, or throws: then what it stands for must not be done. */
+    /** Writes a record before the step that it describes; if this throws, the step must not be taken. */
     private void writeNow(byte[] record) throws IOException {
         if (!file.isOpen()) {
             throw new ClosedChannelException();
         }
         if (!catchUp()) {
-            throw new IOException("the journal can't be written now");
+            throw new IOException("the journal can't be written: an earlier write failed and is still to be retried");
         }
         try {
             write(record);
@@ -448,10 +455,10 @@
         }
     }
 
-    /** Writes a record of what has happened: now, or as soon as that is possible. */
+    /** Writes a record of an event that has already happened, or queues it until the journal can be written. */
     private void writeInTime(byte[] record) {
         if (!file.isOpen()) {
-            // It is another process's by now, or this one ends.
+            // Another process owns the file by now, or this process is ending.
             return;
         }
         if (catchUp()) {
@@ -465,7 +472,7 @@
         unwritten.add(record);
         unwrittenBytes += record.length;
         if (unwrittenBytes > MOST_UNWRITTEN) {
-            // All that is known is in memory.
+            // A compaction writes the same state from memory.
             unwritten.clear();
             unwrittenBytes = 0;
             needsSnapshot = true;
@@ -519,7 +526,7 @@
         int type = in.readByte();
         long number = in.readLong();
         if (type == BOOT) {
-            // One that is ahead of this one was not of the same boot, whatever its name.
+            // A time later than this clock's is not of this boot, even if the boot id is the same.
             String boot = in.readUTF();
             boolean same = !boot.isEmpty() && boot.equals(clock.bootId()) && number <= clock.nanos();
             base = same ? TimeBase.THIS_BOOT : TimeBase.OTHER_BOOT;
@@ -571,12 +578,12 @@
                 markIfTried(held);
                 return;
             }
-            default -> throw new IOException("unknown record " + type);
+            default -> throw new IOException("unknown type of journal record: " + type);
         }
         count(held, length);
     }
 
-    /** In another boot it is generous: trying for too long does less harm than giving up what is owed. */
+    /** A message of another boot gets a new deadline: retrying for too long does less harm than giving it up. */
     private long deadlineNanos(long recorded) {
         return switch (base) {
             case THIS_BOOT -> recorded;
@@ -585,7 +592,7 @@
         };
     }
 
-    /** In another boot it is careful: it counts as older than any window for repeats. */
+    /** An attempt of another boot counts as older than any deduplication window, so that it is not repeated. */
     private AcceptedMessage.Attempt attempt(String endpoint, long recorded) {
         return switch (base) {
             case THIS_BOOT -> AcceptedMessage.Attempt.sentAt(endpoint, recorded, clock);
@@ -594,7 +601,7 @@
         };
     }
 
-    /** In another boot it is careful: a ramp begins anew. */
+    /** The health of an endpoint from another boot counts as just begun, so that a slow start begins again. */
     private Health health(Relay.EndpointState state, long recorded, double carriedPerMs) {
         return switch (base) {
             case THIS_BOOT -> new Health(state, recorded, carriedPerMs);
--- a/src/main/java/kestreldeal/net/JournalFile.java
+++ b/src/main/java/kestreldeal/net/JournalFile.java
@@ -11,9 +11,10 @@
 import java.nio.file.StandardOpenOption;
 
 /**
- * The journal's file: records are appended, or all of it is replaced at one moment. Any call may fail. An append that
- * failed may have left bytes behind the records; they are covered before anything else is appended, since they would
- * hide what lies behind them from the next reader, or, if the record is whole there, be taken for one that was written.
+ * The journal's file: records are appended, or the whole content is replaced atomically. Any call may fail. A failed
+ * append may leave bytes after the last complete record. They are removed or overwritten before the next append: a
+ * reader would stop at a partial record and miss those after it, and would accept a complete one whose write was
+ * reported as failed.
  */
 final class JournalFile implements AutoCloseable {
     private static final int READ_BYTES = 1 << 16;
@@ -22,12 +23,12 @@
     private final Path next;
     private final Journal.FileOpener files;
     private FileChannel channel;
-    /** Where the next record goes: behind the last one that was written whole. */
+    /** End of the last record that was written completely, where the next one is appended. */
     private long size;
-    /** Up to here a failed append may have left bytes; not above the size if none has. */
+    /** End of the bytes that a failed append may have left; not beyond {@link #size} if there are none. */
     private long tornUntil;
 
-    /** Opens the file, and creates it if there is none; a copy that was never put in its place is removed. */
+    /** Opens the file, creating it if there is none; the leftover of an unfinished replacement is deleted. */
     JournalFile(Path folder, Journal.FileOpener files) throws IOException {
         this.file = folder.resolve("journal");
         this.next = folder.resolve("journal.next");
@@ -36,7 +37,7 @@
         channel = files.open(file, StandardOpenOption.CREATE, StandardOpenOption.READ, StandardOpenOption.WRITE);
     }
 
-    /** All that is in the file. */
+    /** Reads the whole file. */
     byte[] read() throws IOException {
         ByteArrayOutputStream all = new ByteArrayOutputStream((int) channel.size());
         ByteBuffer piece = ByteBuffer.allocate(READ_BYTES);
@@ -47,28 +48,28 @@
         return all.toByteArray();
     }
 
-    /** Of what was read so much is whole records; what lies behind them is torn. */
+    /** Sets where to append: after the complete records at the start of the bytes that were read. */
     void begin(long wholeBytes, long readBytes) {
         size = wholeBytes;
         tornUntil = readBytes;
     }
 
-    /** Whether it has not been closed here. */
+    /** Whether the file has not been closed by this process. */
     boolean isOpen() {
         return channel.isOpen();
     }
 
-    /** Bytes of the records in it. */
+    /** Bytes of the complete records in the file. */
     long size() {
         return size;
     }
 
-    /** Whether there may be bytes behind the records: {@link #mend} has to come before the next append. */
+    /** Whether bytes may follow the last complete record; {@link #mend} has to remove them before the next append. */
     boolean isTorn() {
         return tornUntil > size;
     }
 
-    /** Takes away what lies behind the records, or covers it. */
+    /** Truncates the file after the last complete record or, if that fails, overwrites what follows it with zeros. */
     void mend() throws IOException {
         if (!isTorn()) {
             return;
@@ -83,7 +84,7 @@
         tornUntil = size;
     }
 
-    /** Appends a record, whole or, as far as any later reader can tell, not at all. */
+    /** Appends a record. If this throws, no later reader may see it: the next append removes what was written of it. */
     void append(byte[] record) throws IOException {
         mend();
         try {
@@ -96,10 +97,10 @@
         tornUntil = size;
     }
 
-    /** Puts this in the place of all that is in the file. If it fails, the file is as it was. */
+    /** Replaces the whole content of the file atomically. If this throws, the file is unchanged. */
     void replace(byte[] content) throws IOException {
         if (!channel.isOpen()) {
-            // The file may be another process's by now.
+            // Another process may own the file by now.
             throw new ClosedChannelException();
         }
         FileChannel fresh = files.open(next, StandardOpenOption.CREATE, StandardOpenOption.TRUNCATE_EXISTING,
@@ -116,7 +117,7 @@
         channel = fresh;
         size = content.length;
         tornUntil = size;
-        // It must not fail the step: the new file is in place, and all goes there from here on.
+        // A failure to close must not fail the replacement: the new file is in place and all later records go there.
         close(old);
     }
 
@@ -131,7 +132,7 @@
         try {
             channel.close();
         } catch (IOException e) {
-            Log.write("closing the journal: " + e.getMessage());
+            Log.write("error on closing the journal: " + e.getMessage());
         }
     }
 
--- a/src/main/java/kestreldeal/net/JournalFrames.java
+++ b/src/main/java/kestreldeal/net/JournalFrames.java
@@ -9,27 +9,27 @@
 import java.nio.ByteBuffer;
 import java.util.zip.CRC32;
 
-/** The frames of the journal's records: length and checksum, so that a record that is not whole shows. */
+/** Frames the journal's records with a length and a CRC-32 checksum, so that incomplete records are detected. */
 final class JournalFrames {
-    /** Length and checksum. */
+    /** Bytes of a frame's header: the record's length (4) and its checksum (8). */
     private static final int HEAD = 12;
-    /** Longest record that is believed: a longer one is a torn or foreign length. */
+    /** Maximum length of a record in bytes; a larger value is not a length that was written here, or is damaged. */
     private static final int LONGEST = 1 << 20;
 
     private JournalFrames() {
     }
 
-    /** Writes what a record says. */
+    /** Writes the content of a record. */
     interface Body {
         void write(DataOutputStream out) throws IOException;
     }
 
-    /** Told of each record, and of its length with its frame. */
+    /** Receives each record, and its length in bytes with the frame's header. */
     interface Reader {
         void read(DataInputStream record, int frameLength) throws IOException;
     }
 
-    /** A record in its frame. */
+    /** Builds a record with its frame's header. */
     static byte[] frame(Body body) {
         try {
             ByteArrayOutputStream bytes = new ByteArrayOutputStream(128);
@@ -45,7 +45,7 @@
         }
     }
 
-    /** Reads up to the first record that is not whole, or that its reader can't make out; returns where it begins. */
+    /** Reads up to the first record that is incomplete, damaged or rejected by the reader; returns its position. */
     static int read(byte[] bytes, Reader reader) {
         int at = 0;
         while (bytes.length - at >= HEAD) {
--- a/src/main/java/kestreldeal/net/LeaderLock.java
+++ b/src/main/java/kestreldeal/net/LeaderLock.java
@@ -8,8 +8,8 @@
 import java.nio.file.StandardOpenOption;
 
 /**
- * The right to decide for a sender and to write its journal. Of the processes that share its folder one holds it,
- * by a lock that ends with the process at the latest.
+ * A file lock that elects the leader: the one process, of those that share a sender's folder, that makes decisions for
+ * the sender and writes its journal. The operating system releases it when the process ends.
  */
 final class LeaderLock {
     private final Path file;
@@ -19,7 +19,7 @@
         this.file = folder.resolve("helm");
     }
 
-    /** Takes the helm unless another process holds it; taking it again does no harm. */
+    /** Acquires the lock unless another process holds it; returns whether this process holds it now. */
     boolean take() throws IOException {
         if (channel != null) {
             return true;
@@ -37,12 +37,12 @@
         try {
             return opened.tryLock();
         } catch (OverlappingFileLockException e) {
-            // Another sender in this process holds it.
+            // Another sender within this process holds it.
             return null;
         }
     }
 
-    /** Leaves the helm to whoever takes it next. */
+    /** Releases the lock, if it is held. */
     void release() {
         if (channel == null) {
             return;
@@ -50,7 +50,7 @@
         try {
             channel.close();
         } catch (IOException e) {
-            Log.write("the helm's lock can't be closed: " + e.getMessage());
+            Log.write("error on closing the file of the leader lock: " + e.getMessage());
         }
         channel = null;
     }
--- a/src/main/java/kestreldeal/net/ProcessConnection.java
+++ b/src/main/java/kestreldeal/net/ProcessConnection.java
@@ -24,15 +24,15 @@
 import java.nio.file.Path;
 
 /**
- * A connection between two processes of one sender, over a socket in their folder: what is told is JSON, each with
- * its length before it, and heard in the order told. That the other process is gone shows as the close.
+ * A connection between two processes of one sender, over a Unix domain socket in their folder. Messages are JSON
+ * objects prefixed with their length, and arrive in the order sent. When the other process ends, the connection closes.
  */
 final class ProcessConnection extends SimpleChannelInboundHandler<ByteBuf> {
     private static final int LENGTH_BYTES = 4;
     private static final int LONGEST = 16 << 20;
     private static final JsonMapper JSON = JsonMapper.builder().build();
 
-    /** What is done with what the other process tells. */
+    /** Handles the events of a connection. */
     interface MessageHandler {
         void opened(ProcessConnection link);
 
@@ -48,13 +48,13 @@
         this.ear = ear;
     }
 
-    /** Takes links at this path, in the place of whoever took them before. */
+    /** Listens for connections at a path where no socket file exists. */
     static ChannelFuture listen(EventLoop loop, Path path, MessageHandler ear) {
         return new ServerBootstrap().group(loop, loop).channel(NioServerDomainSocketChannel.class)
                 .childHandler(initializer(ear)).bind(UnixDomainSocketAddress.of(path));
     }
 
-    /** Links to the process that listens at this path; without one the future fails. */
+    /** Connects to the process that listens at a path; the future fails if there is none. */
     static ChannelFuture connect(EventLoop loop, Path path, MessageHandler ear) {
         return new Bootstrap().group(loop).channel(NioDomainSocketChannel.class)
                 .handler(initializer(ear)).connect(UnixDomainSocketAddress.of(path));
@@ -75,7 +75,7 @@
         try {
             channel.writeAndFlush(Unpooled.wrappedBuffer(JSON.writeValueAsBytes(what)));
         } catch (IOException e) {
-            throw new IllegalArgumentException("not to be told: " + what, e);
+            throw new IllegalArgumentException("the message can't be written as JSON: " + what, e);
         }
     }
 
@@ -104,7 +104,7 @@
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
         if (!(cause instanceof IOException)) {
-            Log.write("the link to the other process is closed: " + cause);
+            Log.write("the handover connection to the other process is closed after an error: " + cause);
         }
         ctx.close();
     }
--- a/src/main/java/kestreldeal/net/ProcessHandover.java
+++ b/src/main/java/kestreldeal/net/ProcessHandover.java
@@ -21,80 +21,86 @@
 import kestreldeal.Relay;
 
 /**
- * How one process of a sender takes over from another while both run. The one that leads holds the {@link LeaderLock}.
- * One that starts beside it follows: it links to the leader and waits. A leader that is told to end hands on the
- * helm with its {@link HandoverState}, then what its clients still hand in and how its calls end; one that dies
- * has handed
- * on its journal at least, since the helm is then free.
+ * Lets one process of a sender take over from another while both run, without a gap in service. The leader holds the
+ * {@link LeaderLock}. A process that starts beside it is a follower: it connects to the leader and waits. A leader that
+ * is asked to shut down releases the lock and sends the follower its {@link HandoverState}; after that it forwards the
+ * messages that its clients still submit and the results of its calls in flight. If the leader dies instead, the lock
+ * is free, and the follower takes over with the journal alone.
+ *
+ * <p>To a leader, the process that led before it is the predecessor, and the follower that takes over is the successor.
  */
 final class ProcessHandover {
-    /** Between looks whether the leader can be linked to, or is gone. */
+    /** Interval between tries to acquire the leader lock or to connect to the leader. */
     private static final long SEEK_MS = 50;
 
     /**
-     * What the leader hands on beside the journal: ids of messages that were over last, and whether they were
-     * delivered; the attempts that are out; what the module knows, the endpoints by their ids.
+     * What the leader hands over beside the journal.
+     *
+     * @param ended ids of the most recently completed messages, and whether each was delivered
+     * @param out the attempts in flight
+     * @param endpoints the ids of the endpoints in {@code memory}, in the same order
+     * @param memory the decision module's learned state
      */
     record HandoverState(Map<String, Boolean> ended, List<InFlightAttempt> out, List<String> endpoints,
             Relay.LearnedState memory) {
     }
 
-    /** An attempt that the process before made and waits for; those of one call travel together. */
+    /** An attempt of the predecessor that is still in flight there; attempts with the same call number share a call. */
     record InFlightAttempt(long message, int attempt, long call) {
     }
 
-    /** How an attempt ended that the process before made. */
+    /** The result of an attempt that the predecessor made; {@code gone}: the message has expired at its destination. */
     record InFlightResult(long message, int attempt, Relay.Outcome outcome, boolean gone, double waitMs,
                   Relay.LoadReport report, double tookMs) {
     }
 
-    /** The sender's side. */
+    /** What the sender does on the events of a handover. */
     interface Callbacks {
-        /** This process leads from now on, with what the one before told, if it could. */
+        /** This process leads from now on, with the predecessor's state if that could hand it over. */
         void lead(Optional<HandoverState> legacy) throws IOException;
 
-        /** What this leader would hand on now. */
+        /** The state that this leader would hand over now. */
         HandoverState legacy();
 
-        /** The process that leads now takes clients: this one need not any more. */
+        /** The successor listens for clients, so this process may stop listening. */
         void relieved();
 
-        /** The process before was handed in a message. */
+        /** The predecessor forwards a message that a client submitted there; returns the status to answer with. */
         HttpResponseStatus handedIn(ClientServer.Submission submission);
 
-        /** An attempt of the process before has ended. */
+        /** An attempt of the predecessor has completed. */
         void ended(InFlightResult end);
 
-        /** An endpoint has told the process before to wait. */
+        /** An endpoint has asked the predecessor to back off (Retry-After). */
         void waitTold(String endpoint, double waitMs);
 
-        /** The process that leads now stops waiting for an attempt that was made here. */
+        /** The successor cancels an attempt that was made here. */
         void calledOff(long message, int attempt);
 
-        /** The process before is gone, with all that it had out. */
+        /** The predecessor is gone, and with it the results of its attempts in flight. */
         void left();
     }
 
     private final EventLoop loop;
     private final LeaderLock helm;
     private final Path socket;
-    /** Without links a process can only wait for the end of the one that leads. */
+    /** Whether processes connect to each other; without it a process can only wait until the leader ends. */
     private final boolean links;
     private final Callbacks heir;
     private final JsonMapper json = JsonMapper.builder()
-            // A later release may tell more.
+            // A later release may send more fields.
             .disable(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES).build();
-    /** A follower's link to its leader, or what was its leader. */
+    /** A follower's connection to the leader, or a leader's to its predecessor. */
     private Optional<ProcessConnection> before = Optional.empty();
-    /** The follower that takes over next, or has. */
+    /** The connection to the follower that will take over, or has taken over. */
     private Optional<ProcessConnection> next = Optional.empty();
     private Channel listener;
     private boolean leads;
     private boolean welcome;
     private boolean closed;
-    /** Why this process could not lead when it last tried. */
+    /** Why this process could not become the leader when it last tried, to log each reason once in a row. */
     private String obstacle = "";
-    /** What waits for the word of the process that leads now. */
+    /** Clients' answers that wait for the successor's status, by the number of the forwarded message. */
     private final Map<Long, Consumer<HttpResponseStatus>> asked = new HashMap<>();
     private long asks;
 
@@ -106,35 +112,35 @@
         this.heir = heir;
     }
 
-    /** Leads at once if no other process does, else follows; where its folder fails it goes on trying. */
+    /** Becomes the leader if no other process is, or else a follower; retries if the folder can't be used yet. */
     void start() {
         try {
             if (helm.take()) {
                 lead(Optional.empty());
                 return;
             }
-            Log.write("another process leads; this one follows");
+            Log.write("another process of this sender is the leader; this one waits as its follower");
         } catch (IOException e) {
             cantLead(e);
         }
         seek();
     }
 
-    /** Told once for each reason: it is tried again and again. */
+    /** Logs why this process can't lead yet; since it retries, a repeated reason is not logged again. */
     private void cantLead(IOException e) {
         String reason = String.valueOf(e.getMessage());
         if (!reason.equals(obstacle)) {
             obstacle = reason;
-            Log.write("can't lead yet: " + reason);
+            Log.write("can't become the leader yet, will retry: " + reason);
         }
     }
 
-    /** Whether a leader knows of this process, so that it can take over without a gap. */
+    /** Whether the leader has registered this process as its follower, so that it can take over without a gap. */
     boolean follows() {
         return !leads && welcome;
     }
 
-    /** Whether the process that this one took over from still lives. */
+    /** Whether this process leads and is still connected to the one that it took over from. */
     boolean hasPredecessor() {
         return leads && before.isPresent();
     }
@@ -152,7 +158,10 @@
         }
     }
 
-    /** The path may be that of a process that was; without a socket there, a successor starts after the end. */
+    /**
+     * Listens for a follower, in the place of an earlier process's socket. If that fails, a successor can only start
+     * once this process has ended.
+     */
     private void listen() {
         try {
             Files.deleteIfExists(socket);
@@ -160,11 +169,12 @@
             listener = bound.channel();
             bound.addListener(f -> {
                 if (!f.isSuccess()) {
-                    Log.write("no process can take over while this one runs: " + f.cause().getMessage());
+                    Log.write("can't listen for a successor, no process can take over while this one runs: "
+                            + f.cause().getMessage());
                 }
             });
         } catch (IOException | RuntimeException e) {
-            Log.write("no process can take over while this one runs: " + e.getMessage());
+            Log.write("can't listen for a successor, no process can take over while this one runs: " + e.getMessage());
         }
     }
 
@@ -197,16 +207,16 @@
         loop.schedule(this::seek, SEEK_MS, TimeUnit.MILLISECONDS);
     }
 
-    /** What the leader told goes with the helm, which it left before it told. */
+    /** Takes over with the leader's state; the leader released the lock before it sent that. */
     private void takeOver(HandoverState legacy) throws IOException {
         if (helm.take()) {
             lead(Optional.of(legacy));
         } else {
-            Log.write("another process has taken the helm");
+            Log.write("the leader lock was released to this process, but another process has acquired it");
         }
     }
 
-    /** The word of the process before this one. */
+    /** Handles messages from the leader, or from the predecessor once this process leads. */
     private final class Leader implements ProcessConnection.MessageHandler {
         @Override
         public void opened(ProcessConnection link) {
@@ -218,7 +228,7 @@
         public void heard(ProcessConnection link, JsonNode told) throws IOException {
             switch (told.path("do").asText()) {
                 case "welcome" -> {
-                    // Read for the practice: the first time takes long, and would fall into the gap.
+                    // Warms up the parser: the first parse takes long, and would delay the takeover itself.
                     json.treeToValue(told.path("legacy"), HandoverState.class);
                     welcome = true;
                 }
@@ -229,7 +239,7 @@
                 }
                 case "wait" -> heir.waitTold(told.path("endpoint").asText(), told.path("wait").asDouble());
                 case "end" -> heir.ended(json.treeToValue(told.path("end"), InFlightResult.class));
-                default -> Log.write("the process before told what is not understood");
+                default -> Log.write("unknown type of handover message from the predecessor process is ignored");
             }
         }
 
@@ -245,31 +255,31 @@
         }
     }
 
-    /** This process listens for clients: the one before need not any more. */
+    /** Notifies the predecessor that this process listens for clients, so that it can stop listening. */
     void listens() {
         before.ifPresent(link -> link.tell(message("listening")));
     }
 
-    /** Stops waiting for an attempt that the process before made. */
+    /** Asks the predecessor to cancel an attempt that it made. */
     void callOff(long message, int attempt) {
         before.ifPresent(link -> link.tell(message("cancel").put("message", message).put("attempt", attempt)));
     }
 
     // ---- as a leader ----
 
-    /** Whether another process stands by. */
+    /** Whether a follower is connected and can take over. */
     boolean hasFollower() {
         return leads && next.isPresent();
     }
 
-    /** Hands the helm on; the journal must be closed by now. */
+    /** Releases the leader lock and sends the state to the successor; the journal must be closed by now. */
     void handOver(HandoverState legacy) {
         leads = false;
         helm.release();
         tellNext(message("helm").set("legacy", json.valueToTree(legacy)));
     }
 
-    /** Hands on what a client handed in; the answer comes later, and is a refusal if nobody is left to give one. */
+    /** Forwards a client's message to the successor. The answer comes later; it is 503 if the successor is gone. */
     void handOn(ClientServer.Submission s, Consumer<HttpResponseStatus> answer) {
         if (next.isEmpty()) {
             answer.accept(HttpResponseStatus.SERVICE_UNAVAILABLE);
@@ -293,7 +303,7 @@
         next.ifPresent(link -> link.tell(what));
     }
 
-    /** The word of the process after this one. */
+    /** Handles messages from a follower, or from the successor once it has taken over. */
     private final class Follower implements ProcessConnection.MessageHandler {
         @Override
         public void opened(ProcessConnection link) {
@@ -314,7 +324,7 @@
                 case "answer" -> Optional.ofNullable(asked.remove(told.path("ask").asLong()))
                         .ifPresent(answer -> answer.accept(HttpResponseStatus.valueOf(told.path("status").asInt())));
                 case "cancel" -> heir.calledOff(told.path("message").asLong(), told.path("attempt").asInt());
-                default -> Log.write("the process after told what is not understood");
+                default -> Log.write("unknown type of handover message from the successor process is ignored");
             }
         }
 
@@ -328,7 +338,7 @@
         }
     }
 
-    /** Lets go of everything, as the end of the process would. */
+    /** Releases the lock and closes all connections, as the end of the process would. */
     void close() {
         closed = true;
         helm.release();
--- a/src/main/java/kestreldeal/net/SighupHandler.java
+++ b/src/main/java/kestreldeal/net/SighupHandler.java
@@ -8,15 +8,16 @@
 import java.util.concurrent.Executors;
 
 /**
- * SIGHUP, which by default ends a JVM. Java has no supported interface to signals, so the JDK's own one is
- * called by reflection: the compiler warns of any mention of it, and a JVM without it only loses the reload. So does
- * one that was started with SIGHUP ignored, as by nohup; the command in the deploy file undoes that.
+ * Handles SIGHUP, which by default ends a JVM. Java has no supported API for signals, so the JDK's internal one is
+ * called by reflection: the compiler warns of any direct use, and on a JVM without it only the reload of the
+ * configuration is lost. It is lost as well if the process was started with SIGHUP ignored, as nohup does; the command
+ * in the deploy file resets that.
  */
 final class SighupHandler {
     private SighupHandler() {
     }
 
-    /** Runs this at each SIGHUP from now on, one at a time and in order, on a thread of its own. */
+    /** Runs the action at each SIGHUP from now on, one run at a time, on a thread of its own. */
     static void handle(Runnable told) {
         ExecutorService thread = Executors.newSingleThreadExecutor(run -> {
             Thread daemon = new Thread(run, "reload");
@@ -34,11 +35,11 @@
             Object before = signal.getMethod("handle", signal, handler)
                     .invoke(null, signal.getConstructor(String.class).newInstance("HUP"), proxy);
             if (before == handler.getField("SIG_IGN").get(null)) {
-                Log.write("SIGHUP was ignored when this process was started, and the JVM keeps to that:"
-                        + " a new configuration needs a restart");
+                Log.write("SIGHUP was ignored when this process was started and can't be handled:"
+                        + " a change of the configuration needs a restart");
             }
         } catch (ReflectiveOperationException | IllegalArgumentException e) {
-            Log.write("SIGHUP can't be handled here: " + e);
+            Log.write("SIGHUP can't be handled by this JVM, a change of the configuration needs a restart: " + e);
         }
     }
 }
--- a/src/test/java/kestreldeal/net/AcceptedMessageTest.java
+++ b/src/test/java/kestreldeal/net/AcceptedMessageTest.java
@@ -43,7 +43,7 @@
         assertTrue(isInWindow(0, 60_000, 5000));
     }
 
-    /** A first attempt whose connection comes up late may be overtaken by its copy. */
+    /** A first attempt whose connection is established late may be overtaken by its hedged attempt. */
     @Test
     void anAttemptThatWasOvertakenIsARepeatItself() {
         sent(1000);
@@ -54,7 +54,7 @@
         assertTrue(isInWindow(0, 7001, 5000));
     }
 
-    /** Nobody knows how long ago it was sent. */
+    /** The clock went back, so how long ago the attempt was made is unknown. */
     @Test
     void anAttemptFromTheFutureIsPastAnyWindow() {
         held.attempts.add(AcceptedMessage.Attempt.sentAgo("e", -5000, clock));
@@ -70,7 +70,7 @@
         assertTrue(isInWindow(1, 0, 60_000));
     }
 
-    /** A request may have stood unread for as long as its client waits, or a quarter of what its class has. */
+    /** A request may have been unread for as long as its client waits, or for a quarter of its class's deadline. */
     @Test
     void itsTimeMayBeUpSoonerThanItsBudgetSays() {
         ClientServer.Submission asked =
--- a/src/test/java/kestreldeal/net/ConfigTest.java
+++ b/src/test/java/kestreldeal/net/ConfigTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What other deployments may leave out, and how a bad value ends the start. */
+/** Settings that a deployment may leave out, and the errors for invalid values. */
 class ConfigTest {
     private static final String GOOD = """
             {"name":"n0","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"8c1f30d27a5be964",
--- a/src/test/java/kestreldeal/net/FailingFiles.java
+++ b/src/test/java/kestreldeal/net/FailingFiles.java
@@ -10,30 +10,30 @@
 import java.nio.file.OpenOption;
 import java.nio.file.Path;
 
-/** Files that can be made to fail: a write then leaves half of its bytes, and all else does nothing. */
+/** Files that can be made to fail: a failing write leaves half of its bytes in the file, other calls do nothing. */
 final class FailingFiles implements Journal.FileOpener {
     private boolean failing;
     private boolean failingClose;
     private boolean failingToTell;
     private boolean failingTruncate;
 
-    /** All that is done from now on fails, or works again. */
+    /** Makes all calls fail from now on, or work again. */
     void fail(boolean now) {
         failing = now;
     }
 
-    /** All fails from now on, but what is written is in the file. */
+    /** Makes all calls fail from now on, but failing writes leave all of their bytes in the file. */
     void failTelling() {
         failing = true;
         failingToTell = true;
     }
 
-    /** No file can be made shorter from now on, whatever else works. */
+    /** Makes every truncation fail from now on, even while other calls work. */
     void failTruncating() {
         failingTruncate = true;
     }
 
-    /** Closing a file fails from now on, though it is closed. */
+    /** Makes every close report an error from now on, although the file is closed. */
     void failClosing() {
         failingClose = true;
     }
@@ -57,7 +57,7 @@
             this.file = file;
         }
 
-        /** The bytes that are in the file although the write fails. */
+        /** The bytes that a failing write leaves in the file. */
         private ByteBuffer left(ByteBuffer bytes) {
             ByteBuffer left = bytes.duplicate();
             left.limit(left.position() + left.remaining() / (failingToTell ? 1 : 2));
--- a/src/test/java/kestreldeal/net/JournalFailureTest.java
+++ b/src/test/java/kestreldeal/net/JournalFailureTest.java
@@ -18,10 +18,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** A folder that fails for a while: what was taken on is still owed in the next life, and what is over is over. */
+/** Write failures that last for a while: the next process must find every accepted message, and what became of it. */
 class JournalFailureTest {
     private static final long DISK = 200_000;
-    /** Longer than any pause before the journal tries again. */
+    /** Longer than any delay before the journal retries. */
     private static final long LATER_MS = 60_000;
 
     @TempDir
@@ -72,7 +72,7 @@
         }
     }
 
-    /** A record that was written whole, though that was told as a failure, is not there either: it was refused. */
+    /** Even if the write reported an error after it had written the whole record: the message was rejected. */
     @Test
     void nothingOfARecordThatFailedIsRead() throws Exception {
         try (Journal journal = failing()) {
@@ -88,7 +88,7 @@
         }
     }
 
-    /** By then the new file has taken the old one's place. */
+    /** A compaction closes the old file after the new one has replaced it. */
     @Test
     void anOldFileThatCantBeClosedDoesNoHarm() throws Exception {
         files.failClosing();
@@ -107,7 +107,10 @@
         }
     }
 
-    /** Found by its length at the start: nothing may be written in front of what lies behind the records. */
+    /**
+     * What follows a damaged record has to be overwritten on opening: a new record of the same length as the damaged
+     * one would make the old records after it readable again.
+     */
     @Test
     void whatLiesBehindATornRecordStaysHidden() throws Exception {
         long whole;
@@ -160,7 +163,7 @@
         }
     }
 
-    /** More than is kept record by record: then all that is known is written anew. */
+    /** More unwritten records than are kept one by one: the journal then writes a compaction instead of them. */
     @Test
     void aLongTimeOfFailuresLosesNothingEither() throws Exception {
         try (Journal journal = failing()) {
@@ -194,7 +197,7 @@
             files.fail(true);
             assertThrows(IOException.class, () -> take(journal));
             for (int i = 0; i < 7; i++) {
-                assertFalse(journal.catchUp(), "it is too soon");
+                assertFalse(journal.catchUp(), "the retry delay is still running");
                 clock.pass(pauses.get(i));
                 assertFalse(journal.catchUp());
             }
--- a/src/test/java/kestreldeal/net/JournalTest.java
+++ b/src/test/java/kestreldeal/net/JournalTest.java
@@ -72,7 +72,7 @@
             assertEquals(List.of(true, false), a.attempts.stream().map(x -> x.neverRan).toList());
             assertEquals(100, a.attempts.get(1).ageMs(clock));
             assertEquals(Optional.of(new AcceptedMessage.Notice(true, 500)), held.get(1).owed);
-            assertEquals(3, journal.nextNumber(), "numbers are not used again");
+            assertEquals(3, journal.nextNumber(), "message numbers are not reused");
         }
     }
 
@@ -116,7 +116,7 @@
                 journal.taken(held(journal, 10));
             }
             try (Journal journal = open()) {
-                assertEquals(2, journal.held().size(), "what follows a torn tail must be found again");
+                assertEquals(2, journal.held().size(), "a record written after an incomplete one must be read");
             }
         }
         Files.write(file, whole);
@@ -165,12 +165,12 @@
                     journal.ended(over);
                 }
                 compactions += journal.size() < before ? 1 : 0;
-                // A compaction begun now would stand beside the file with all that is live.
+                // A compaction now would write all live records to a second file beside this one.
                 long liveBytes = live.stream().mapToLong(x -> x.bytes).sum();
                 assertTrue(journal.size() + liveBytes + 1024 <= DISK, "at step " + i);
             }
         }
-        assertTrue(refused > 0, "live bytes that leave no room refuse new messages");
+        assertTrue(refused > 0, "messages are rejected when live records leave no room");
         assertTrue(compactions > 10);
         try (Journal journal = open()) {
             assertEquals(live.stream().map(h -> h.id).toList(), journal.held().stream().map(h -> h.id).toList());
@@ -211,7 +211,10 @@
         }
     }
 
-    /** Else an attempt that may have run is taken for one that never did, or the next start ends in a fault. */
+    /**
+     * An attempt that could not be recorded must not shift the indexes of those that were: a restart would then restore
+     * an attempt that may have run as one that never did, or fail.
+     */
     @Test
     void anAttemptThatCouldNotBeRecordedMovesNoOther() throws Exception {
         String vast = "e".repeat(60_000);
@@ -237,7 +240,7 @@
                 AcceptedMessage held = journal.held().iterator().next();
                 AcceptedMessage.Attempt last = held.attempts.get(held.attempts.size() - 1);
                 assertEquals("s-3", last.endpoint);
-                assertTrue(held.attempts.stream().noneMatch(a -> a.neverRan), "each that was made may have run");
+                assertTrue(held.attempts.stream().noneMatch(a -> a.neverRan), "every recorded attempt may have run");
                 journal.handOver();
             }
         }
@@ -263,7 +266,8 @@
         for (int life = 0; life < 3; life++) {
             try (Journal journal = open()) {
                 assertEquals(Map.of("id-0", true, "id-1", false, "id-2", false), journal.over());
-                assertEquals(Optional.empty(), journal.deliveredBefore("id-3"), "its client never heard of it");
+                assertEquals(Optional.empty(), journal.deliveredBefore("id-3"),
+                        "its client never got the answer that it was accepted");
                 journal.handOver();
             }
         }
--- a/src/test/java/kestreldeal/net/LeaderLockTest.java
+++ b/src/test/java/kestreldeal/net/LeaderLockTest.java
@@ -16,7 +16,7 @@
         LeaderLock first = new LeaderLock(folder);
         LeaderLock second = new LeaderLock(folder);
         assertTrue(first.take());
-        assertTrue(first.take(), "taking it again does no harm");
+        assertTrue(first.take(), "acquiring it again does no harm");
         assertFalse(second.take());
         first.release();
         first.release();
--- a/src/test/java/kestreldeal/net/ManualClock.java
+++ b/src/test/java/kestreldeal/net/ManualClock.java
@@ -2,35 +2,35 @@
 
 import java.util.concurrent.TimeUnit;
 
-/** Clocks of a machine that stand until they are moved. */
+/** A machine's clocks that stand still until a test advances them. */
 final class ManualClock implements MachineClock {
     private long nanos = TimeUnit.HOURS.toNanos(100);
     private long wallMillis = TimeUnit.DAYS.toMillis(20_000);
     private int boots = 1;
 
-    /** Time passes: both clocks show it. */
+    /** Advances both clocks. */
     void pass(long ms) {
         nanos += TimeUnit.MILLISECONDS.toNanos(ms);
         wallMillis += ms;
     }
 
-    /** Time passes up to this one of {@link #nanos}. */
+    /** Advances both clocks until {@link #nanos} shows the given time. */
     void passTo(long untilNanos) {
         pass(TimeUnit.NANOSECONDS.toMillis(untilNanos - nanos));
     }
 
-    /** Somebody sets the wall clock. */
+    /** Steps the wall clock only, as when somebody sets it. */
     void stepWall(long ms) {
         wallMillis += ms;
     }
 
-    /** The machine is booted anew, so that the monotonic clock counts from another moment. */
+    /** Reboots the machine: the monotonic clock starts again, and the boot id changes. */
     void reboot(long uptimeMs) {
         boots++;
         nanos = TimeUnit.MILLISECONDS.toNanos(uptimeMs);
     }
 
-    /** The monotonic clock counts anew, under the same name. */
+    /** Starts the monotonic clock again without a change of the boot id. */
     void rewind(long uptimeMs) {
         nanos = TimeUnit.MILLISECONDS.toNanos(uptimeMs);
     }
--- a/src/test/java/kestreldeal/net/RelistedEndpointTest.java
+++ b/src/test/java/kestreldeal/net/RelistedEndpointTest.java
@@ -10,7 +10,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** An endpoint that the list names under the same id as one of another destination. */
+/**
+ * An endpoint whose destination changes in the list while its id stays: messages for the old destination must not be
+ * sent to it any more.
+ */
 class RelistedEndpointTest {
     private static final int OTHER_DESTINATION = 5;
 
@@ -27,7 +30,8 @@
         world = new SenderTestEnvironment(folder, endpoint);
         sender = world.sender();
         address = sender.start();
-        StubServer.await("it is ready", () -> SenderTestEnvironment.ask(address, SenderTestEnvironment.HEALTH) == 200);
+        StubServer.await("the sender is ready",
+                () -> SenderTestEnvironment.ask(address, SenderTestEnvironment.HEALTH) == 200);
     }
 
     @AfterEach
@@ -49,13 +53,13 @@
     @Test
     void itGetsWhatIsForItsNewDestinationAndNothingElse() throws Exception {
         handIn("before", 0);
-        StubServer.await("it is called", () -> called().equals(List.of("before")));
+        StubServer.await("the endpoint is called", () -> called().equals(List.of("before")));
         world.firstDestination = OTHER_DESTINATION;
-        StubServer.await("the change is known", () -> world.agent.requests.stream()
+        StubServer.await("the changed list is read", () -> world.agent.requests.stream()
                 .anyMatch(r -> r.line().contains("after=" + world.generation())));
         handIn("for nobody", 0);
         handIn("for it", OTHER_DESTINATION);
-        StubServer.await("it is called again", () -> called().size() == 2);
+        StubServer.await("the endpoint is called again", () -> called().size() == 2);
         assertEquals(List.of("before", "for it"), called());
     }
 }
--- a/src/test/java/kestreldeal/net/RepeatWindowTest.java
+++ b/src/test/java/kestreldeal/net/RepeatWindowTest.java
@@ -12,7 +12,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A keyed attempt that may have run before the process ended, where repeats are dropped for a second only. */
+/**
+ * A keyed message with an attempt that may have run before the previous process ended. The destination drops repeats of
+ * a key only within a window, so a repeat that is written after the window could take effect a second time.
+ */
 class RepeatWindowTest {
     private static final int WINDOW_MS = 1000;
 
@@ -29,7 +32,7 @@
         world.agent.script(this::agent);
     }
 
-    /** It does not answer a notice, so that the journal holds its message on. */
+    /** Answers no notice, so that the journal keeps the message. */
     private void agent(StubServer.Message request, Socket socket) throws IOException {
         if (request.line().startsWith("POST")) {
             world.notices.add(request.body());
@@ -47,7 +50,7 @@
         endpoint.close();
     }
 
-    /** Leaves a message with one attempt that was out, made so long ago; returns when by the wall clock. */
+    /** Writes a journal with a message that has one unfinished attempt; returns its wall-clock time. */
     private long leave(long agoMs) throws Exception {
         try (Journal journal = world.journal()) {
             long wall = System.currentTimeMillis();
@@ -64,7 +67,7 @@
         sender.start();
     }
 
-    /** With so many attempts in all, of which none was written in this life. */
+    /** Waits for the notice of a message that has this number of attempts, none of them written by this process. */
     private void awaitRefused(int attempts) throws Exception {
         StubServer.await("the notice", () -> !world.notices.isEmpty());
         assertTrue(world.notices.get(0).contains("bounced"), world.notices.toString());
@@ -90,7 +93,7 @@
         awaitRefused(1);
     }
 
-    /** The agent answers only when the window is over, and without a list nothing can be sent before. */
+    /** The agent answers only after the window has passed, and without a list nothing can be sent before that. */
     @Test
     void itIsNotRepeatedWhereTheRestartTakesLongerThanTheWindow() throws Exception {
         open(new StubServer(StubServer.status(200, "")));
@@ -105,7 +108,7 @@
         awaitRefused(1);
     }
 
-    /** Decided inside the window; its connection comes up behind it. */
+    /** The repeat is decided on within the window, but its connection is established only after the window. */
     @Test
     void itIsNotWrittenLate() throws Exception {
         open(StubServer.busy(StubServer.status(200, "")));
@@ -113,14 +116,14 @@
         world.windowMs = 2 * WINDOW_MS;
         long sentAt = leave(0);
         start();
-        StubServer.await("it is decided",
+        StubServer.await("the repeat is decided on",
                 () -> world.journalled().stream().anyMatch(held -> held.attempts.size() == 2));
         StubServer.await("the window's end", () -> System.currentTimeMillis() > sentAt + 2 * WINDOW_MS);
         endpoint.accepts();
         awaitRefused(2);
     }
 
-    /** By the wall clock it is still to be made: how long ago it was nobody knows. */
+    /** The attempt seems to have been made in the future, so its age counts as unknown. */
     @Test
     void itIsNotRepeatedWhereTheWallClockWasSetBack() throws Exception {
         open(new StubServer(StubServer.status(200, "")));
--- a/src/test/java/kestreldeal/net/RestartTest.java
+++ b/src/test/java/kestreldeal/net/RestartTest.java
@@ -21,16 +21,15 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Thirty senders restarted at one moment, each with a journal that is full to its bound, three hundred endpoints on the
- * list, and an agent that answers, is silent or is slow. What stands between the start and being ready is counted, not
- * timed: one question to the agent, which has a limit of half a second. Nothing else can be waited for, since it never
- * comes: no endpoint's connection comes up, and no notice that is owed is heard.
+ * Restarts thirty senders at the same time, each with a full journal, three hundred listed endpoints, and an agent
+ * that answers, is silent or is slow. Guards against a sender that waits for anything but one request to the agent,
+ * with its timeout of half a second, before it is ready. The test counts requests and measures no time. Waiting for
+ * anything else would never end: no connection to an endpoint is established, and no pending notice is confirmed.
  */
 class RestartTest {
     private static final int EACH = 10;
     private static final int ENDPOINTS = 300;
 
-    /** How the agent answers. */
     private enum Mode {
         ANSWERING, SILENT, SLOW
     }
@@ -53,7 +52,7 @@
         endpoint.close();
     }
 
-    /** One sender, and whether it was ready each time that its agent was asked. */
+    /** One sender with its agent, and the sender's health at each request to the agent after the first. */
     private final class Restarted {
         final Mode mode;
         final SenderTestEnvironment world;
@@ -71,7 +70,7 @@
             held = fill();
         }
 
-        /** Until the journal takes no more: untried, tried, and ended by a notice that was not heard. */
+        /** Fills the journal with messages that are untried, attempted, or ended by an unconfirmed notice. */
         private int fill() throws IOException {
             try (Journal journal = world.journal()) {
                 for (int i = 0; i < ENDPOINTS; i += 10) {
@@ -111,7 +110,7 @@
                 String list = world.list();
                 StubServer.write(socket, "HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + "\r\n\r\n"
                         + list.substring(0, list.length() - 1));
-                StubServer.await("it is ready without the end of the list", () -> health() == 200);
+                StubServer.await("the sender is ready before the list is complete", () -> health() == 200);
             }
         }
 
@@ -147,7 +146,7 @@
         all.forEach(each -> new Thread(each::start).start());
         List<Restarted> waiting = new ArrayList<>(all);
         List<String> times = new ArrayList<>();
-        StubServer.await("all are ready", () -> {
+        StubServer.await("all senders are ready", () -> {
             waiting.removeIf(each -> {
                 boolean ready = each.address.isDone() && each.health() == 200;
                 if (ready) {
@@ -161,8 +160,9 @@
                 + times);
         for (Restarted each : all) {
             assertTrue(each.held > 500, each.held + " messages");
-            StubServer.await("the next question", () -> !each.healthAtLaterQuestions.isEmpty());
-            assertEquals(200, each.healthAtLaterQuestions.get(0), each.mode + ": ready before it asks again");
+            StubServer.await("the next request to the agent", () -> !each.healthAtLaterQuestions.isEmpty());
+            assertEquals(200, each.healthAtLaterQuestions.get(0),
+                    each.mode + ": the sender is ready before its next request");
         }
     }
 }
--- a/src/test/java/kestreldeal/net/StartupTest.java
+++ b/src/test/java/kestreldeal/net/StartupTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** What fails for a moment as the program starts does not end it: it tries again, and is ready once that works. */
+/** A temporary failure during startup does not end the program: it retries, and is ready once the cause is gone. */
 class StartupTest {
     @TempDir
     private Path folder;
@@ -22,7 +22,6 @@
     private SenderTestEnvironment world;
     private Process process;
 
-    /** What fails at first. */
     private enum Failing {
         CLIENTS_ADDRESS, OPERATORS_ADDRESS, FOLDER
     }
@@ -59,7 +58,7 @@
 
     private void awaitAlive(String what, BooleanSupplier condition) throws Exception {
         StubServer.await(what, () -> !process.isAlive() || condition.getAsBoolean());
-        assertTrue(process.isAlive(), "it ended: " + Files.readString(world.log()));
+        assertTrue(process.isAlive(), "the process ended: " + Files.readString(world.log()));
     }
 
     @ParameterizedTest
@@ -80,13 +79,14 @@
                 Files.createDirectory(journal);
             }
             process = world.process(256);
-            awaitAlive("it has tried", () -> hasSaid("can't "));
+            awaitAlive("a failure is logged", () -> hasSaid("can't "));
         }
         if (failing == Failing.FOLDER) {
             Files.delete(journal);
         }
         InetSocketAddress clients = Config.address(world.listen);
-        awaitAlive("it is ready", () -> SenderTestEnvironment.ask(clients, SenderTestEnvironment.HEALTH) == 200);
+        awaitAlive("the sender is ready",
+                () -> SenderTestEnvironment.ask(clients, SenderTestEnvironment.HEALTH) == 200);
         InetSocketAddress operators = Config.address(world.operators);
         awaitAlive("operators are answered",
                 () -> SenderTestEnvironment.operatorsAnswer(operators, "readyz").equals("YES\n"));
--- a/src/test/java/kestreldeal/net/WallClockTest.java
+++ b/src/test/java/kestreldeal/net/WallClockTest.java
@@ -16,7 +16,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Deadlines, windows and ages are spans of real time: a step of the wall clock moves none, in one life or over two. */
+/**
+ * Deadlines, deduplication windows and ages are measured by the monotonic clock: a step of the wall clock must change
+ * none of them, neither within a process nor across a restart.
+ */
 class WallClockTest {
     private static final long DISK = 200_000;
 
@@ -68,7 +71,10 @@
         }
     }
 
-    /** Nobody knows how long ago anything was: no repeat, but all the time for trying, and a ramp from its start. */
+    /**
+     * After a reboot nothing in the journal has a known age: messages get a full deadline, attempts count as older than
+     * any deduplication window, and a slow start begins again.
+     */
     @Test
     void anotherBootIsCarefulWithRepeatsAndGenerousWithTrying() throws Exception {
         leave();
@@ -84,7 +90,7 @@
         }
     }
 
-    /** A clock that counts anew under the same name, as of a machine that was copied. */
+    /** A monotonic clock that has gone back under the same boot id, as on a copy of the machine. */
     @Test
     void aClockThatIsBehindTheJournalIsOfAnotherBoot() throws Exception {
         leave();
@@ -106,7 +112,7 @@
         }
     }
 
-    /** The machine's clocks, the wall clock being off by so much. */
+    /** The machine's clocks, with the wall clock off by the given time. */
     private record Stepped(long stepMs) implements MachineClock {
         @Override
         public long nanos() {
@@ -135,7 +141,7 @@
         }
         sender = world.sender(new Stepped(stepMs));
         sender.start();
-        StubServer.await("the call", () -> endpoint.requests.size() == 1);
+        StubServer.await("the call to the endpoint", () -> endpoint.requests.size() == 1);
         assertEquals("untried", endpoint.requests.get(0).header("X-Call-Id"));
     }
 }
