--- a/src/test/java/kestreldeal/net/WallClockTest.java
+++ b/src/test/java/kestreldeal/net/WallClockTest.java
@@ -16,7 +16,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Deadlines, windows and ages are spans of real time: a step of the wall clock moves none, in one life or over two. */
+/**
+ * Deadlines, deduplication windows and ages are measured by the monotonic clock: a step of the wall clock must change
+ * none of them, neither within a process nor across a restart.
+ */
 class WallClockTest {
     private static final long DISK = 200_000;
 
@@ -42,9 +45,9 @@
         return new Journal(folder, DISK, 12, clock, FileChannel::open);
     }
 
-    private void assertSpans(AcceptedMessage held, Journal.Health health, long passedMs) {
-        assertEquals(24_000 - passedMs, held.leftMs(clock));
-        assertFalse(held.isTimeUp(clock));
+    private void assertSpans(AcceptedMessage held, Journal.RecordedHealth health, long passedMs) {
+        assertEquals(24_000 - passedMs, held.timeLeftMs(clock));
+        assertFalse(held.mayHaveExpired(clock));
         assertEquals(passedMs, held.attempts.get(0).ageMs(clock));
         assertEquals(passedMs, health.ageMs(clock));
     }
@@ -55,43 +58,46 @@
         try (Journal journal = journal()) {
             AcceptedMessage held = AcceptedMessage.withTimeLeft(journal.nextNumber(), "id", "order", "",
                     Optional.of("key"), 7, 24_000, new byte[1], clock);
-            journal.taken(held);
-            journal.attempt(held, AcceptedMessage.Attempt.sentAgo("e", 0, clock));
-            journal.health("e", Journal.Health.since(0, Relay.EndpointState.DOWN, 0.5, clock));
-            clock.pass(6000);
+            journal.recordAccepted(held);
+            journal.recordAttempt(held, AcceptedMessage.Attempt.sentAgo("e", 0, clock));
+            journal.recordEndpointHealth("e", Journal.RecordedHealth.ofAge(0, Relay.EndpointState.DOWN, 0.5, clock));
+            clock.advance(6000);
             clock.stepWall(stepMs);
-            assertSpans(held, journal.health().get("e"), 6000);
+            assertSpans(held, journal.endpointHealth().get("e"), 6000);
         }
-        clock.pass(4000);
+        clock.advance(4000);
         try (Journal journal = journal()) {
-            assertSpans(journal.held().iterator().next(), journal.health().get("e"), 10_000);
+            assertSpans(journal.liveMessages().iterator().next(), journal.endpointHealth().get("e"), 10_000);
         }
     }
 
-    /** Nobody knows how long ago anything was: no repeat, but all the time for trying, and a ramp from its start. */
+    /**
+     * After a reboot nothing in the journal has a known age: messages get a full deadline, attempts count as older than
+     * any deduplication window, and a slow start begins again.
+     */
     @Test
     void anotherBootIsCarefulWithRepeatsAndGenerousWithTrying() throws Exception {
         leave();
         clock.reboot(5_000);
         for (int life = 0; life < 2; life++) {
             try (Journal journal = journal()) {
-                AcceptedMessage held = journal.held().iterator().next();
-                assertTrue(held.leftMs(clock) > 24_000, "left: " + held.leftMs(clock));
+                AcceptedMessage held = journal.liveMessages().iterator().next();
+                assertTrue(held.timeLeftMs(clock) > 24_000, "left: " + held.timeLeftMs(clock));
                 assertTrue(held.attempts.get(0).ageMs(clock) > TimeUnit.DAYS.toMillis(1));
-                assertEquals(0, journal.health().get("e").ageMs(clock));
+                assertEquals(0, journal.endpointHealth().get("e").ageMs(clock));
                 journal.handOver();
             }
         }
     }
 
-    /** A clock that counts anew under the same name, as of a machine that was copied. */
+    /** A monotonic clock that has gone back under the same boot id, as on a copy of the machine. */
     @Test
     void aClockThatIsBehindTheJournalIsOfAnotherBoot() throws Exception {
         leave();
         clock.rewind(5_000);
         try (Journal journal = journal()) {
-            AcceptedMessage held = journal.held().iterator().next();
-            assertTrue(held.leftMs(clock) > 24_000, "left: " + held.leftMs(clock));
+            AcceptedMessage held = journal.liveMessages().iterator().next();
+            assertTrue(held.timeLeftMs(clock) > 24_000, "left: " + held.timeLeftMs(clock));
             assertTrue(held.attempts.get(0).ageMs(clock) > TimeUnit.DAYS.toMillis(1));
         }
     }
@@ -100,13 +106,13 @@
         try (Journal journal = journal()) {
             AcceptedMessage held = AcceptedMessage.withTimeLeft(journal.nextNumber(), "id", "order", "",
                     Optional.of("key"), 7, 24_000, new byte[1], clock);
-            journal.taken(held);
-            journal.attempt(held, AcceptedMessage.Attempt.sentAgo("e", 0, clock));
-            journal.health("e", Journal.Health.since(0, Relay.EndpointState.WARMING, 0.5, clock));
+            journal.recordAccepted(held);
+            journal.recordAttempt(held, AcceptedMessage.Attempt.sentAgo("e", 0, clock));
+            journal.recordEndpointHealth("e", Journal.RecordedHealth.ofAge(0, Relay.EndpointState.WARMING, 0.5, clock));
         }
     }
 
-    /** The machine's clocks, the wall clock being off by so much. */
+    /** The machine's clocks, with the wall clock off by the given time. */
     private record Stepped(long stepMs) implements MachineClock {
         @Override
         public long nanos() {
@@ -130,12 +136,12 @@
         endpoint = new StubServer(StubServer.status(200, ""));
         world = new SenderTestEnvironment(folder, endpoint);
         try (Journal journal = world.journal()) {
-            journal.taken(AcceptedMessage.withTimeLeft(journal.nextNumber(), "untried", "once", "", Optional.empty(), 0,
-                    20_000, new byte[0], MachineClock.system()));
+            journal.recordAccepted(AcceptedMessage.withTimeLeft(journal.nextNumber(), "untried", "once", "",
+                    Optional.empty(), 0, 20_000, new byte[0], MachineClock.system()));
         }
         sender = world.sender(new Stepped(stepMs));
         sender.start();
-        StubServer.await("the call", () -> endpoint.requests.size() == 1);
+        StubServer.await("the call to the endpoint", () -> endpoint.requests.size() == 1);
         assertEquals("untried", endpoint.requests.get(0).header("X-Call-Id"));
     }
 }
