--- a/src/main/java/kestreldeal/net/Discovery.java
+++ b/src/main/java/kestreldeal/net/Discovery.java
@@ -16,8 +16,8 @@
 
 /**
  * Keeps the list of endpoints up to date: first from the configuration, then from the agent, which sends the full list
- * and after that its changes by long polling. Nothing waits for it; while the agent does not respond, the last list
- * stays in force.
+ * and after that its changes by long polling. The sender never waits for a newer list: while the agent does not respond,
+ * the last one stays in force.
  */
 final class Discovery {
     /** Wait time of a long poll. It is short, as a change counts as notified 2 s after the end of this wait. */
@@ -28,7 +28,7 @@
      * its return counts as notified.
      */
     static final long NO_WAIT_MS = 0;
-    /** Time limit for a response to begin, after the wait time; later the connection is cut or the agent is down. */
+    /** Time limit after the wait for a response to begin; without one the connection is cut or the agent is down. */
     static final long SILENT_MS = 500;
     /** Delay before a retry. A watch continues if its next request comes within 200 ms. */
     static final long PAUSE_MS = 100;
--- a/src/main/java/kestreldeal/net/EndpointClient.java
+++ b/src/main/java/kestreldeal/net/EndpointClient.java
@@ -334,7 +334,7 @@
             loop.execute(() -> ends.ended(this, outcome, gone, waitMs, post.report));
         }
 
-        /** Completes the only attempt of a call by the status code of the response. */
+        /** Completes the attempt by the status code of the response, as the protocol's table says. */
         private void answered(int code, double waitMs, boolean noSlot) {
             Outcome outcome = switch (code) {
                 case 200 -> Outcome.DELIVERED;
@@ -362,7 +362,7 @@
     /** A call: one HTTP request on one connection, in one slot, with the attempts of one turn to one endpoint. */
     private final class Post {
         final long number = ++posts;
-        /** An id or key that can be written in a batch body, where fields are separated by blanks. */
+        /** The ids and keys that a batch body can hold, where fields are separated by blanks. */
         private static final Pattern WORD = Pattern.compile("[!-~]+");
         /** Stands for a missing key in a batch body. */
         private static final String NO_KEY = "-";
--- a/src/main/java/kestreldeal/net/EndpointRegistry.java
+++ b/src/main/java/kestreldeal/net/EndpointRegistry.java
@@ -161,7 +161,10 @@
         return OptionalLong.of(known.number);
     }
 
-    /** Ends an update that was a full list: marks endpoints that it did not name as removed; returns the newly removed. */
+    /**
+     * Ends an update that was a full list: marks the endpoints that it did not name as removed, and returns those that
+     * were not removed before.
+     */
     List<RegisteredEndpoint> leave(long nowNanos) {
         List<RegisteredEndpoint> left = new ArrayList<>();
         for (RegisteredEndpoint known : byId.values()) {
