--- a/src/main/java/kestreldeal/net/AgentClient.java
+++ b/src/main/java/kestreldeal/net/AgentClient.java
@@ -26,29 +26,29 @@
  * closed. Responses may be of any length; they are passed on in chunks.
  */
 final class AgentClient {
-    static final int CONNECT_MS = 1000;
+    static final int CONNECT_TIMEOUT_MS = 1000;
     /**
-     * Interval in which a body that has begun has to advance by {@link #LEAST_BYTES} or to end. A body that trickles
-     * counts as stalled: the list in it would be applied too late.
+     * Interval in which a body that has begun has to advance by {@link #MIN_PROGRESS_BYTES} or to end. A body that
+     * trickles counts as stalled: the list in it would be applied too late.
      */
-    static final long SILENT_MS = 500;
+    static final long STALL_CHECK_MS = 500;
     /** Less than one read of the socket, so that one read before the check is enough even if the event loop is late. */
-    static final int LEAST_BYTES = 16 * 1024;
+    static final int MIN_PROGRESS_BYTES = 16 * 1024;
     /** Time limit from the first to the last byte of a body: a list has to be applied within 6 s of the request. */
-    static final long BODY_MS = 5000;
+    static final long BODY_TIMEOUT_MS = 5000;
     /** Max bytes of one read, after which other tasks of the event loop run. */
     private static final int PIECE_BYTES = 32 * 1024;
 
     /** Receives the response to one request, on the event loop's thread. */
     interface ResponseHandler {
         /** The head of the response has arrived, with this status code. */
-        void begins(int status);
+        void responseStarted(int status);
 
         /** Reads a chunk of the body, which is valid only during this call. A returned error fails the request. */
-        Optional<String> piece(ByteBuf content);
+        Optional<String> bodyChunk(ByteBuf content);
 
         /** Called once for each request: empty after a complete response, else what went wrong. */
-        void ends(Optional<String> fault);
+        void responseEnded(Optional<String> fault);
     }
 
     private final EventLoop loop;
@@ -75,7 +75,7 @@
         void head(HttpResponse answer) {
             begun = true;
             keepAlive = HttpUtil.isKeepAlive(answer);
-            asker.begins(answer.status().code());
+            asker.responseStarted(answer.status().code());
         }
 
         void piece(ByteBuf content) {
@@ -84,7 +84,7 @@
                 lookAfter(silentMs);
             }
             bytes += content.readableBytes();
-            asker.piece(content).ifPresent(this::fail);
+            asker.bodyChunk(content).ifPresent(this::fail);
         }
 
         private void lookAfter(long delayMs) {
@@ -94,7 +94,7 @@
 
         private void look() {
             long leftMs = bodyMs - TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - firstByteNanos);
-            if (bytes - bytesAtLook < LEAST_BYTES) {
+            if (bytes - bytesAtLook < MIN_PROGRESS_BYTES) {
                 fail("response stalled after " + bytes + " bytes");
             } else if (leftMs <= 0) {
                 fail("response body incomplete after " + bodyMs + " ms, with " + bytes + " bytes received");
@@ -114,13 +114,13 @@
             if (current == this) {
                 current = null;
                 timer.cancel(false);
-                asker.ends(fault);
+                asker.responseEnded(fault);
             }
         }
     }
 
     AgentClient(EventLoop loop, InetSocketAddress address) {
-        this(loop, address, SILENT_MS, BODY_MS);
+        this(loop, address, STALL_CHECK_MS, BODY_TIMEOUT_MS);
     }
 
     /** Creates a client with its own limits for response bodies: for stalls, and for the whole body. */
@@ -129,7 +129,7 @@
         this.address = address;
         this.silentMs = silentMs;
         this.bodyMs = bodyMs;
-        this.connector = new Connector(loop, CONNECT_MS, fresh -> {
+        this.connector = new Connector(loop, CONNECT_TIMEOUT_MS, fresh -> {
             fresh.config().setOption(ChannelOption.RECVBUF_ALLOCATOR,
                     new FixedRecvByteBufAllocator(PIECE_BYTES).maxMessagesPerRead(1));
             fresh.pipeline().addLast(new HttpClientCodec(), new Answers());
@@ -137,7 +137,7 @@
     }
 
     /** Sends a request. The response body has to begin within the limit; then the limits for bodies apply. */
-    void ask(FullHttpRequest request, long limitMs, ResponseHandler asker) {
+    void send(FullHttpRequest request, long limitMs, ResponseHandler asker) {
         request.headers().set(HttpHeaderNames.HOST, EndpointClient.hostPort(address))
                 .set(HttpHeaderNames.CONTENT_LENGTH, request.content().readableBytes());
         Request mine = new Request(asker);
--- a/src/main/java/kestreldeal/net/Discovery.java
+++ b/src/main/java/kestreldeal/net/Discovery.java
@@ -16,29 +16,29 @@
 
 /**
  * Keeps the list of endpoints up to date: first from the configuration, then from the agent, which sends the full list
- * and after that its changes by long polling. The sender never waits for a newer list: while the agent does not respond,
- * the last one stays in force.
+ * and after that its changes by long polling. The sender never waits for a newer list: while the agent does not
+ * respond, the last one stays in force.
  */
 final class Discovery {
     /** Wait time of a long poll. It is short, as a change counts as notified 2 s after the end of this wait. */
-    static final long WAIT_MS = 3000;
+    static final long LONG_POLL_WAIT_MS = 3000;
     /**
      * Wait time of the first poll after a failure, which asks for the current state. A long poll that is sent during an
      * outage of the agent may stay without a response when the outage is over, while every change that the agent got at
      * its return counts as notified.
      */
-    static final long NO_WAIT_MS = 0;
+    static final long RECOVERY_POLL_WAIT_MS = 0;
     /** Time limit after the wait for a response to begin; without one the connection is cut or the agent is down. */
-    static final long SILENT_MS = 500;
+    static final long RESPONSE_TIMEOUT_MS = 500;
     /** Delay before a retry. A watch continues if its next request comes within 200 ms. */
-    static final long PAUSE_MS = 100;
+    static final long RETRY_DELAY_MS = 100;
 
     /**
      * An entry of the list, with the platform's names. A removed endpoint appears only in a list of changes. An entry
      * whose address is missing or invalid counts as not serving.
      */
     record Entry(String id, Optional<InetSocketAddress> address, String zone, String kind, long destination,
-                 boolean serving, double weight, boolean gone) {
+                 boolean serving, double weight, boolean removed) {
     }
 
     /**
@@ -47,15 +47,15 @@
      * harm. Which endpoints a list does not name is known only at its end.
      */
     interface UpdateListener {
-        void begins();
+        void updateStarted();
 
-        void named(List<Entry> entries);
+        void entriesRead(List<Entry> entries);
 
         /** The list has been read to its end; a full list names all endpoints that exist. */
-        void ends(boolean whole);
+        void updateCompleted(boolean whole);
 
         /** The first request to the agent has been answered or has failed. */
-        void asked();
+        void firstRequestEnded();
     }
 
     private final EventLoop loop;
@@ -75,10 +75,10 @@
 
     /** Reads the list in the configuration, if there is one, and starts to request the list from the agent. */
     void start(Path configuration) {
-        lists.begins();
+        lists.updateStarted();
         try {
-            if (EndpointListParser.read(configuration, Config.KNOWN, this::named)) {
-                lists.ends(true);
+            if (EndpointListParser.readFile(configuration, Config.KNOWN, this::named)) {
+                lists.updateCompleted(true);
             }
         } catch (IOException e) {
             Log.write("the endpoint list in the configuration can't be read: " + e.getMessage());
@@ -90,7 +90,7 @@
      * Switches to another agent and drops the request to the old one. Each agent numbers its generations on its own, so
      * the first request is for the full list.
      */
-    void moveTo(AgentClient other) {
+    void switchAgent(AgentClient other) {
         agent.close();
         pause.ifPresent(p -> p.cancel(false));
         agent = other;
@@ -99,7 +99,7 @@
     }
 
     private void ask(String path, long waitMs) {
-        agent.ask(new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, path), waitMs + SILENT_MS,
+        agent.send(new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, path), waitMs + RESPONSE_TIMEOUT_MS,
                 new Answer());
     }
 
@@ -112,12 +112,12 @@
         }
         if (!asked) {
             asked = true;
-            lists.asked();
+            lists.firstRequestEnded();
         }
         if (read) {
             watch();
         } else {
-            pause = Optional.of(loop.schedule(this::watch, PAUSE_MS, TimeUnit.MILLISECONDS));
+            pause = Optional.of(loop.schedule(this::watch, RETRY_DELAY_MS, TimeUnit.MILLISECONDS));
         }
     }
 
@@ -129,7 +129,7 @@
         if (generation < 0) {
             ask("/v1/servers", 0);
         } else {
-            long waitMs = silent ? NO_WAIT_MS : WAIT_MS;
+            long waitMs = silent ? RECOVERY_POLL_WAIT_MS : LONG_POLL_WAIT_MS;
             ask("/v1/servers?after=" + generation + "&wait_ms=" + waitMs, waitMs);
         }
     }
@@ -143,31 +143,31 @@
         private Optional<EndpointListParser> reader = Optional.empty();
 
         @Override
-        public void begins(int code) {
+        public void responseStarted(int code) {
             status = code;
             if (code == 200) {
                 reader = Optional.of(new EndpointListParser(Discovery.this::named));
-                lists.begins();
+                lists.updateStarted();
             }
         }
 
         @Override
-        public Optional<String> piece(ByteBuf content) {
+        public Optional<String> bodyChunk(ByteBuf content) {
             return reader.flatMap(list -> fault(() -> list.feed(content)));
         }
 
         @Override
-        public void ends(Optional<String> broken) {
+        public void responseEnded(Optional<String> broken) {
             answered(broken.or(() -> reader.isEmpty() ? Optional.of("HTTP status " + status) : read(reader.get())));
         }
 
         private Optional<String> read(EndpointListParser list) {
             return fault(list::end).or(() -> {
-                if (!list.isList()) {
+                if (!list.isComplete()) {
                     return Optional.of("response is not an endpoint list");
                 }
                 generation = list.generation();
-                lists.ends(list.reset());
+                lists.updateCompleted(list.isFullList());
                 return Optional.empty();
             });
         }
@@ -194,6 +194,6 @@
         if (!lost.isEmpty()) {
             Log.write("the endpoint list has no valid address for " + lost + "; these endpoints get no new messages");
         }
-        lists.named(entries);
+        lists.entriesRead(entries);
     }
 }
--- a/src/main/java/kestreldeal/net/EndpointClient.java
+++ b/src/main/java/kestreldeal/net/EndpointClient.java
@@ -48,8 +48,8 @@
 /**
  * Sends attempts to endpoints as HTTP/1.1 requests and reports their results. All attempts of one turn to one endpoint
  * share a {@link Post}, up to the batch size of the endpoint. Connections are kept open for reuse; the most recently
- * used idle one is taken first. Each attempt gets exactly one result, which is never reported from within {@link #call}
- * or {@link #cancel}.
+ * used idle one is taken first. Each attempt gets exactly one result, which is never reported from within
+ * {@link #startAttempt} or {@link #cancel}.
  */
 final class EndpointClient {
     /** Idle connections are closed after this share of the endpoint's keep-alive timeout. */
@@ -84,14 +84,14 @@
          * Reports the only result of an attempt. {@code messageFinished}: the endpoint reported the message as expired,
          * so that it needs no further attempt, whatever the outcome.
          */
-        void ended(Call call, Outcome outcome, boolean gone, double waitMs, LoadReport report);
+        void completed(OutboundAttempt call, Outcome outcome, boolean gone, double waitMs, LoadReport report);
 
         /** A call has been written completely; it carries this number of messages. */
-        default void written(int messages) {
+        default void callWritten(int messages) {
         }
 
         /** Whether an attempt may still be written: a turn and a connect may have passed since it was decided. */
-        default boolean mayStillGo(Call call) {
+        default boolean sendAllowed(OutboundAttempt call) {
             return true;
         }
 
@@ -99,7 +99,7 @@
          * A response carries a Retry-After wait. It is reported as soon as its header line is read, and applies even if
          * the rest of the response is malformed or its attempts have completed already.
          */
-        default void waitTold(long endpoint, double waitMs) {
+        default void retryAfterReceived(long endpoint, double waitMs) {
         }
     }
 
@@ -140,7 +140,7 @@
      * Sets the address of an endpoint, and the max number of messages in one call to it. Idle connections are closed if
      * the address changed or the endpoint no longer serves.
      */
-    void at(long endpoint, InetSocketAddress address, boolean serving, int batch) {
+    void updateEndpoint(long endpoint, InetSocketAddress address, boolean serving, int batch) {
         Peer peer = peers.computeIfAbsent(endpoint, Peer::new);
         if (!serving || !address.equals(peer.address)) {
             closeIdleConnections(endpoint);
@@ -150,7 +150,7 @@
     }
 
     /** Removes an endpoint: closes its idle connections now, and those of calls in flight when these complete. */
-    void forget(long endpoint) {
+    void removeEndpoint(long endpoint) {
         closeIdleConnections(endpoint);
         Peer peer = peers.remove(endpoint);
         if (peer != null) {
@@ -158,7 +158,7 @@
         }
     }
 
-    int known() {
+    int endpointCount() {
         return peers.size();
     }
 
@@ -167,17 +167,18 @@
      * decision, not from this method call: after a long turn an attempt whose timeout ends at the deadline of its
      * message would otherwise complete after the deadline, and the notice of the final result would be late.
      */
-    Call call(AcceptedMessage held, int attempt, long endpoint, double timeoutMs, long decidedNanos) {
+    OutboundAttempt startAttempt(AcceptedMessage held, int attempt, long endpoint, double timeoutMs,
+            long decidedNanos) {
         double leftMs = Math.max(0, timeoutMs - (System.nanoTime() - decidedNanos) / 1e6);
         Post post = peers.get(endpoint).postFor(held);
-        Call call = new Call(held, attempt, post, leftMs);
+        OutboundAttempt call = new OutboundAttempt(held, attempt, post, leftMs);
         call.timer = loop.schedule(call::timedOut, (long) Math.ceil(leftMs * 1000), TimeUnit.MICROSECONDS);
         post.add(call);
         return call;
     }
 
     /** Cancels an attempt, and closes its connection unless other attempts of the same call are in flight on it. */
-    void cancel(Call call) {
+    void cancel(OutboundAttempt call) {
         call.end(Outcome.CANCELLED);
         call.post.closeIfOver();
     }
@@ -190,11 +191,11 @@
     }
 
     /** Closes all idle connections; used when another process takes over the calls to endpoints. */
-    void closeIdle() {
+    void closeAllIdleConnections() {
         List.copyOf(resting).forEach(Peer::closeIdle);
     }
 
-    int kept() {
+    int idleConnectionCount() {
         return idle;
     }
 
@@ -290,24 +291,24 @@
     }
 
     /** An attempt that has been started; it is completed by its only result. */
-    final class Call {
-        final AcceptedMessage held;
-        final int attempt;
+    final class OutboundAttempt {
+        final AcceptedMessage message;
+        final int attemptNumber;
         final long startedNanos = System.nanoTime();
         private final Post post;
         private final double timeoutMs;
         private Future<?> timer;
         private boolean done;
 
-        private Call(AcceptedMessage held, int attempt, Post post, double timeoutMs) {
-            this.held = held;
-            this.attempt = attempt;
+        private OutboundAttempt(AcceptedMessage held, int attempt, Post post, double timeoutMs) {
+            this.message = held;
+            this.attemptNumber = attempt;
             this.post = post;
             this.timeoutMs = timeoutMs;
         }
 
         /** The id of the call that carries this attempt; attempts in the same call have the same id. */
-        long post() {
+        long callId() {
             return post.number;
         }
 
@@ -331,7 +332,7 @@
             done = true;
             timer.cancel(false);
             // Deferred: the result may be found while the decision module is running, and must not call back into it.
-            loop.execute(() -> ends.ended(this, outcome, gone, waitMs, post.report));
+            loop.execute(() -> ends.completed(this, outcome, gone, waitMs, post.report));
         }
 
         /** Completes the attempt by the status code of the response, as the protocol's table says. */
@@ -368,7 +369,7 @@
         private static final String NO_KEY = "-";
 
         private final Peer peer;
-        private final List<Call> calls = new ArrayList<>();
+        private final List<OutboundAttempt> calls = new ArrayList<>();
         private int bytes;
         private Connection connection;
         /** Whether it was written as a batch, that is, with more than one message. */
@@ -384,15 +385,15 @@
             this.peer = peer;
         }
 
-        private void add(Call call) {
+        private void add(OutboundAttempt call) {
             calls.add(call);
-            bytes += frame(call.held).length;
+            bytes += frame(call.message).length;
         }
 
         /** Whether a message can be added: the batch has room, and all its messages can be written in a batch body. */
         boolean takes(AcceptedMessage held) {
             return calls.size() < peer.batch && bytes + frame(held).length <= LONGEST_BODY && isWord(held)
-                    && calls.stream().allMatch(c -> isWord(c.held) && !c.held.id.equals(held.id));
+                    && calls.stream().allMatch(c -> isWord(c.message) && !c.message.id.equals(held.id));
         }
 
         private boolean isWord(AcceptedMessage held) {
@@ -400,7 +401,7 @@
                     && held.key.filter(k -> !WORD.matcher(k).matches() || k.equals(NO_KEY)).isEmpty();
         }
 
-        private List<Call> waiting() {
+        private List<OutboundAttempt> waiting() {
             return calls.stream().filter(c -> !c.done).toList();
         }
 
@@ -436,7 +437,7 @@
                 on.close();
                 return;
             }
-            waiting().stream().filter(c -> !ends.mayStillGo(c)).forEach(c -> c.end(Outcome.NOT_SENT));
+            waiting().stream().filter(c -> !ends.sendAllowed(c)).forEach(c -> c.end(Outcome.NOT_SENT));
             if (waiting().isEmpty()) {
                 on.rest();
                 return;
@@ -458,7 +459,7 @@
             on.channel.writeAndFlush(request).addListener(f -> {
                 flushed |= f.isSuccess();
                 if (f.isSuccess()) {
-                    ends.written(messages);
+                    ends.callWritten(messages);
                 } else {
                     lost();
                     closeIfOver();
@@ -466,9 +467,9 @@
             });
         }
 
-        private FullHttpRequest request(List<Call> sent) {
+        private FullHttpRequest request(List<OutboundAttempt> sent) {
             several = sent.size() > 1;
-            AcceptedMessage first = sent.get(0).held;
+            AcceptedMessage first = sent.get(0).message;
             byte[] body = several ? frames(sent) : first.body;
             FullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.POST,
                     several ? "/v1/messages:batch" : "/v1/messages", Unpooled.wrappedBuffer(body));
@@ -484,9 +485,9 @@
             return request;
         }
 
-        private byte[] frames(List<Call> sent) {
+        private byte[] frames(List<OutboundAttempt> sent) {
             ByteArrayOutputStream body = new ByteArrayOutputStream(bytes);
-            sent.forEach(c -> body.writeBytes(frame(c.held)));
+            sent.forEach(c -> body.writeBytes(frame(c.message)));
             return body.toByteArray();
         }
 
@@ -554,7 +555,7 @@
          * messages has passed: such a response has said "accepted" for messages that had not been delivered.
          */
         private void answered(String body) {
-            if (calls.stream().anyMatch(c -> c.held.isTimeUp(clock))) {
+            if (calls.stream().anyMatch(c -> c.message.isTimeUp(clock))) {
                 Log.write("ignored the response to a batch of " + calls.size()
                         + " messages: it arrived after the deadline of one of them");
                 spoilt();
@@ -568,11 +569,11 @@
                     return;
                 }
             }
-            if (calls.stream().anyMatch(c -> !c.done && !words.containsKey(c.held.id))) {
+            if (calls.stream().anyMatch(c -> !c.done && !words.containsKey(c.message.id))) {
                 spoilt();
                 return;
             }
-            calls.stream().filter(c -> !c.done).forEach(c -> c.answered(words.get(c.held.id), waitMs));
+            calls.stream().filter(c -> !c.done).forEach(c -> c.answered(words.get(c.message.id), waitMs));
         }
     }
 
@@ -774,7 +775,7 @@
         private void waitTold(double waitMs) {
             if (waitMs > 0) {
                 post.waitMs = waitMs;
-                ends.waitTold(peer.endpoint, waitMs);
+                ends.retryAfterReceived(peer.endpoint, waitMs);
             }
         }
 
--- a/src/main/java/kestreldeal/net/EndpointListParser.java
+++ b/src/main/java/kestreldeal/net/EndpointListParser.java
@@ -25,9 +25,9 @@
  */
 final class EndpointListParser {
     /** Entries in a batch: few enough to leave the event loop time for other work, enough to amortize its overhead. */
-    static final int PORTION = 512;
+    static final int MAX_BATCH_ENTRIES = 512;
     /** Max length of a name or value; valid ones have at most a tenth of that. */
-    static final int LONGEST_TEXT = 4096;
+    static final int MAX_TEXT_CHARS = 4096;
     private static final int DEEPEST = 64;
     /** Nesting depth of the fields of the list. */
     private static final int AT_TOP = 1;
@@ -35,8 +35,8 @@
     private static final int IN_ENTRY = 3;
     // Field names come from outside; interning them would cost time, and memory that may never be freed.
     private static final JsonFactory JSON = JsonFactory.builder().disable(JsonFactory.Feature.INTERN_FIELD_NAMES)
-            .streamReadConstraints(StreamReadConstraints.builder().maxStringLength(LONGEST_TEXT)
-                    .maxNameLength(LONGEST_TEXT).maxNestingDepth(DEEPEST).build()).build();
+            .streamReadConstraints(StreamReadConstraints.builder().maxStringLength(MAX_TEXT_CHARS)
+                    .maxNameLength(MAX_TEXT_CHARS).maxNestingDepth(DEEPEST).build()).build();
 
     private final Consumer<List<Discovery.Entry>> portions;
     private final JsonParser parser;
@@ -107,7 +107,7 @@
     }
 
     /** Reads the list under this field of a configuration file; returns whether there is one. */
-    static boolean read(Path file, String name, Consumer<List<Discovery.Entry>> portions) throws IOException {
+    static boolean readFile(Path file, String name, Consumer<List<Discovery.Entry>> portions) throws IOException {
         try (JsonParser json = JSON.createParser(Files.newInputStream(file))) {
             json.nextToken();
             while (json.nextToken() == JsonToken.FIELD_NAME) {
@@ -150,8 +150,8 @@
         }
     }
 
-    /** Whether a complete list was read; {@link #generation} and {@link #reset} are valid only then. */
-    boolean isList() {
+    /** Whether a complete list was read; {@link #generation} and {@link #isFullList} are valid only then. */
+    boolean isComplete() {
         return depth == 0 && generationRead && instancesRead;
     }
 
@@ -160,7 +160,7 @@
     }
 
     /** Whether the list is full, that is, names all endpoints that exist. */
-    boolean reset() {
+    boolean isFullList() {
         return reset;
     }
 
@@ -201,7 +201,7 @@
 
     private void take(Discovery.Entry entry) {
         portion.add(entry);
-        if (portion.size() == PORTION) {
+        if (portion.size() == MAX_BATCH_ENTRIES) {
             handOn();
         }
     }
--- a/src/main/java/kestreldeal/net/EndpointRegistry.java
+++ b/src/main/java/kestreldeal/net/EndpointRegistry.java
@@ -44,7 +44,7 @@
         }
 
         /** The rate in the latest entry for any endpoint of its destination. */
-        double rate() {
+        double listedRate() {
             return destination.rate;
         }
     }
@@ -74,7 +74,7 @@
     }
 
     /** Returns the number of an endpoint; a new one gets a new number, and counts as removed until a list names it. */
-    long number(String id, long nowNanos) {
+    long getOrAssignNumber(String id, long nowNanos) {
         return listed(id, nowNanos).number;
     }
 
@@ -90,13 +90,13 @@
     }
 
     /** Returns the number of an endpoint, if it is known. */
-    OptionalLong known(String id) {
+    OptionalLong findNumber(String id) {
         RegisteredEndpoint known = byId.get(id);
         return known == null ? OptionalLong.empty() : OptionalLong.of(known.number);
     }
 
     /** Returns the destination of an endpoint, if a list has named it. */
-    OptionalLong destination(long number) {
+    OptionalLong findDestination(long number) {
         Destination destination = byNumber.get(number).destination;
         return destination == null ? OptionalLong.empty() : OptionalLong.of(destination.number);
     }
@@ -110,14 +110,14 @@
         return destinations.containsKey(destination);
     }
 
-    /** Starts an update; {@link #name} is called for each of its entries. */
-    void begin() {
+    /** Starts an update; {@link #register} is called for each of its entries. */
+    void beginUpdate() {
         answer++;
         passedOver = 0;
     }
 
     /** Entries of the current update that were skipped because the registry is full. */
-    int passedOver() {
+    int skippedCount() {
         return passedOver;
     }
 
@@ -125,9 +125,9 @@
      * Returns the endpoint that an entry, which is about to be registered, displaces: one with the same id and another
      * destination. It counts as removed, and the endpoint that has the id now gets a new number.
      */
-    Optional<RegisteredEndpoint> displaced(Discovery.Entry entry, long nowNanos) {
+    Optional<RegisteredEndpoint> findDisplaced(Discovery.Entry entry, long nowNanos) {
         RegisteredEndpoint known = byId.get(entry.id());
-        if (entry.gone() || known == null || known.destination == null
+        if (entry.removed() || known == null || known.destination == null
                 || known.destination.number == entry.destination()) {
             return Optional.empty();
         }
@@ -137,7 +137,7 @@
     }
 
     /** Registers an entry of the update and returns the endpoint's number; empty if it is new and there is no room. */
-    OptionalLong name(Discovery.Entry entry, long nowNanos) {
+    OptionalLong register(Discovery.Entry entry, long nowNanos) {
         if (byId.size() >= most && !byId.containsKey(entry.id())) {
             passedOver++;
             return OptionalLong.empty();
@@ -150,10 +150,10 @@
             destinations.put(entry.destination(), destination);
         }
         destination.rate = entry.weight();
-        if (!entry.gone() || known.destination == null) {
+        if (!entry.removed() || known.destination == null) {
             known.destination = destination;
         }
-        if (entry.gone()) {
+        if (entry.removed()) {
             goneSince.putIfAbsent(known, nowNanos);
         } else {
             goneSince.remove(known);
@@ -165,7 +165,7 @@
      * Ends an update that was a full list: marks the endpoints that it did not name as removed, and returns those that
      * were not removed before.
      */
-    List<RegisteredEndpoint> leave(long nowNanos) {
+    List<RegisteredEndpoint> markUnnamedRemoved(long nowNanos) {
         List<RegisteredEndpoint> left = new ArrayList<>();
         for (RegisteredEndpoint known : byId.values()) {
             if (known.namedIn != answer && goneSince.putIfAbsent(known, nowNanos) == null) {
@@ -176,7 +176,7 @@
     }
 
     /** Evicts and returns the endpoints that were removed longer ago than this. */
-    List<RegisteredEndpoint> forget(long nowNanos, long afterNanos) {
+    List<RegisteredEndpoint> evictRemoved(long nowNanos, long afterNanos) {
         List<RegisteredEndpoint> old = new ArrayList<>();
         Iterator<Map.Entry<RegisteredEndpoint, Long>> gone = goneSince.entrySet().iterator();
         while (gone.hasNext()) {
--- a/src/main/java/kestreldeal/net/NoticeClient.java
+++ b/src/main/java/kestreldeal/net/NoticeClient.java
@@ -61,18 +61,18 @@
     }
 
     /** Queues the pending notice of a message for delivery. */
-    void owe(AcceptedMessage held) {
+    void enqueue(AcceptedMessage held) {
         waiting.add(new Owed(held));
         tell();
     }
 
     /** Number of notices that are not yet delivered. */
-    int owed() {
+    int pendingCount() {
         return waiting.size() + told.size();
     }
 
     /** Switches to another agent, which also gets the notices that the old one has not acknowledged. */
-    void moveTo(AgentClient other) {
+    void switchAgent(AgentClient other) {
         agent.close();
         agent = other;
         putBack();
@@ -102,7 +102,7 @@
         } while (!alone && !waiting.isEmpty() && waiting.peek().refusals == 0
                 && body.size() + line.length <= MOST_BYTES);
         told = batch;
-        agent.ask(new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.POST, "/reports",
+        agent.send(new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.POST, "/reports",
                 Unpooled.wrappedBuffer(body.toByteArray())), SILENT_MS, new Answer());
     }
 
@@ -110,17 +110,17 @@
         private int status;
 
         @Override
-        public void begins(int code) {
+        public void responseStarted(int code) {
             status = code;
         }
 
         @Override
-        public Optional<String> piece(ByteBuf content) {
+        public Optional<String> bodyChunk(ByteBuf content) {
             return Optional.empty();
         }
 
         @Override
-        public void ends(Optional<String> fault) {
+        public void responseEnded(Optional<String> fault) {
             if (fault.isPresent()) {
                 putBack();
             } else if (status == HttpResponseStatus.NO_CONTENT.code()) {
--- a/src/main/java/kestreldeal/net/SendGuard.java
+++ b/src/main/java/kestreldeal/net/SendGuard.java
@@ -39,7 +39,7 @@
     }
 
     /** Returns the invariant that one more attempt, at an endpoint of this destination, would violate. */
-    Optional<Invariants.Rule> breach(AcceptedMessage held, long destination) {
+    Optional<Invariants.Rule> violatedRule(AcceptedMessage held, long destination) {
         if (destination != held.destination) {
             return Optional.of(Invariants.Rule.OWN_DESTINATION);
         }
@@ -51,7 +51,8 @@
     }
 
     /** Returns why an attempt that was decided before must not be written now; empty if it may be. */
-    Optional<SuppressionReason> heldBack(AcceptedMessage held, int attempt, boolean endpointOpen, long nowNanos) {
+    Optional<SuppressionReason> suppressionReason(AcceptedMessage held, int attempt, boolean endpointOpen,
+            long nowNanos) {
         if (held.over) {
             return Optional.of(SuppressionReason.MESSAGE_OVER);
         }
--- a/src/main/java/kestreldeal/net/Sender.java
+++ b/src/main/java/kestreldeal/net/Sender.java
@@ -70,7 +70,7 @@
     private final Map<Long, AcceptedMessage> open = new HashMap<>();
     private final Map<String, AcceptedMessage> byId = new HashMap<>();
     /** Attempts that are out, by message and attempt. */
-    private final Map<AttemptId, EndpointClient.Call> calls = new HashMap<>();
+    private final Map<AttemptId, EndpointClient.OutboundAttempt> calls = new HashMap<>();
     private final Relay relay;
     private Journal journal;
     private EndpointClient endpoints;
@@ -234,8 +234,8 @@
         Log.write("configuration read again; discovery is at " + EndpointClient.hostPort(address));
         if (!address.equals(agentAddress)) {
             agentAddress = address;
-            discovery.moveTo(new AgentClient(loop, address));
-            notices.moveTo(new AgentClient(loop, address));
+            discovery.switchAgent(new AgentClient(loop, address));
+            notices.switchAgent(new AgentClient(loop, address));
         }
     }
 
@@ -261,7 +261,7 @@
             int messageClass = config.classes().indexOf(held.messageClass);
             if (held.over) {
                 trace.step("owed", held.id);
-                notices.owe(held);
+                notices.enqueue(held);
                 continue;
             }
             if (messageClass < 0) {
@@ -351,7 +351,7 @@
     public void send(long message, long endpoint, double timeoutMs) {
         AcceptedMessage held = open.get(message);
         int number = held.attempts.size();
-        Optional<Invariants.Rule> breach = guard.breach(held, directory.destination(endpoint).orElse(-1));
+        Optional<Invariants.Rule> breach = guard.violatedRule(held, directory.findDestination(endpoint).orElse(-1));
         if (breach.isPresent()) {
             invariants.breached(breach.get(), held.id, "an attempt at " + directory.id(endpoint) + " is not made");
             held.attempts.add(AcceptedMessage.Attempt.neverMade(directory.id(endpoint), machine));
@@ -368,12 +368,12 @@
         }
         trace.step("attempt", held.id, number, attempt.endpoint);
         calls.put(new AttemptId(message, number),
-                endpoints.call(held, number, endpoint, timeoutMs, startNanos + (long) (clock * 1e6)));
+                endpoints.startAttempt(held, number, endpoint, timeoutMs, startNanos + (long) (clock * 1e6)));
     }
 
     @Override
     public void cancel(long message, int attempt) {
-        EndpointClient.Call call = calls.get(new AttemptId(message, attempt));
+        EndpointClient.OutboundAttempt call = calls.get(new AttemptId(message, attempt));
         if (call != null) {
             endpoints.cancel(call);
         } else if (elsewhere.containsKey(new AttemptId(message, attempt))) {
@@ -429,7 +429,7 @@
         trace.step(notice.bounced() ? "refused" : "failed", held.id, held.attempts.size());
         over(held);
         journal.owed(held, notice);
-        notices.owe(held);
+        notices.enqueue(held);
     }
 
     // ---- what the module is told ----
@@ -437,20 +437,20 @@
     /** The endpoints' side. */
     private final class CallResults implements EndpointClient.CallListener {
         @Override
-        public void ended(EndpointClient.Call call, Relay.Outcome outcome, boolean gone, double waitMs,
+        public void completed(EndpointClient.OutboundAttempt call, Relay.Outcome outcome, boolean gone, double waitMs,
                 Relay.LoadReport report) {
-            calls.remove(new AttemptId(call.held.number, call.attempt));
+            calls.remove(new AttemptId(call.message.number, call.attemptNumber));
             double took = (System.nanoTime() - call.startedNanos) / 1e6;
             if (handedOver) {
-                succession.tellEnd(new ProcessHandover.InFlightResult(call.held.number, call.attempt, outcome, gone,
-                        waitMs, report, took));
+                succession.tellEnd(new ProcessHandover.InFlightResult(call.message.number, call.attemptNumber, outcome,
+                        gone, waitMs, report, took));
                 return;
             }
-            attemptEnded(call.held, call.attempt, outcome, gone, waitMs, report, took);
+            attemptEnded(call.message, call.attemptNumber, outcome, gone, waitMs, report, took);
         }
 
         @Override
-        public void waitTold(long endpoint, double waitMs) {
+        public void retryAfterReceived(long endpoint, double waitMs) {
             if (handedOver) {
                 succession.tellWait(directory.id(endpoint), waitMs);
             } else {
@@ -459,7 +459,7 @@
         }
 
         @Override
-        public void written(int messages) {
+        public void callWritten(int messages) {
             figures.written(messages);
         }
 
@@ -470,13 +470,13 @@
          * of a message that is over comes here too.
          */
         @Override
-        public boolean mayStillGo(EndpointClient.Call call) {
+        public boolean sendAllowed(EndpointClient.OutboundAttempt call) {
             Optional<SendGuard.SuppressionReason> reason = handedOver
                     ? Optional.of(SendGuard.SuppressionReason.HANDED_OVER)
-                    : guard.heldBack(call.held, call.attempt, relay.sendAllowed(now(), call.endpoint()),
-                            machine.nanos());
+                    : guard.suppressionReason(call.message, call.attemptNumber,
+                            relay.sendAllowed(now(), call.endpoint()), machine.nanos());
             reason.ifPresent(figures::heldBack);
-            trace.step(reason.map(r -> "heldback:" + r).orElse("write"), call.held.id, call.attempt);
+            trace.step(reason.map(r -> "heldback:" + r).orElse("write"), call.message.id, call.attemptNumber);
             return reason.isEmpty();
         }
     }
@@ -523,23 +523,23 @@
     /** Discovery's side. */
     private final class EndpointListUpdates implements Discovery.UpdateListener {
         @Override
-        public void begins() {
-            directory.begin();
+        public void updateStarted() {
+            directory.beginUpdate();
         }
 
         @Override
-        public void named(List<Discovery.Entry> entries) {
+        public void entriesRead(List<Discovery.Entry> entries) {
             Sender.this.named(entries);
         }
 
         @Override
-        public void ends(boolean whole) {
+        public void updateCompleted(boolean whole) {
             if (whole) {
                 leave();
             }
             forgetGone();
-            if (directory.passedOver() > 0) {
-                Log.write("the list names " + directory.passedOver() + " endpoints beyond the " + MOST_ENDPOINTS
+            if (directory.skippedCount() > 0) {
+                Log.write("the list names " + directory.skippedCount() + " endpoints beyond the " + MOST_ENDPOINTS
                         + " that the heap has room for; they get nothing");
             }
             listed = true;
@@ -547,7 +547,7 @@
         }
 
         @Override
-        public void asked() {
+        public void firstRequestEnded() {
             asked = true;
             begin();
         }
@@ -558,50 +558,51 @@
         List<Relay.Endpoint> list = new ArrayList<>(entries.size());
         long now = System.nanoTime();
         for (Discovery.Entry e : entries) {
-            if (e.address().isEmpty() && directory.known(e.id()).isEmpty()) {
+            if (e.address().isEmpty() && directory.findNumber(e.id()).isEmpty()) {
                 continue;
             }
-            directory.displaced(e, now).ifPresent(other -> {
+            directory.findDisplaced(e, now).ifPresent(other -> {
                 endpoints.closeIdleConnections(other.number());
                 list.add(goneEndpoint(other));
             });
-            OptionalLong room = directory.name(e, now);
+            OptionalLong room = directory.register(e, now);
             if (room.isEmpty()) {
                 continue;
             }
             long number = room.getAsLong();
             int kind = Math.max(0, config.kinds().indexOf(e.kind()));
-            e.address().ifPresent(address -> endpoints.at(number, address, e.serving(),
+            e.address().ifPresent(address -> endpoints.updateEndpoint(number, address, e.serving(),
                     config.settings().kinds().get(kind).maxBatchSize()));
             list.add(new Relay.Endpoint(number, e.destination(), kind,
-                    Math.max(0, config.zones().indexOf(e.zone())), e.serving(), e.weight(), e.gone()));
+                    Math.max(0, config.zones().indexOf(e.zone())), e.serving(), e.weight(), e.removed()));
         }
         event(() -> relay.endpointsChanged(openTurn(), false, list));
     }
 
     /** A whole list has ended. Those that it did not name get the rate that they or their destination had. */
     private void leave() {
-        List<Relay.Endpoint> left = directory.leave(System.nanoTime()).stream().map(Sender::goneEndpoint).toList();
+        List<Relay.Endpoint> left = directory.markUnnamedRemoved(System.nanoTime()).stream()
+                .map(Sender::goneEndpoint).toList();
         event(() -> relay.endpointsChanged(openTurn(), false, left));
     }
 
     private static Relay.Endpoint goneEndpoint(EndpointRegistry.RegisteredEndpoint gone) {
-        return new Relay.Endpoint(gone.number(), gone.destination(), 0, 0, false, gone.rate(), true);
+        return new Relay.Endpoint(gone.number(), gone.destination(), 0, 0, false, gone.listedRate(), true);
     }
 
     /** Later than the module does, lest it name one that is no longer known here. */
     private void forgetGone() {
         for (EndpointRegistry.RegisteredEndpoint gone
-                : directory.forget(System.nanoTime(), TimeUnit.MILLISECONDS.toNanos(GONE_MS))) {
-            endpoints.forget(gone.number());
-            if (directory.known(gone.id()).isEmpty()) {
+                : directory.evictRemoved(System.nanoTime(), TimeUnit.MILLISECONDS.toNanos(GONE_MS))) {
+            endpoints.removeEndpoint(gone.number());
+            if (directory.findNumber(gone.id()).isEmpty()) {
                 remember(gone.id(), new Journal.Health(Relay.EndpointState.UP, 0, 0));
             }
         }
     }
 
     private long endpointNumber(String id) {
-        return directory.number(id, System.nanoTime());
+        return directory.getOrAssignNumber(id, System.nanoTime());
     }
 
     /** The clients' side. */
@@ -762,7 +763,7 @@
             Relay.LearnedState memory = relay.learnedState(openTurn());
             List<ProcessHandover.InFlightAttempt> out = new ArrayList<>();
             calls.forEach((o, call) ->
-                    out.add(new ProcessHandover.InFlightAttempt(o.message(), o.attempt(), call.post())));
+                    out.add(new ProcessHandover.InFlightAttempt(o.message(), o.attempt(), call.callId())));
             return new ProcessHandover.HandoverState(journal.over(), out,
                     memory.endpoints().stream().map(known -> directory.id(known.endpoint())).toList(), memory);
         }
@@ -797,7 +798,7 @@
 
         @Override
         public void waitTold(String endpoint, double waitMs) {
-            directory.known(endpoint).ifPresent(n -> Sender.this.waitTold(n, waitMs));
+            directory.findNumber(endpoint).ifPresent(n -> Sender.this.waitTold(n, waitMs));
         }
 
         @Override
@@ -829,7 +830,7 @@
         journal.handOver();
         succession.handOver(told);
         intake.handOver();
-        endpoints.closeIdle();
+        endpoints.closeAllIdleConnections();
         Log.write(config.name() + " has handed over " + open.size() + " messages, " + told.out().size()
                 + " attempts out");
         open.clear();
@@ -871,11 +872,11 @@
     }
 
     private void awaitIdle(long begun) {
-        boolean idle = open.isEmpty() && notices.owed() == 0 && intake.clients() == 0
+        boolean idle = open.isEmpty() && notices.pendingCount() == 0 && intake.clients() == 0
                 && (!handedOver || calls.isEmpty());
         if (idle || System.nanoTime() - begun >= TimeUnit.MILLISECONDS.toNanos(closingMs)) {
             Log.write(config.name() + " ends; " + (handedOver ? calls.size() + " attempts are out"
-                    : "its journal holds " + open.size() + " messages and " + notices.owed() + " notices"));
+                    : "its journal holds " + open.size() + " messages and " + notices.pendingCount() + " notices"));
             intake.shut();
             awaitClientsGone(System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(PARTING_MS));
             return;
--- a/src/test/java/kestreldeal/net/ConnectFailureTest.java
+++ b/src/test/java/kestreldeal/net/ConnectFailureTest.java
@@ -58,7 +58,7 @@
             endpoints = new EndpointClient(loop, 1000, 15_000, 4,
                     (call, outcome, gone, waitMs, report) -> ends.add(outcome),
                     FailingChannel::new, MachineClock.system());
-            endpoints.at(1, stub.address(), true, 1);
+            endpoints.updateEndpoint(1, stub.address(), true, 1);
         }).sync();
     }
 
@@ -71,7 +71,7 @@
     private Outcome call() throws Exception {
         AcceptedMessage held = AcceptedMessage.withTimeLeft(1, "id", "order", "", Optional.of("key"), 7, 20_000,
                 new byte[1], MachineClock.system());
-        loop.execute(() -> endpoints.call(held, 0, 1, 20_000, System.nanoTime()));
+        loop.execute(() -> endpoints.startAttempt(held, 0, 1, 20_000, System.nanoTime()));
         return ends.poll(30, TimeUnit.SECONDS);
     }
 
--- a/src/test/java/kestreldeal/net/DiscoveryTest.java
+++ b/src/test/java/kestreldeal/net/DiscoveryTest.java
@@ -53,23 +53,23 @@
         volatile Runnable onPortion = () -> { };
 
         @Override
-        public void begins() {
+        public void updateStarted() {
         }
 
         @Override
-        public void named(List<Discovery.Entry> some) {
+        public void entriesRead(List<Discovery.Entry> some) {
             largest.accumulateAndGet(some.size(), Math::max);
             some.forEach(e -> entries.put(e.id(), e));
             onPortion.run();
         }
 
         @Override
-        public void ends(boolean whole) {
+        public void updateCompleted(boolean whole) {
             ends.add(whole);
         }
 
         @Override
-        public void asked() {
+        public void firstRequestEnded() {
         }
 
         boolean drains(String id) {
@@ -133,7 +133,7 @@
         StubServer.await("the list is complete", () -> told.ends.size() == 1);
         assertEquals(List.of(true), told.ends);
         assertEquals(LONG_LIST, told.entries.size());
-        assertEquals(EndpointListParser.PORTION, told.largest.get());
+        assertEquals(EndpointListParser.MAX_BATCH_ENTRIES, told.largest.get());
         StubServer.await("the watch starts", () -> agent.requests.size() > 1);
         assertTrue(asked(agent).get(1).contains("after=41&"), asked(agent).get(1));
     }
@@ -162,7 +162,7 @@
     /** Entries that were read apply; no endpoint counts as removed, and the full list is requested again. */
     @Test
     void aListThatBreaksOffDropsNothing() throws Exception {
-        String list = EndpointListParserTest.list(41, 3 * EndpointListParser.PORTION);
+        String list = EndpointListParserTest.list(41, 3 * EndpointListParser.MAX_BATCH_ENTRIES);
         AtomicBoolean broken = new AtomicBoolean();
         StubServer agent = agent((request, socket) -> {
             if (!broken.getAndSet(true)) {
@@ -173,7 +173,7 @@
         start(agent);
         StubServer.await("the list is requested again", () -> agent.requests.size() == 2);
         assertEquals(List.of(), told.ends);
-        assertEquals(EndpointListParser.PORTION, told.entries.size());
+        assertEquals(EndpointListParser.MAX_BATCH_ENTRIES, told.entries.size());
         assertEquals("GET /v1/servers HTTP/1.1", asked(agent).get(1));
     }
 
@@ -187,22 +187,22 @@
     private String end(StubServer stub, long limitMs, long silentMs, long bodyMs) throws Exception {
         CompletableFuture<String> end = new CompletableFuture<>();
         AgentClient agent = new AgentClient(loop, stub.address(), silentMs, bodyMs);
-        loop.execute(() -> agent.ask(new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, "/x"), limitMs,
+        loop.execute(() -> agent.send(new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, "/x"), limitMs,
                 new AgentClient.ResponseHandler() {
                     private int status;
 
                     @Override
-                    public void begins(int code) {
+                    public void responseStarted(int code) {
                         status = code;
                     }
 
                     @Override
-                    public Optional<String> piece(ByteBuf content) {
+                    public Optional<String> bodyChunk(ByteBuf content) {
                         return Optional.empty();
                     }
 
                     @Override
-                    public void ends(Optional<String> fault) {
+                    public void responseEnded(Optional<String> fault) {
                         end.complete(fault.orElse("whole, " + status));
                     }
                 }));
@@ -250,7 +250,7 @@
 
     @Test
     void anAnswerWithoutAnEndIsGivenUp() throws Exception {
-        String end = end((r, socket) -> forever(socket, 2 * AgentClient.LEAST_BYTES, 1), LONG_MS, 100, 300);
+        String end = end((r, socket) -> forever(socket, 2 * AgentClient.MIN_PROGRESS_BYTES, 1), LONG_MS, 100, 300);
         assertTrue(end.startsWith("response body incomplete after 300 ms, with "), end);
     }
 
@@ -272,13 +272,14 @@
      */
     @Test
     void theLimitsLeaveTimeForAListWithinTheSixSeconds() {
-        long silentWatch = Math.max(Discovery.WAIT_MS + Discovery.SILENT_MS, AgentClient.CONNECT_MS);
-        long next = Discovery.PAUSE_MS + Discovery.NO_WAIT_MS + Discovery.SILENT_MS;
+        long silentWatch = Math.max(Discovery.LONG_POLL_WAIT_MS + Discovery.RESPONSE_TIMEOUT_MS,
+                AgentClient.CONNECT_TIMEOUT_MS);
+        long next = Discovery.RETRY_DELAY_MS + Discovery.RECOVERY_POLL_WAIT_MS + Discovery.RESPONSE_TIMEOUT_MS;
         assertEquals(4100, silentWatch + next);
-        assertEquals(5100, silentWatch + 2 * AgentClient.SILENT_MS + next);
-        assertTrue(silentWatch + 2 * AgentClient.SILENT_MS + next < TOLD_MS);
-        assertTrue(Discovery.SILENT_MS + AgentClient.BODY_MS < TOLD_MS);
-        assertTrue(AgentClient.BODY_MS + next < TOLD_MS);
+        assertEquals(5100, silentWatch + 2 * AgentClient.STALL_CHECK_MS + next);
+        assertTrue(silentWatch + 2 * AgentClient.STALL_CHECK_MS + next < TOLD_MS);
+        assertTrue(Discovery.RESPONSE_TIMEOUT_MS + AgentClient.BODY_TIMEOUT_MS < TOLD_MS);
+        assertTrue(AgentClient.BODY_TIMEOUT_MS + next < TOLD_MS);
     }
 
     private interface Fault {
@@ -367,7 +368,7 @@
         for (Map.Entry<String, Fault> fault : faults().entrySet()) {
             told.entries.clear();
             StubServer fresh = agent(once(fault.getValue(), new AtomicBoolean()));
-            loop.execute(() -> discovery.moveTo(new AgentClient(loop, fresh.address())));
+            loop.execute(() -> discovery.switchAgent(new AgentClient(loop, fresh.address())));
             StubServer.await(fault.getKey(), () -> told.drains("s-0"));
             assertEquals(List.of("GET /v1/servers HTTP/1.1", "GET /v1/servers HTTP/1.1"),
                     asked(fresh).subList(0, 2), fault.getKey());
@@ -380,7 +381,7 @@
         StubServer away = agent(StubServer.silent());
         away.close();
         start(away);
-        Thread.sleep(3 * Discovery.PAUSE_MS);
+        Thread.sleep(3 * Discovery.RETRY_DELAY_MS);
         try (ServerSocket back = new ServerSocket(away.address().getPort(), 5, away.address().getAddress());
                 Socket asked = back.accept()) {
             assertEquals("GET /v1/servers HTTP/1.1", StubServer.read(asked.getInputStream(), 0).line());
--- a/src/test/java/kestreldeal/net/EndpointClientTest.java
+++ b/src/test/java/kestreldeal/net/EndpointClientTest.java
@@ -61,14 +61,14 @@
     private EndpointClient.CallListener ends() {
         return new EndpointClient.CallListener() {
         @Override
-        public void ended(EndpointClient.Call call, Outcome outcome, boolean gone, double waitMs,
+        public void completed(EndpointClient.OutboundAttempt call, Outcome outcome, boolean gone, double waitMs,
                 LoadReport report) {
             told.add(report.rate());
             ends.add(new End(outcome, gone, waitMs));
         }
 
         @Override
-        public void waitTold(long endpoint, double waitMs) {
+        public void retryAfterReceived(long endpoint, double waitMs) {
             if (endpoint == OTHER) {
                 othersWaitTold.run();
                 return;
@@ -78,8 +78,8 @@
         }
 
         @Override
-        public boolean mayStillGo(EndpointClient.Call call) {
-            return !call.held.id.equals(tooLate) && !(call.held.id.equals(waiting) && !waits.isEmpty());
+        public boolean sendAllowed(EndpointClient.OutboundAttempt call) {
+            return !call.message.id.equals(tooLate) && !(call.message.id.equals(waiting) && !waits.isEmpty());
         }
     };
     }
@@ -91,16 +91,17 @@
     }
 
     private void at(InetSocketAddress address) {
-        loop.submit(() -> endpoints.at(1, address, true, BATCH)).syncUninterruptibly();
+        loop.submit(() -> endpoints.updateEndpoint(1, address, true, BATCH)).syncUninterruptibly();
     }
 
-    private EndpointClient.Call start(byte[] body, double timeoutMs) throws Exception {
+    private EndpointClient.OutboundAttempt start(byte[] body, double timeoutMs) throws Exception {
         AcceptedMessage held = new AcceptedMessage(1, "id-1", "order", "t", Optional.of("key-1"), 7, 0, body);
         return start(held, timeoutMs, 0);
     }
 
-    private EndpointClient.Call start(AcceptedMessage held, double timeoutMs, long decidedAgoMs) throws Exception {
-        return loop.submit(() -> endpoints.call(held, 0, 1, timeoutMs,
+    private EndpointClient.OutboundAttempt start(AcceptedMessage held, double timeoutMs, long decidedAgoMs)
+            throws Exception {
+        return loop.submit(() -> endpoints.startAttempt(held, 0, 1, timeoutMs,
                 System.nanoTime() - TimeUnit.MILLISECONDS.toNanos(decidedAgoMs))).get();
     }
 
@@ -214,7 +215,7 @@
     @Test
     void aCancelledCallEndsOnceAndClosesTheConnection() throws Exception {
         stub.script(StubServer.silent());
-        EndpointClient.Call call = start(new byte[1], LONG_MS);
+        EndpointClient.OutboundAttempt call = start(new byte[1], LONG_MS);
         StubServer.await("the call has arrived", () -> !stub.requests.isEmpty());
         loop.submit(() -> endpoints.cancel(call)).syncUninterruptibly();
         assertEquals(new End(Outcome.CANCELLED, false, 0), end());
@@ -255,7 +256,7 @@
     void aDrainingOrMovedEndpointsIdleConnectionsAreClosed() throws Exception {
         expect(Outcome.DELIVERED, StubServer.status(200, ""));
         awaitKept();
-        loop.submit(() -> endpoints.at(1, stub.address(), false, BATCH)).syncUninterruptibly();
+        loop.submit(() -> endpoints.updateEndpoint(1, stub.address(), false, BATCH)).syncUninterruptibly();
         assertEquals(0, kept());
     }
 
@@ -386,7 +387,7 @@
             StubServer.status(429, "Retry-After: 0.5\r\n").come(request, socket);
             written.countDown();
         });
-        EndpointClient.Call call = start(new byte[1], LONG_MS);
+        EndpointClient.OutboundAttempt call = start(new byte[1], LONG_MS);
         StubServer.await("the call is in flight", () -> stub.requests.size() == 1);
         loop.submit(() -> {
             go.countDown();
@@ -418,7 +419,7 @@
         StubServer.await("the call is in flight", () -> stub.requests.size() == 3);
         waiting = "b";
         loop.submit(() -> {
-            endpoints.call(message("b"), 0, 1, LONG_MS, System.nanoTime());
+            endpoints.startAttempt(message("b"), 0, 1, LONG_MS, System.nanoTime());
             heldUp.countDown();
             written.await();
             return null;
@@ -446,9 +447,10 @@
             otherWritten.countDown();
         };
         try (StubServer other = new StubServer(othersAnswer)) {
-            loop.submit(() -> endpoints.at(OTHER, other.address(), true, BATCH)).syncUninterruptibly();
+            loop.submit(() -> endpoints.updateEndpoint(OTHER, other.address(), true, BATCH)).syncUninterruptibly();
             startTogether("a");
-            loop.submit(() -> endpoints.call(message("c"), 0, OTHER, LONG_MS, System.nanoTime())).syncUninterruptibly();
+            loop.submit(() -> endpoints.startAttempt(message("c"), 0, OTHER, LONG_MS, System.nanoTime()))
+                    .syncUninterruptibly();
             StubServer.await("both calls are in flight", () -> stub.requests.size() + other.requests.size() == 4);
             othersWaitTold = () -> {
                 heldUp.countDown();
@@ -460,7 +462,7 @@
             };
             waiting = "b";
             loop.submit(() -> {
-                endpoints.call(message("b"), 0, 1, LONG_MS, System.nanoTime());
+                endpoints.startAttempt(message("b"), 0, 1, LONG_MS, System.nanoTime());
                 decided.countDown();
                 otherWritten.await();
                 return null;
@@ -515,13 +517,13 @@
         start(new byte[1], LONG_MS);
         start(new byte[1], LONG_MS);
         StubServer.await("the calls are in flight", () -> stub.requests.size() == 3);
-        loop.submit(() -> endpoints.forget(1)).syncUninterruptibly();
+        loop.submit(() -> endpoints.removeEndpoint(1)).syncUninterruptibly();
         go.countDown();
         assertEquals(new End(Outcome.DELIVERED, false, 0), end(), "a call in flight is still completed");
         assertEquals(new End(Outcome.DELIVERED, false, 0), end());
         StubServer.await("its connections are closed", () -> stub.ended() == 2);
         assertEquals(0, kept());
-        assertEquals(0, loop.submit(() -> endpoints.known()).get());
+        assertEquals(0, loop.submit(() -> endpoints.endpointCount()).get());
     }
 
     @Test
@@ -551,10 +553,10 @@
             try (StubServer old = StubServer.busy(StubServer.status(200, "")); StubServer moved
                     = new StubServer(StubServer.status(200, ""))) {
                 EndpointClient patient = new EndpointClient(loop, 20_000, 15_000, 4, ends());
-                loop.submit(() -> patient.at(1, old.address(), true, BATCH)).syncUninterruptibly();
+                loop.submit(() -> patient.updateEndpoint(1, old.address(), true, BATCH)).syncUninterruptibly();
                 call(patient, "a");
                 awaitPasses();
-                loop.submit(() -> patient.at(1, moved.address(), true, BATCH)).syncUninterruptibly();
+                loop.submit(() -> patient.updateEndpoint(1, moved.address(), true, BATCH)).syncUninterruptibly();
                 old.accepts();
                 end = end();
                 assertEquals(List.of(), old.requests);
@@ -567,7 +569,7 @@
     @Test
     void aConnectionThatWasNotUsedAfterAllHasIdledOn() throws Exception {
         EndpointClient hasty = new EndpointClient(loop, 1000, 2000, 4, ends());
-        loop.submit(() -> hasty.at(1, stub.address(), true, BATCH)).syncUninterruptibly();
+        loop.submit(() -> hasty.updateEndpoint(1, stub.address(), true, BATCH)).syncUninterruptibly();
         call(hasty, "a");
         assertEquals(plain(Outcome.DELIVERED), end());
         long used = System.nanoTime();
@@ -588,7 +590,7 @@
     }
 
     private void call(EndpointClient to, String id) {
-        loop.submit(() -> to.call(message(id), 0, 1, LONG_MS, System.nanoTime())).syncUninterruptibly();
+        loop.submit(() -> to.startAttempt(message(id), 0, 1, LONG_MS, System.nanoTime())).syncUninterruptibly();
     }
 
     /** Waits until the event loop has read its sockets and run its due tasks a few times. */
@@ -629,13 +631,13 @@
     }
 
     /** Starts attempts for these messages in one turn. */
-    private List<EndpointClient.Call> startTogether(String... ids) throws Exception {
+    private List<EndpointClient.OutboundAttempt> startTogether(String... ids) throws Exception {
         return startTogether(Arrays.stream(ids).map(EndpointClientTest::message).toArray(AcceptedMessage[]::new));
     }
 
-    private List<EndpointClient.Call> startTogether(AcceptedMessage... messages) throws Exception {
+    private List<EndpointClient.OutboundAttempt> startTogether(AcceptedMessage... messages) throws Exception {
         return loop.submit(() -> Arrays.stream(messages)
-                .map(held -> endpoints.call(held, 0, 1, LONG_MS, System.nanoTime())).toList()).get();
+                .map(held -> endpoints.startAttempt(held, 0, 1, LONG_MS, System.nanoTime())).toList()).get();
     }
 
     private static StubServer.Script answer(String headers, String body) {
@@ -742,7 +744,7 @@
             go.await();
             answer("", "a accepted\nb accepted\n").come(request, socket);
         });
-        List<EndpointClient.Call> calls = startTogether("a", "b");
+        List<EndpointClient.OutboundAttempt> calls = startTogether("a", "b");
         StubServer.await("the call is in flight", () -> stub.requests.size() == 1);
         loop.submit(() -> endpoints.cancel(calls.get(0))).syncUninterruptibly();
         assertEquals(plain(Outcome.CANCELLED), end());
@@ -767,8 +769,8 @@
     void aMessageWithoutAFormAmongSeveralTravelsAlone() throws Exception {
         loop.submit(() -> {
             for (String key : List.of("two words", "-", "plain")) {
-                endpoints.call(new AcceptedMessage(1, "id-" + key.length(), "order", "t", Optional.of(key), 7, 0,
-                        new byte[1]), 0, 1, LONG_MS, System.nanoTime());
+                endpoints.startAttempt(new AcceptedMessage(1, "id-" + key.length(), "order", "t", Optional.of(key), 7,
+                        0, new byte[1]), 0, 1, LONG_MS, System.nanoTime());
             }
         }).syncUninterruptibly();
         expectEnds(plain(Outcome.DELIVERED), plain(Outcome.DELIVERED), plain(Outcome.DELIVERED));
@@ -781,6 +783,6 @@
     }
 
     private int kept() {
-        return loop.submit(() -> endpoints.kept()).syncUninterruptibly().getNow();
+        return loop.submit(() -> endpoints.idleConnectionCount()).syncUninterruptibly().getNow();
     }
 }
--- a/src/test/java/kestreldeal/net/EndpointListParserTest.java
+++ b/src/test/java/kestreldeal/net/EndpointListParserTest.java
@@ -70,9 +70,9 @@
                 one.feed(bytes(LIST.substring(at, Math.min(LIST.length(), at + size))));
             }
             one.end();
-            assertTrue(one.isList());
+            assertTrue(one.isComplete());
             assertEquals(43, one.generation());
-            assertTrue(one.reset());
+            assertTrue(one.isFullList());
             assertEquals(ENTRIES, read, "in chunks of " + size);
         }
     }
@@ -89,15 +89,15 @@
 
     @Test
     void entriesAreHandedOnWhileTheListIsRead() throws IOException {
-        String list = list(1, 2 * EndpointListParser.PORTION + 3);
-        int half = list.indexOf("s-" + (EndpointListParser.PORTION + 1) + "\"");
+        String list = list(1, 2 * EndpointListParser.MAX_BATCH_ENTRIES + 3);
+        int half = list.indexOf("s-" + (EndpointListParser.MAX_BATCH_ENTRIES + 1) + "\"");
         reader.feed(bytes(list.substring(0, half)));
-        assertEquals(List.of(EndpointListParser.PORTION), portions.stream().map(List::size).toList());
+        assertEquals(List.of(EndpointListParser.MAX_BATCH_ENTRIES), portions.stream().map(List::size).toList());
         reader.feed(bytes(list.substring(half)));
         reader.end();
-        assertEquals(List.of(EndpointListParser.PORTION, EndpointListParser.PORTION, 3),
+        assertEquals(List.of(EndpointListParser.MAX_BATCH_ENTRIES, EndpointListParser.MAX_BATCH_ENTRIES, 3),
                 portions.stream().map(List::size).toList());
-        assertEquals("s-" + (2 * EndpointListParser.PORTION + 2), portions.get(2).get(2).id());
+        assertEquals("s-" + (2 * EndpointListParser.MAX_BATCH_ENTRIES + 2), portions.get(2).get(2).id());
     }
 
     @Test
@@ -105,14 +105,14 @@
         String list = list(1, 3);
         reader.feed(bytes(list.substring(0, list.length() - 1)));
         assertThrows(JsonProcessingException.class, reader::end);
-        assertFalse(reader.isList());
+        assertFalse(reader.isComplete());
         assertEquals(List.of(), portions);
     }
 
     @Test
     void whatIsSpoiltInItsMiddleIsNoList() {
         assertThrows(JsonProcessingException.class, () -> reader.feed(bytes(list(1, 3).replace("},", "}#"))));
-        assertFalse(reader.isList());
+        assertFalse(reader.isComplete());
         assertEquals(List.of(), portions);
     }
 
@@ -124,12 +124,12 @@
             EndpointListParser one = new EndpointListParser(portions::add);
             one.feed(bytes(text));
             one.end();
-            assertFalse(one.isList(), text);
+            assertFalse(one.isComplete(), text);
         }
         reader.feed(bytes("{\"generation\":1,\"instances\":[]}"));
         reader.end();
-        assertTrue(reader.isList());
-        assertFalse(reader.reset());
+        assertTrue(reader.isComplete());
+        assertFalse(reader.isFullList());
     }
 
     /** A value that never ends would otherwise be collected in memory. */
@@ -137,23 +137,23 @@
     void aTextWithoutAnEndIsOverABound() {
         StreamConstraintsException over = assertThrows(StreamConstraintsException.class, () -> {
             reader.feed(bytes("{\"instances\":[{\"instanceId\":\""));
-            for (int i = 0; i < 3 * EndpointListParser.LONGEST_TEXT; i++) {
+            for (int i = 0; i < 3 * EndpointListParser.MAX_TEXT_CHARS; i++) {
                 reader.feed(bytes("x"));
             }
             reader.feed(bytes("\""));
         });
-        assertTrue(over.getMessage().contains(Integer.toString(EndpointListParser.LONGEST_TEXT)), over.getMessage());
+        assertTrue(over.getMessage().contains(Integer.toString(EndpointListParser.MAX_TEXT_CHARS)), over.getMessage());
     }
 
     @Test
     void aConfigurationsListIsRead() throws IOException {
         Path file = folder.resolve("config.json");
         Files.writeString(file, "{\"settings\":{\"known\":{\"instances\":[{}]}},\"known\":" + LIST + ",\"more\":1}");
-        assertTrue(EndpointListParser.read(file, "known", portions::add));
+        assertTrue(EndpointListParser.readFile(file, "known", portions::add));
         assertEquals(List.of(ENTRIES), portions);
-        assertFalse(EndpointListParser.read(file, "settings", portions::add));
-        assertFalse(EndpointListParser.read(file, "more", portions::add));
-        assertFalse(EndpointListParser.read(file, "other", portions::add));
+        assertFalse(EndpointListParser.readFile(file, "settings", portions::add));
+        assertFalse(EndpointListParser.readFile(file, "more", portions::add));
+        assertFalse(EndpointListParser.readFile(file, "other", portions::add));
         assertEquals(1, portions.size());
     }
 }
--- a/src/test/java/kestreldeal/net/EndpointRegistryTest.java
+++ b/src/test/java/kestreldeal/net/EndpointRegistryTest.java
@@ -15,7 +15,7 @@
     private final EndpointRegistry directory = new EndpointRegistry(4);
 
     private long name(String id, long destination, double rate, boolean gone, long nowNanos) {
-        return directory.name(new Discovery.Entry(id, Optional.empty(), "a", "m", destination, !gone, rate, gone),
+        return directory.register(new Discovery.Entry(id, Optional.empty(), "a", "m", destination, !gone, rate, gone),
                 nowNanos).orElse(-1);
     }
 
@@ -25,13 +25,13 @@
 
     @Test
     void anEndpointKeepsItsNumber() {
-        long early = directory.number("a", 0);
+        long early = directory.getOrAssignNumber("a", 0);
         assertEquals(early, name("a", 7, 1, false, 0));
-        assertEquals(early, directory.number("a", 1));
-        assertEquals(OptionalLong.of(early), directory.known("a"));
+        assertEquals(early, directory.getOrAssignNumber("a", 1));
+        assertEquals(OptionalLong.of(early), directory.findNumber("a"));
         assertEquals("a", directory.id(early));
-        assertEquals(OptionalLong.empty(), directory.known("b"));
-        assertTrue(early != directory.number("b", 0));
+        assertEquals(OptionalLong.empty(), directory.findNumber("b"));
+        assertTrue(early != directory.getOrAssignNumber("b", 0));
         assertTrue(directory.knowsDestination(7));
         assertFalse(directory.knowsDestination(early == 0 ? 1 : 0));
     }
@@ -41,74 +41,74 @@
     void anotherDestinationHasAnotherNumber() {
         long before = name("a", 7, 1, false, 0);
         Discovery.Entry same = new Discovery.Entry("a", Optional.empty(), "a", "m", 7, true, 1, false);
-        assertEquals(Optional.empty(), directory.displaced(same, 1));
+        assertEquals(Optional.empty(), directory.findDisplaced(same, 1));
         Discovery.Entry gone = new Discovery.Entry("a", Optional.empty(), "a", "m", 8, false, 1, true);
-        assertEquals(Optional.empty(), directory.displaced(gone, 1));
+        assertEquals(Optional.empty(), directory.findDisplaced(gone, 1));
         Discovery.Entry other = new Discovery.Entry("a", Optional.empty(), "a", "m", 8, true, 1, false);
-        assertEquals(before, directory.displaced(other, 1).orElseThrow().number());
+        assertEquals(before, directory.findDisplaced(other, 1).orElseThrow().number());
         long after = name("a", 8, 1, false, 1);
         assertTrue(after != before);
         assertEquals("a", directory.id(before));
-        directory.forget(MINUTE + 2, MINUTE);
-        assertEquals(OptionalLong.of(after), directory.known("a"), "the old endpoint is evicted, not the new one");
+        directory.evictRemoved(MINUTE + 2, MINUTE);
+        assertEquals(OptionalLong.of(after), directory.findNumber("a"), "the old endpoint is evicted, not the new one");
     }
 
     /** An endpoint missing from a full list is returned once, with the latest rate of its destination. */
     @Test
     void whatAWholeListDoesNotNameHasLeft() {
-        directory.number("recalled", 0);
-        directory.begin();
+        directory.getOrAssignNumber("recalled", 0);
+        directory.beginUpdate();
         name("a", 7, 2, false, 0);
         name("b", 7, 3, false, 0);
         name("c", 8, 4, true, 0);
-        assertEquals(List.of(), directory.leave(0));
-        directory.begin();
+        assertEquals(List.of(), directory.markUnnamedRemoved(0));
+        directory.beginUpdate();
         name("a", 7, 5, false, 1);
-        List<EndpointRegistry.RegisteredEndpoint> left = directory.leave(1);
+        List<EndpointRegistry.RegisteredEndpoint> left = directory.markUnnamedRemoved(1);
         assertEquals(List.of("b"), ids(left));
         assertEquals(7, left.get(0).destination());
-        assertEquals(5, left.get(0).rate());
-        directory.begin();
+        assertEquals(5, left.get(0).listedRate());
+        directory.beginUpdate();
         name("a", 7, 5, false, 2);
-        assertEquals(List.of(), directory.leave(2));
-        directory.begin();
-        assertEquals(List.of("a"), ids(directory.leave(3)));
+        assertEquals(List.of(), directory.markUnnamedRemoved(2));
+        directory.beginUpdate();
+        assertEquals(List.of("a"), ids(directory.markUnnamedRemoved(3)));
     }
 
     @Test
     void whatIsGoneForLongIsForgottenUnlessItCameBack() {
-        directory.begin();
+        directory.beginUpdate();
         name("stays", 1, 1, false, 0);
         long left = name("left", 1, 1, false, 0);
         name("back", 1, 1, true, 0);
-        directory.number("recalled", 0);
-        directory.begin();
+        directory.getOrAssignNumber("recalled", 0);
+        directory.beginUpdate();
         name("stays", 1, 1, false, 1);
         name("back", 1, 1, false, 1);
-        directory.leave(1);
-        assertEquals(List.of(), directory.forget(MINUTE, MINUTE));
-        assertEquals(List.of("recalled"), ids(directory.forget(MINUTE + 1, MINUTE)));
-        assertEquals(OptionalLong.of(left), directory.known("left"));
-        assertEquals(List.of("left"), ids(directory.forget(MINUTE + 2, MINUTE)));
-        assertEquals(OptionalLong.empty(), directory.known("left"));
-        assertEquals(List.of(), directory.forget(9 * MINUTE, MINUTE));
-        assertTrue(directory.known("stays").isPresent() && directory.known("back").isPresent());
-        assertTrue(directory.number("left", 0) != left, "a number is never reused");
+        directory.markUnnamedRemoved(1);
+        assertEquals(List.of(), directory.evictRemoved(MINUTE, MINUTE));
+        assertEquals(List.of("recalled"), ids(directory.evictRemoved(MINUTE + 1, MINUTE)));
+        assertEquals(OptionalLong.of(left), directory.findNumber("left"));
+        assertEquals(List.of("left"), ids(directory.evictRemoved(MINUTE + 2, MINUTE)));
+        assertEquals(OptionalLong.empty(), directory.findNumber("left"));
+        assertEquals(List.of(), directory.evictRemoved(9 * MINUTE, MINUTE));
+        assertTrue(directory.findNumber("stays").isPresent() && directory.findNumber("back").isPresent());
+        assertTrue(directory.getOrAssignNumber("left", 0) != left, "a number is never reused");
     }
 
     @Test
     void whatHasNoRoomIsPassedOverUntilOthersAreForgotten() {
-        directory.begin();
+        directory.beginUpdate();
         for (int i = 0; i < 4; i++) {
             name("a" + i, i, 1, false, 0);
         }
         assertEquals(-1, name("b", 9, 1, false, 0));
-        assertEquals(1, directory.passedOver());
+        assertEquals(1, directory.skippedCount());
         assertFalse(directory.knowsDestination(9));
         assertTrue(name("a0", 0, 1, true, 0) >= 0, "a known endpoint is not skipped");
-        directory.begin();
-        assertEquals(0, directory.passedOver());
-        directory.forget(MINUTE + 1, MINUTE);
+        directory.beginUpdate();
+        assertEquals(0, directory.skippedCount());
+        directory.evictRemoved(MINUTE + 1, MINUTE);
         assertTrue(name("b", 9, 1, false, 0) >= 0);
     }
 
@@ -117,6 +117,6 @@
     void itIsGoneFromTheFirstWordOn() {
         name("a", 1, 1, true, 0);
         name("a", 1, 1, true, MINUTE);
-        assertEquals(List.of("a"), ids(directory.forget(MINUTE + 1, MINUTE)));
+        assertEquals(List.of("a"), ids(directory.evictRemoved(MINUTE + 1, MINUTE)));
     }
 }
--- a/src/test/java/kestreldeal/net/FileDescriptorsTest.java
+++ b/src/test/java/kestreldeal/net/FileDescriptorsTest.java
@@ -187,8 +187,8 @@
                         (call, outcome, gone, waitMs, report) -> end.complete(outcome), () -> {
                     throw new ChannelException("too many open files");
                 }, MachineClock.system());
-                endpoints.at(1, new InetSocketAddress("127.0.0.1", 1), true, 1);
-                endpoints.call(held, 0, 1, 20_000, System.nanoTime());
+                endpoints.updateEndpoint(1, new InetSocketAddress("127.0.0.1", 1), true, 1);
+                endpoints.startAttempt(held, 0, 1, 20_000, System.nanoTime());
             });
             assertEquals(Relay.Outcome.NOT_SENT, end.get(30, TimeUnit.SECONDS));
         } finally {
--- a/src/test/java/kestreldeal/net/NoticeClientTest.java
+++ b/src/test/java/kestreldeal/net/NoticeClientTest.java
@@ -41,13 +41,13 @@
                 AcceptedMessage held = AcceptedMessage.withTimeLeft(1, id, "order", "", Optional.empty(), 7, 1000,
                         new byte[0], MachineClock.system());
                 held.owed = Optional.of(new AcceptedMessage.Notice(false, 0));
-                notices.owe(held);
+                notices.enqueue(held);
             }
         });
     }
 
     private int owed() {
-        return loop.submit(notices::owed).syncUninterruptibly().getNow();
+        return loop.submit(notices::pendingCount).syncUninterruptibly().getNow();
     }
 
     @Test
--- a/src/test/java/kestreldeal/net/SendGuardTest.java
+++ b/src/test/java/kestreldeal/net/SendGuardTest.java
@@ -31,28 +31,28 @@
 
     @Test
     void aMessageGoesToItsOwnDestinationOnly() {
-        assertEquals(Optional.empty(), guard.breach(held("order", 0), DESTINATION));
-        assertEquals(Optional.of(Invariants.Rule.OWN_DESTINATION), guard.breach(held("order", 0), 8));
+        assertEquals(Optional.empty(), guard.violatedRule(held("order", 0), DESTINATION));
+        assertEquals(Optional.of(Invariants.Rule.OWN_DESTINATION), guard.violatedRule(held("order", 0), 8));
     }
 
     @Test
     void whatMustNotRunTwiceIsTriedAgainOnlyIfItNeverRan() {
         AcceptedMessage once = held("once", 1);
-        assertEquals(Optional.of(Invariants.Rule.SINGLE_EFFECT), guard.breach(once, DESTINATION));
+        assertEquals(Optional.of(Invariants.Rule.SINGLE_EFFECT), guard.violatedRule(once, DESTINATION));
         once.attempts.get(0).neverRan = true;
-        assertEquals(Optional.empty(), guard.breach(once, DESTINATION));
-        assertEquals(Optional.empty(), guard.breach(held("order", 1), DESTINATION));
+        assertEquals(Optional.empty(), guard.violatedRule(once, DESTINATION));
+        assertEquals(Optional.empty(), guard.violatedRule(held("order", 1), DESTINATION));
     }
 
     @Test
     void noMessageHasMoreAttemptsThanTheSettingsAllow() {
-        assertEquals(Optional.empty(), guard.breach(held("order", MOST_ATTEMPTS - 1), DESTINATION));
+        assertEquals(Optional.empty(), guard.violatedRule(held("order", MOST_ATTEMPTS - 1), DESTINATION));
         assertEquals(Optional.of(Invariants.Rule.ATTEMPT_LIMIT),
-                guard.breach(held("order", MOST_ATTEMPTS), DESTINATION));
+                guard.violatedRule(held("order", MOST_ATTEMPTS), DESTINATION));
     }
 
     private Optional<SendGuard.SuppressionReason> heldBack(AcceptedMessage held, boolean open) {
-        return guard.heldBack(held, held.attempts.size() - 1, open, clock.nanos());
+        return guard.suppressionReason(held, held.attempts.size() - 1, open, clock.nanos());
     }
 
     @Test
