--- a/src/test/java/kestreldeal/net/NoticeClientTest.java
+++ b/src/test/java/kestreldeal/net/NoticeClientTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Notices to an agent that can't read one of them. */
+/** Notices to an agent that rejects one of them. */
 class NoticeClientTest {
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
@@ -41,21 +41,21 @@
                 AcceptedMessage held = AcceptedMessage.withTimeLeft(1, id, "order", "", Optional.empty(), 7, 1000,
                         new byte[0], MachineClock.system());
                 held.pendingNotice = Optional.of(new AcceptedMessage.Notice(false, 0));
-                notices.owe(held);
+                notices.enqueue(held);
             }
         });
     }
 
     private int owed() {
-        return loop.submit(notices::owed).syncUninterruptibly().getNow();
+        return loop.submit(notices::pendingCount).syncUninterruptibly().getNow();
     }
 
     @Test
     void oneThatCantBeReadHoldsUpNoOther() throws Exception {
         owe("a", "b", "unreadable", "c", "d");
-        StubServer.await("all others are heard", () -> heard.containsAll(List.of("a", "b", "c", "d")));
+        StubServer.await("all others are delivered", () -> heard.containsAll(List.of("a", "b", "c", "d")));
         assertEquals(0, heard.indexOf("a"));
-        StubServer.await("it is given up", () -> owed() == 0);
+        StubServer.await("the rejected notice is dropped", () -> owed() == 0);
         assertEquals(5, heard.size());
         long sent = agent.requests.stream().filter(r -> r.body().contains("unreadable")).count();
         assertEquals(5, sent);
--- a/src/test/java/kestreldeal/net/SendGuardTest.java
+++ b/src/test/java/kestreldeal/net/SendGuardTest.java
@@ -31,27 +31,28 @@
 
     @Test
     void aMessageGoesToItsOwnDestinationOnly() {
-        assertEquals(Optional.empty(), guard.breach(held("order", 0), DESTINATION));
-        assertEquals(Optional.of(Invariants.Rule.OWN_DESTINATION), guard.breach(held("order", 0), 8));
+        assertEquals(Optional.empty(), guard.violatedRule(held("order", 0), DESTINATION));
+        assertEquals(Optional.of(Invariants.Rule.OWN_DESTINATION), guard.violatedRule(held("order", 0), 8));
     }
 
     @Test
     void whatMustNotRunTwiceIsTriedAgainOnlyIfItNeverRan() {
         AcceptedMessage once = held("once", 1);
-        assertEquals(Optional.of(Invariants.Rule.SINGLE_EFFECT), guard.breach(once, DESTINATION));
+        assertEquals(Optional.of(Invariants.Rule.SINGLE_EFFECT), guard.violatedRule(once, DESTINATION));
         once.attempts.get(0).neverRan = true;
-        assertEquals(Optional.empty(), guard.breach(once, DESTINATION));
-        assertEquals(Optional.empty(), guard.breach(held("order", 1), DESTINATION));
+        assertEquals(Optional.empty(), guard.violatedRule(once, DESTINATION));
+        assertEquals(Optional.empty(), guard.violatedRule(held("order", 1), DESTINATION));
     }
 
     @Test
     void noMessageHasMoreAttemptsThanTheSettingsAllow() {
-        assertEquals(Optional.empty(), guard.breach(held("order", MOST_ATTEMPTS - 1), DESTINATION));
-        assertEquals(Optional.of(Invariants.Rule.ATTEMPT_LIMIT), guard.breach(held("order", MOST_ATTEMPTS), DESTINATION));
+        assertEquals(Optional.empty(), guard.violatedRule(held("order", MOST_ATTEMPTS - 1), DESTINATION));
+        assertEquals(Optional.of(Invariants.Rule.ATTEMPT_LIMIT),
+                guard.violatedRule(held("order", MOST_ATTEMPTS), DESTINATION));
     }
 
     private Optional<SendGuard.SuppressionReason> heldBack(AcceptedMessage held, boolean open) {
-        return guard.heldBack(held, held.attempts.size() - 1, open, clock.nanos());
+        return guard.suppressionReason(held, held.attempts.size() - 1, open, clock.nanos());
     }
 
     @Test
@@ -63,7 +64,7 @@
         assertEquals(Optional.of(SendGuard.SuppressionReason.MESSAGE_OVER), heldBack(held, true));
     }
 
-    /** Held up for 150 ms behind the look at the clock, and 100 ms on its way, it still comes inside the window. */
+    /** Delayed by 150 ms after reading the clock, and by 100 ms on its way, the attempt still arrives in the window. */
     @Test
     void aRepeatIsWrittenOnlyWhereItStillArrivesInItsWindow() {
         AcceptedMessage held = held("order", 1);
