--- a/src/main/java/kestreldeal/net/ClientConnectionLimit.java
+++ b/src/main/java/kestreldeal/net/ClientConnectionLimit.java
@@ -3,13 +3,13 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * How many clients may have a connection: as many as the configuration allows for, or fewer for a while once this process
- * had no descriptor left. All times are of {@link System#nanoTime}.
+ * Limit on the number of client connections. It is lowered when this process runs out of file descriptors, and then
+ * rises step by step to the configured value again. All times are values of {@link System#nanoTime}.
  */
 final class ClientConnectionLimit {
-    /** Descriptors that clients leave free then, and clients that may stay at least. */
+    /** Number of descriptors to free when none is left; also the minimum of the limit. */
     static final int SPARE = 32;
-    /** So long without another shortage let so many more clients stay. */
+    /** After each interval without another shortage the limit rises by one step. */
     private static final long STEP_NANOS = TimeUnit.SECONDS.toNanos(10);
     private static final int STEP = SPARE / 4;
 
@@ -21,19 +21,19 @@
         set(configured);
     }
 
-    /** The configuration, or another process on the same descriptors, allows for so many. */
+    /** Sets the value that the configuration, or another process sharing the descriptors, allows for. */
     void set(int allowed) {
         configured = allowed;
         most = allowed;
     }
 
-    /** Clients hold the last descriptor, so many of them. */
+    /** Lowers the limit because no descriptor is left while this many clients are connected. */
     void lower(int clients, long nowNanos) {
         most = Math.min(configured, Math.max(SPARE, clients - SPARE));
         changedNanos = nowNanos;
     }
 
-    /** How many may stay now. */
+    /** The limit at this time. */
     int most(long nowNanos) {
         while (most < configured && nowNanos - changedNanos >= STEP_NANOS) {
             most = Math.min(configured, most + STEP);
--- a/src/main/java/kestreldeal/net/ClientServer.java
+++ b/src/main/java/kestreldeal/net/ClientServer.java
@@ -53,88 +53,88 @@
 import kestreldeal.InvalidInputException;
 
 /**
- * The client side: checks what is handed in, and answers it. A message is journalled before its 202 is
- * written, and told to the module once that is out; what can't be taken is refused, and bad input is
- * answered without harm to anything else.
+ * The HTTP server that clients submit messages to. It validates requests and answers them. A message is written to the
+ * journal before its 202 response, and passed to the decision module once the response has been written. Messages that
+ * can't be accepted are rejected; malformed requests are answered and affect nothing else.
  *
- * <p>A connection holds a socket, so each has a time limit: a request must be whole so long after its first
- * byte, the first request of a connection so long after connecting, and one between requests is kept for a
- * while only. When there are too many, those that never asked anything make room first.
+ * <p>Each connection takes a file descriptor, so all states of a connection have a timeout: the first request must be
+ * complete within a time after connecting, a later one within a time after its first byte, and idle connections are
+ * closed. When there are too many connections, those without any complete request are closed first.
  */
 final class ClientServer {
     private static final int LONGEST_BODY = 64 * 1024;
-    /** The id goes into the journal and on to endpoints; one that is longer is no id. */
+    /** The id is written to the journal and passed on to endpoints, so its length is limited. */
     private static final int LONGEST_ID = 256;
-    /** From connecting, or from a later request's first byte, until the request is whole. */
+    /** From connecting, or from the first byte of a later request, until the request is complete. */
     private static final long REQUEST_MS = 2000;
-    /** A connection between requests is kept for so long, lest those that ask once keep the others out. */
+    /** Idle connections are closed after this time, so that clients with a single request don't block others. */
     private static final long IDLE_MS = 2500;
-    /** The same while clients are sent away, so that none is left long before the four seconds of that are over. */
+    /** The same during an evacuation, short enough that no client is left well before its limit of four seconds. */
     private static final long AWAY_IDLE_MS = 1000;
     /**
-     * From the end of the sending until the close, unless the client closes first: a close over unread bytes resets
-     * the connection, and the last answer could be lost with it.
+     * From the half-close after the last response until the close, unless the client closes first. Closing a socket
+     * with unread bytes resets the connection, and the last response could be lost with it.
      */
     private static final long LINGER_MS = 500;
-    /** So much is read meanwhile and thrown away: a flood is not read to its end. */
+    /** Limit on the bytes that are read and discarded during that time, so that a flood is not read to its end. */
     private static final int MOST_DISCARDED = LONGEST_BODY;
     private static final long SWEEP_MS = 200;
-    /** Reads of one connection before the next one's turn. */
+    /** Reads from one connection before the others are served. */
     private static final int READS = 16;
-    /** Pauses before the next accept where one has failed: the first, and the longest of a row of failures. */
+    /** Pause after a failed accept; it doubles with each further failure, up to the maximum. */
     private static final long FIRST_ACCEPT_PAUSE_MS = 5;
     private static final long MOST_ACCEPT_PAUSE_MS = 160;
-    /** From one line in the log about that to the next. */
+    /** Minimum time between two log lines about failed accepts. */
     private static final long ACCEPT_LINE_MS = 10_000;
 
-    /** What a request asks to be delivered. */
+    /** A message that a client asks to have delivered. */
     record Submission(String id, String messageClass, String tenant, Optional<String> key, long destination,
                       long budgetMs, byte[] body) {
     }
 
-    /** The sender's side of a request. */
+    /** The part of the sender that accepts or rejects submissions. */
     interface SubmissionHandler {
-        /** Whether messages can be taken now. */
+        /** Whether messages can be accepted now. */
         boolean ready();
 
-        /** Whether the module knows this class; the path names it too. */
+        /** Whether this message class is configured; it is also the path of the request. */
         boolean knowsClass(String name);
 
         boolean knowsTenant(String name);
 
         boolean needsKey(String messageClass);
 
-        /** Whether a list has ever named this destination, be its endpoints away or not. */
+        /** Whether an endpoint list has ever named this destination, even if none of its endpoints is left. */
         boolean knowsDestination(long destination);
 
-        /** Whether another process decides on what is handed in here. */
+        /** Whether submissions must be forwarded to another process, which decides on them. */
         default boolean handsOn() {
             return false;
         }
 
-        /** Lets the other process answer, a little later. */
+        /** Forwards a submission; the answer of the other process arrives later. */
         default void handOn(Submission submission, Consumer<HttpResponseStatus> answer) {
         }
 
-        /** How a message with this id was answered before, if one is held, or was until a moment ago. */
+        /** The answer to an earlier submission with this id, if that message is pending or finished recently. */
         Optional<HttpResponseStatus> answeredBefore(String id);
 
-        /** Journals a message, or refuses it by an empty answer. */
+        /** Writes a message to the journal, or returns empty to reject it. */
         Optional<AcceptedMessage> take(Submission submission);
 
-        /** A connection is ended here, for this reason. */
+        /** This process closes a connection, for this reason. */
         default void closes(CloseReason reason) {
         }
 
-        /** A connection is ended here though a request on it was read and has no answer. */
+        /** This process closes a connection although a request read from it has no answer. */
         default void leavesUnanswered(CloseReason reason) {
         }
 
-        /** A message of this class is refused before it was taken. */
+        /** A submission of this class was rejected. */
         default void turnedAway(String messageClass) {
         }
 
-        /** The client has heard that it was taken, or never will. */
+        /** The 202 response for an accepted message was written, or writing it failed. */
         void answered(AcceptedMessage held, boolean heard);
     }
 
@@ -142,20 +142,20 @@
     private final SubmissionHandler desk;
     private final FileDescriptors descriptors;
     private final ClientConnectionLimit bound;
-    /** The connections in each state, those that are in it longest first. */
+    /** The connections in each state, ordered by the time when they entered it. */
     private final Map<State, Set<Client>> clients = new EnumMap<>(State.class);
     private final ServerBootstrap bootstrap;
     private boolean closing;
-    /** Clients are sent away, but what they hand in all the same is taken. */
+    /** Whether clients are being evacuated; messages that they submit nevertheless are still accepted. */
     private boolean away;
-    /** Another process has taken over, or is about to. */
+    /** Whether another process has taken over, or is about to. */
     private boolean leaving;
 
     ClientServer(EventLoop loop, int mostClients, SubmissionHandler desk) {
         this(loop, mostClients, desk, NioServerSocketChannel::new, FileDescriptors.system());
     }
 
-    /** The same with a way of its own to make the channel that listens, whose accepts may fail. */
+    /** Creates a server with another factory for the listening channel; tests use one whose accepts fail. */
     ClientServer(EventLoop loop, int mostClients, SubmissionHandler desk,
             ChannelFactory<NioServerSocketChannel> listeners, FileDescriptors descriptors) {
         this.loop = loop;
@@ -170,7 +170,7 @@
                 .handler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
-                        // One for each attempt to listen.
+                        // A new one for each attempt to bind.
                         channel.pipeline().addLast(new AcceptFailures());
                     }
                 })
@@ -178,7 +178,7 @@
                 .option(ChannelOption.SO_REUSEADDR, true)
                 .option(NioChannelOption.of(StandardSocketOptions.SO_REUSEPORT), true)
                 .childOption(ChannelOption.TCP_NODELAY, true)
-                // Reads until nothing is left, so that a close behind a request is seen with it.
+                // Reads until the socket is empty, so that a close right after a request is noticed with it.
                 .childOption(ChannelOption.RECVBUF_ALLOCATOR,
                         new AdaptiveRecvByteBufAllocator().respectMaybeMoreData(false).maxMessagesPerRead(READS))
                 .childHandler(new ChannelInitializer<Channel>() {
@@ -192,83 +192,84 @@
         loop.scheduleWithFixedDelay(this::sweep, SWEEP_MS, SWEEP_MS, TimeUnit.MILLISECONDS);
     }
 
-    /** Begins to listen, beside another process that does so at the same address. */
+    /** Binds to the address; another process may be bound to it at the same time. */
     ChannelFuture listen(InetSocketAddress address) {
         return bootstrap.bind(address);
     }
 
     /**
-     * Ends each connection that stands with the answer to its next request. None is closed between requests: one that
-     * is on its way to it would be ended without an answer.
+     * Closes each open connection with the response to its next request. No connection is closed between requests: a
+     * request that is already on its way would get no answer.
      */
     void close() {
         closing = true;
     }
 
     /**
-     * Lets go of all clients: this process ends. Nothing more is taken, since the process could be gone before the
-     * answer is out: what was read is answered so, and a client hands in again what crosses the end of the sending.
-     * The connections close as their clients do, or a little later.
+     * Closes all client connections because this process is about to exit. No further message is accepted, since the
+     * process could exit before the response is written. Requests already read are answered with 503, and clients
+     * submit again what crosses the half-close. The connections close when their clients close them, or soon after.
      */
     void shut() {
         clients.values().stream().flatMap(Set::stream).toList().forEach(Client::letGo);
     }
 
     /**
-     * Sends the clients away, or takes them back. The front hears of it from {@code /healthz}, for which the
-     * listener stays open; a client by the answer that ends its connection. Only what was idle for long is closed
-     * without one: a request that crosses such a close is sent again, at the price of a connection.
+     * Starts or ends an evacuation of the clients. The front-end proxy learns of it from {@code /healthz}, for
+     * which the listener stays open; a client learns of it from the response that closes its connection. Only
+     * connections that were idle for a while are closed without a response: the client must repeat a request that
+     * crosses such a close, on a new connection.
      */
     void evacuate(boolean clientsAway) {
         away = clientsAway;
     }
 
     /**
-     * Another process takes clients from now on: each connection here ends with its next answer, and none waits for
-     * long.
+     * Another process accepts clients from now on: each connection here is closed with its next response, and idle ones
+     * time out.
      */
     void handOver() {
         leaving = true;
         away = false;
     }
 
-    /** Another process shares the descriptors, or does not any more. */
+    /** Sets the limit on client connections; it is lower while another process shares the descriptors. */
     void bound(int most) {
         bound.set(most);
     }
 
-    /** Connections on which a request has come in part. */
+    /** The number of connections on which a part of a request has arrived. */
     long begun() {
         return clients.values().stream().flatMap(Set::stream).filter(c -> c.begun).count();
     }
 
-    /** Connections that clients have open. */
+    /** The number of open client connections. */
     int clients() {
         return clients.values().stream().mapToInt(Set::size).sum();
     }
 
     /**
-     * The last descriptor is a client's: calls, the agent and the journal have none left. The bound was too high for
-     * what this process holds beside its clients, so it is lower for a while.
+     * Closes idle connections because this process has no free descriptor for calls, the agent and the journal. The
+     * connection limit was too high for what this process has open besides, so it is lowered for a while.
      *
-     * @return whether any client could be sent away without breaking off a request
+     * @return whether any connection could be closed without interrupting a request
      */
     private boolean leaveSpare() {
         long now = System.nanoTime();
         bound.lower(clients(), now);
         List<Client> idle = withoutLaterRequest().limit(ClientConnectionLimit.SPARE).toList();
         idle.forEach(Client::makeRoom);
-        Log.write("no descriptor is left; " + idle.size() + " idle clients are sent away, " + bound.most(now)
-                + " may stay for now");
+        Log.write("out of file descriptors; closing " + idle.size() + " idle client connections and limiting them to "
+                + bound.most(now) + " for now");
         return !idle.isEmpty();
     }
 
-    /** Those that can make room for others, the least in need of their connection first. */
+    /** Connections that may be closed to make room for others, in the order in which to close them. */
     private Stream<Client> withoutLaterRequest() {
         return clients.entrySet().stream().filter(e -> e.getKey() != State.ASKING).flatMap(e -> e.getValue().stream());
     }
 
-    /** Told where a connection can't be accepted. */
+    /** Handles failures to accept a connection. */
     private final class AcceptFailures extends ChannelInboundHandlerAdapter {
         private long pauseMs = FIRST_ACCEPT_PAUSE_MS;
         private long loggedNanos = System.nanoTime() - TimeUnit.MILLISECONDS.toNanos(ACCEPT_LINE_MS);
@@ -288,12 +289,12 @@
             }
         }
 
-        /** Lest the loop spin. Netty itself would stop accepting for a second. */
+        /** Stops accepting for a short time, to avoid a busy loop. Netty's own handler would pause for a second. */
         private void pause(Channel listening) {
             long now = System.nanoTime();
             if (now - loggedNanos >= TimeUnit.MILLISECONDS.toNanos(ACCEPT_LINE_MS)) {
                 loggedNanos = now;
-                Log.write("the machine can't accept a connection just now; it is tried again");
+                Log.write("can't accept client connections at the moment; retrying");
             }
             listening.config().setAutoRead(false);
             loop.schedule(() -> {
@@ -318,43 +319,44 @@
 
     /** Why this process ends a client's connection. */
     enum CloseReason {
-        /** Another client needs its place. */
+        /** Closed to make room for another client. */
         MAKES_ROOM,
-        /** Nothing came on it. */
+        /** The client sent nothing. */
         SILENT,
-        /** A request did not come whole in time. */
+        /** A request was not complete in time. */
         REQUEST_TIMEOUT,
-        /** Nothing was asked on it for long. */
+        /** No request arrived for a while. */
         IDLE,
-        /** Its last request is answered. */
+        /** The response to its last request was written. */
         LAST_ANSWER,
-        /** This process ends. */
+        /** This process is stopping. */
         SHUTDOWN,
-        /** The client did not end it in the time for that. */
+        /** The client did not close it in time after the half-close. */
         LINGERED
     }
 
-    /** What a connection is at, in the order in which they make room for others. */
+    /** State of a connection, in the order in which connections are closed to make room for others. */
     private enum State {
-        /** The last answer is on its way, or there is none; what still comes is thrown away. */
+        /** The last response is being written, or none is due; further input is discarded. */
         ENDING,
-        /** Nothing was asked yet, or only in part. */
+        /** No complete request has arrived yet. */
         SILENT,
-        /** Between requests. */
+        /** Waiting for the next request. */
         IDLE,
-        /** A later request has come in part. */
+        /** A later request has arrived in part, or a request is waiting for its answer. */
         ASKING
     }
 
     /**
-     * Netty's decoder, which tells of first bytes and of what lies behind a whole request. That waits for its answer
-     * before it is decoded, and is not read without end: else a client that sends much at once holds up all others.
+     * Netty's request decoder, extended to report first bytes and to decode one request at a time. Bytes after a
+     * complete request are decoded only once that request is answered, and only a limited number is buffered: otherwise
+     * a client that sends many requests at once would delay all others.
      */
     private static final class Requests extends HttpRequestDecoder {
         private final Client client;
         private final Deque<ByteBuf> backlog = new ArrayDeque<>();
         private int backlogBytes;
-        /** It can't go on without more bytes than it has taken so far. */
+        /** Whether decoding can't continue with the bytes that the decoder has buffered itself. */
         private boolean starved = true;
 
         Requests(Client client) {
@@ -375,7 +377,7 @@
             decodeNext(ctx);
         }
 
-        /** Decodes up to the next whole request, once the one before is answered. */
+        /** Decodes up to the next complete request, unless the one before still waits for its answer. */
         private void decodeNext(ChannelHandlerContext ctx) throws Exception {
             while (client.takesNext() && !(starved && backlog.isEmpty())) {
                 ByteBuf next = starved ? backlog.remove() : Unpooled.EMPTY_BUFFER;
@@ -387,7 +389,7 @@
             client.updateAutoRead();
         }
 
-        /** Goes on behind an answer, but lets all else that has come have its turn first. */
+        /** Resumes decoding after a response, but only after other pending events have been processed. */
         void answered() {
             ChannelHandlerContext ctx = client.channel.pipeline().context(this);
             if (ctx == null || !holdsMore()) {
@@ -408,7 +410,7 @@
             backlog.clear();
         }
 
-        /** Left as it is: {@link Framing} turns such a request away. */
+        /** Leaves such a request unchanged, because {@link Framing} rejects it. */
         @Override
         protected void handleTransferEncodingChunkedWithContentLength(HttpMessage message) {
         }
@@ -419,8 +421,8 @@
     }
 
     /**
-     * Turns away a request whose length can be read in two ways, or in none: what one reader takes for its
-     * body may be another request to the next reader.
+     * Rejects requests whose body length is ambiguous or undefined, to prevent request smuggling: what one server takes
+     * for the body may be another request to the next server.
      */
     private static final class Framing extends ChannelInboundHandlerAdapter {
         @Override
@@ -433,14 +435,14 @@
                         && !request.headers().contains(HttpHeaderNames.CONTENT_LENGTH);
                 if (!plain && request.decoderResult().isSuccess()) {
                     request.setDecoderResult(
-                            DecoderResult.failure(new InvalidInputException("the length is not clear")));
+                            DecoderResult.failure(new InvalidInputException("the body length is ambiguous")));
                 }
             }
             ctx.fireChannelRead(part);
         }
     }
 
-    /** Collects bodies; a longer one is answered 413, and what the client still sends is not read. */
+    /** Collects request bodies; a body over the limit is answered with 413, and the rest of it is not read. */
     private static final class Bodies extends HttpObjectAggregator {
         private final Client client;
 
@@ -455,18 +457,18 @@
         }
     }
 
-    /** One connection of a client. */
+    /** One client connection. */
     private final class Client extends SimpleChannelInboundHandler<FullHttpRequest> {
         private final Channel channel;
         private final Requests requests = new Requests(this);
         private State state = State.SILENT;
-        /** When the state began. */
+        /** When the connection entered its state, by {@link System#nanoTime}. */
         private long since = System.nanoTime();
-        /** A first byte has come of the request that is awaited. */
+        /** Whether the first bytes of the next request have arrived. */
         private boolean begun;
-        /** Whole requests that were read and wait for {@link #take}. */
+        /** Complete requests that wait for {@link #take}. */
         private int unanswered;
-        /** Bytes that came once its end had begun. */
+        /** Bytes that arrived while the connection was being closed. */
         private int discarded;
 
         Client(Channel channel) {
@@ -481,7 +483,10 @@
             }
         }
 
-        /** Gone at once: of a crowd that connects in one turn each must find another to take the place of. */
+        /**
+         * Closes this connection in favour of another. It is removed from the map at once, so that several clients that
+         * connect in one turn of the event loop each replace a different connection.
+         */
         private void makeRoom() {
             closes(CloseReason.MAKES_ROOM);
             clients.get(state).remove(this);
@@ -504,7 +509,7 @@
             since = System.nanoTime();
         }
 
-        /** Bytes have come: the time of a request runs from its first. */
+        /** Bytes have arrived; the timeout of a request starts with its first byte. */
         private void begun() {
             begun = true;
             if (state == State.IDLE) {
@@ -544,12 +549,12 @@
             }
         }
 
-        /** Answers what was not read to its end, or is not taken any more, and ends. */
+        /** Answers a request that is incomplete, malformed or too late to be accepted, and closes the connection. */
         private void last(HttpResponseStatus status, String text) {
             endWith(answer(status, text));
         }
 
-        /** Ends the sending; the client's end, or a little time, closes the connection. */
+        /** Shuts the output down; the connection is closed when the client closes it, or after a timeout. */
         private void halfClose() {
             enter(State.ENDING);
             ((DuplexChannel) channel).shutdownOutput();
@@ -564,11 +569,11 @@
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
             if (state == State.ENDING) {
-                // What lies behind the last request may have been hidden in its body.
+                // What follows the last request may be a part of its body, so it is not taken for a request.
                 return;
             }
             begun = requests.holdsMore();
-            // Not to make room for others before it is answered.
+            // In this state the connection is not closed to make room for others before the answer.
             enter(State.ASKING);
             unanswered++;
             request.retain();
@@ -587,7 +592,7 @@
             return unanswered == 0 && state != State.ENDING;
         }
 
-        /** A client that does not read its answers is not read either, nor one that is far ahead of them. */
+        /** Applies backpressure: stops reading if the client does not read its responses or sends too far ahead. */
         private void updateAutoRead() {
             boolean reads = state == State.ENDING ? discarded < MOST_DISCARDED
                     : channel.isWritable() && requests.backlogBytes <= LONGEST_BODY;
@@ -595,11 +600,11 @@
         }
 
         /**
-         * Answers a request once its connection was read to the end, unless its client has left meanwhile: that
-         * one has given up waiting and hands its message in again, under another id. Guards against a jam that
-         * feeds itself: whatever makes requests stand unread, each would cost all the work of a delivery that
-         * counts for nothing, and come again. It does harm to a client that ends its sending and still waits
-         * for the answer, which HTTP clients don't do.
+         * Answers a request after all input of its connection has been read, unless the client has disconnected in the
+         * meantime. Such a client has stopped waiting and submits its message again under another id. Skipping its
+         * request prevents a congestion collapse: whatever delays the reading of requests, each of them would otherwise
+         * cost a whole delivery that counts for nothing, and be submitted again. The drawback is that a client that
+         * half-closes its connection and still waits for the response gets none, but HTTP clients don't do that.
          */
         private void take(FullHttpRequest request) {
             if (state == State.ENDING || !channel.isActive()) {
@@ -629,7 +634,7 @@
                 return;
             }
             if (desk.handsOn()) {
-                // Not to make room for others before it is answered.
+                // In this state the connection is not closed to make room for others before the answer.
                 enter(State.ASKING);
                 desk.handOn(submission, this::lastOf);
                 return;
@@ -666,7 +671,7 @@
             return endWith(answer);
         }
 
-        /** The other process has answered, unless the client was told before that it took too long. */
+        /** Passes on the answer of the other process, unless the connection has timed out before. */
         private void lastOf(HttpResponseStatus status) {
             if (state != State.ENDING) {
                 endWith(answer(status, ""));
@@ -688,7 +693,7 @@
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
             if (!(cause instanceof IOException || cause instanceof CodecException)) {
-                Log.write("a client's connection is closed: " + cause);
+                Log.write("closing a client connection after an unexpected error: " + cause);
             }
             ctx.close();
         }
--- a/src/main/java/kestreldeal/net/FileDescriptors.java
+++ b/src/main/java/kestreldeal/net/FileDescriptors.java
@@ -6,14 +6,15 @@
 import java.nio.file.StandardOpenOption;
 
 /**
- * Whether this process can still open anything. An accept that fails says only by a text for people whether the process
- * has no descriptor left, or the machine has none for a moment, or something else is wrong.
+ * Checks whether this process can open further file descriptors. The exception of a failed accept does not tell, except
+ * by its message, whether the process has reached its limit, the machine is short of descriptors for a moment, or
+ * something else is wrong.
  */
 interface FileDescriptors {
-    /** Whether there is one left for this process. */
+    /** Whether this process can open at least one more. */
     boolean anyLeft();
 
-    /** Asks the system, by opening what is always there. */
+    /** Checks by opening a file that always exists. */
     static FileDescriptors system() {
         return () -> {
             try (FileChannel opened = FileChannel.open(Path.of("/dev/null"), StandardOpenOption.READ)) {
--- a/src/main/java/kestreldeal/net/Invariants.java
+++ b/src/main/java/kestreldeal/net/Invariants.java
@@ -4,41 +4,40 @@
 import java.util.Map;
 
 /**
- * Rules that hold whatever clients, endpoints, the platform and the machine do. A breach is a fault of this program: it
- * is counted and told, and where it is seen in time the step that would break the rule is not made.
+ * Invariants that must hold whatever clients, endpoints, the platform and the machine do. A breach is a bug in this
+ * program: it is counted and logged, and if it is detected in time the step that would break the invariant is not made.
  */
 final class Invariants {
-    /** Lines in the log for each rule; further breaches are only counted. */
+    /** Maximum number of log lines for each rule; further breaches are only counted. */
     private static final int MOST_LINES = 20;
 
-    /** What must hold. */
     enum Rule {
-        /** A message goes to endpoints of its own destination only. */
+        /** A message is sent only to endpoints of its own destination. */
         OWN_DESTINATION,
-        /** What must not run twice is not tried again once an attempt may have run. */
+        /** A message that must not run twice is not retried once an attempt may have run. */
         SINGLE_EFFECT,
         /** No message has more attempts than the settings allow. */
         ATTEMPT_LIMIT,
-        /** A message ends once. */
+        /** A message has exactly one final result. */
         ONE_END,
-        /** A message that was taken on has ended when its time is up. */
+        /** An accepted message has its final result before its deadline. */
         END_IN_TIME,
-        /** A request that was read is answered before this process closes its connection. */
+        /** A client's request that was read is answered before this process closes its connection. */
         REQUEST_ANSWERED,
-        /** What the journal held at the start is tried again or ended. */
+        /** Each message that the journal had at the start is restored or finished. */
         HELD_TAKEN_UP
     }
 
     private final Map<Rule, Long> breaches = new EnumMap<>(Rule.class);
 
-    /** A rule is broken, or would have been, for the message with this id. */
+    /** Reports that a rule was broken, or would have been, for the message with this id. */
     void breached(Rule rule, String id, String detail) {
         if (breaches.merge(rule, 1L, Long::sum) <= MOST_LINES) {
             Log.write("invariant broken: " + rule + ", message " + id + ": " + detail);
         }
     }
 
-    /** How often a rule was broken in this life. */
+    /** How often a rule was broken since the start of this process. */
     long breaches(Rule rule) {
         return breaches.getOrDefault(rule, 0L);
     }
--- a/src/main/java/kestreldeal/net/Metrics.java
+++ b/src/main/java/kestreldeal/net/Metrics.java
@@ -7,19 +7,19 @@
 import java.util.Map;
 import java.util.function.ToLongFunction;
 
-/** What this process has done since it started, and how it is told to the operators' collector. */
+/** Counters of this process since its start, and their export for the operators' metrics collector. */
 final class Metrics {
-    /** How a message that clients handed in has ended. */
+    /** Final results of messages that clients submitted. */
     enum Completion {
         /** Delivered. */
         COMPLETED,
-        /** Turned away, or handed back by a notice. */
+        /** Rejected on submission, or later by a notice. */
         REJECTED,
-        /** Given up with no promise about its effect. */
+        /** Failed; the message may or may not have taken effect. */
         FAILED
     }
 
-    /** Why a message was refused when it was handed in. */
+    /** Why a message was rejected on submission. */
     enum RejectionReason {
         NOT_READY, NO_ROOM, TOO_LITTLE_TIME, JOURNAL, UNKNOWN_DESTINATION
     }
@@ -40,34 +40,34 @@
         }
     }
 
-    /** A message of this class has ended; a class that is no longer served is not counted. */
+    /** Counts the final result of a message, unless its class is no longer configured. */
     void ended(String messageClass, Completion end) {
         if (classes.contains(messageClass)) {
             ends.get(end).merge(messageClass, 1L, Long::sum);
         }
     }
 
-    /** A message was refused when it was handed in. */
+    /** Counts a message that was rejected on submission. */
     void refused(RejectionReason reason) {
         refusals.merge(reason, 1L, Long::sum);
     }
 
-    /** A call was not written after all. */
+    /** Counts a call that was decided but not written. */
     void heldBack(SendGuard.SuppressionReason reason) {
         heldBack.merge(reason, 1L, Long::sum);
     }
 
-    /** A client's connection was ended by this process. */
+    /** Counts a client connection that this process closed. */
     void closed(ClientServer.CloseReason reason) {
         closes.merge(reason, 1L, Long::sum);
     }
 
-    /** So many messages were written whole to an endpoint. */
+    /** Counts messages that were written completely to an endpoint. */
     void written(int messages) {
         written += messages;
     }
 
-    /** All figures in Prometheus' text form, with what the sender holds, its list and its journal as they are now. */
+    /** All metrics in the Prometheus text format, with the current values of those that are not counted here. */
     String text(int pending, int members, int avoided, long journalFailures, boolean journalBehind,
             Invariants invariants) {
         StringBuilder text = new StringBuilder();
--- a/src/main/java/kestreldeal/net/OperatorServer.java
+++ b/src/main/java/kestreldeal/net/OperatorServer.java
@@ -24,33 +24,34 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The operators' address: each connection carries one line, is answered, and closed. One that brings no whole
- * line is answered in time too, and when there are too many, the oldest that has not asked makes room.
+ * The server for operators' commands. Each connection carries one command line; it is answered and closed. A connection
+ * without a complete line gets an answer after a timeout. When there are too many connections, the oldest one that
+ * has not sent a command is closed.
  */
 final class OperatorServer {
-    /** Connections at most; more descriptors than these are never used here. */
+    /** Maximum number of connections, and so of descriptors used here. */
     static final int MOST = 24;
-    /** From connecting until the line is whole. */
+    /** From connecting until the command line is complete. */
     private static final long CALL_MS = 2000;
-    /** From the answer until the close, if the caller does not read it. */
+    /** From writing the answer until the close, if the operator does not read it. */
     private static final long LINGER_MS = 1000;
     private static final int LONGEST_CALL = 256;
 
-    /** The sender's side of a call. */
+    /** The part of the sender that carries out commands. */
     interface CommandHandler {
         /** Whether this process can serve. */
         boolean serves();
 
-        /** The figures, a line each. */
+        /** All metrics, one per line. */
         String figures();
 
-        /** Sends the clients away, or takes them back; telling it twice does no harm. */
+        /** Starts or ends an evacuation of the clients; repeating it does no harm. */
         void evacuate(boolean away);
     }
 
     private final CommandHandler desk;
     private final ServerBootstrap bootstrap;
-    /** Connections that have not asked yet, the oldest first. */
+    /** Connections that have not sent a command yet, the oldest first. */
     private final Set<Channel> asking = new LinkedHashSet<>();
     private int open;
 
@@ -60,7 +61,7 @@
                 .channel(NioServerSocketChannel.class)
                 .option(ChannelOption.SO_BACKLOG, 128)
                 .option(ChannelOption.SO_REUSEADDR, true)
-                // A caller may end its sending with the line and still wait for the answer.
+                // An operator's tool may shut its output down after the line and still wait for the answer.
                 .childOption(ChannelOption.ALLOW_HALF_CLOSURE, true)
                 .childOption(ChannelOption.TCP_NODELAY, true)
                 .childHandler(new ChannelInitializer<Channel>() {
@@ -72,7 +73,6 @@
                 });
     }
 
-    /** Begins to listen. */
     ChannelFuture listen(InetSocketAddress address) {
         return bootstrap.bind(address);
     }
@@ -93,7 +93,6 @@
         };
     }
 
-    /** One connection. */
     private final class Caller extends SimpleChannelInboundHandler<String> {
         private Future<?> timer;
         private boolean answered;
@@ -125,7 +124,7 @@
                     .addListener(ChannelFutureListener.CLOSE);
         }
 
-        /** Nothing more will come; what came whole was read before. */
+        /** The input has ended; a complete line would have been read before. */
         @Override
         public void userEventTriggered(ChannelHandlerContext ctx, Object event) {
             if (event == ChannelInputShutdownEvent.INSTANCE) {
@@ -147,7 +146,7 @@
                 return;
             }
             if (!(cause instanceof IOException)) {
-                Log.write("an operator's connection is closed: " + cause);
+                Log.write("closing an operator connection after an unexpected error: " + cause);
             }
             ctx.close();
         }
--- a/src/main/java/kestreldeal/net/RetryingListener.java
+++ b/src/main/java/kestreldeal/net/RetryingListener.java
@@ -9,12 +9,13 @@
 import java.util.function.Supplier;
 
 /**
- * Listens at an address, and tries again for as long as that fails: the address may still be another process's, and the
- * machine may have no socket for a moment. Neither ends a sender. All calls are the loop's, but for {@link #bound}.
+ * Listens at an address, retrying until the bind succeeds: another process may still use the address, and the machine
+ * may be short of sockets for a moment. Neither must end a sender. All methods except {@link #bound} must be called on
+ * the event loop.
  */
 final class RetryingListener {
     private static final long AGAIN_MS = 50;
-    /** Attempts from one line in the log to the next. */
+    /** Only the first of this many failed attempts is logged. */
     private static final int ATTEMPTS_A_LINE = 100;
 
     private final EventLoop loop;
@@ -25,27 +26,27 @@
     private int attempts;
     private boolean closed;
 
-    /** One that listens in this way; the log names for whom. */
+    /** Creates a listener that binds by {@code bind}; log lines say for whom it listens. */
     RetryingListener(EventLoop loop, String forWhom, Supplier<ChannelFuture> bind) {
         this.loop = loop;
         this.forWhom = forWhom;
         this.bind = bind;
     }
 
-    /** Begins to listen, now or as soon as that is possible. */
+    /** Starts to listen, at once or as soon as the address can be bound. */
     void start() {
         if (closed) {
             return;
         }
         ChannelFuture binding = bind.get();
-        // Without a channel there is no loop of its own, and the future is told on another thread.
+        // If no channel could be created, the listener of the future runs on a thread other than the event loop.
         binding.addListener(f -> loop.execute(() -> tried(binding)));
     }
 
     private void tried(ChannelFuture binding) {
         if (!binding.isSuccess()) {
             if (attempts++ % ATTEMPTS_A_LINE == 0) {
-                Log.write("can't listen for " + forWhom + ": " + binding.cause().getMessage());
+                Log.write("can't listen for " + forWhom + " yet, retrying: " + binding.cause().getMessage());
             }
             loop.schedule(this::start, AGAIN_MS, TimeUnit.MILLISECONDS);
         } else if (closed) {
@@ -56,12 +57,12 @@
         }
     }
 
-    /** Where it listens, once it does. */
+    /** Completes with the bound address. */
     CompletableFuture<InetSocketAddress> bound() {
         return bound;
     }
 
-    /** Listens no more. */
+    /** Stops listening. */
     void close() {
         closed = true;
         if (channel != null) {
--- a/src/main/java/kestreldeal/net/Sender.java
+++ b/src/main/java/kestreldeal/net/Sender.java
@@ -23,41 +23,50 @@
 import kestreldeal.Relay;
 
 /**
- * One real sender: the event loop, the clock, and the names that the module knows by numbers. The loop's
- * thread alone touches the module and all that hangs on it, so nothing here is locked. It decides nothing.
+ * One sender process. It connects the decision module ({@link Relay}) to the network, the journal and the clock:
+ * it passes events to the module and carries out the actions that the module asks for, but decides nothing itself.
+ * The decision module knows messages and endpoints by number; this class maps the numbers to their ids. All state
+ * is confined to the thread of the event loop, so nothing here is locked.
  */
 public final class Sender implements Relay.Actions {
-    /** Descriptors that are neither clients nor calls: the machine's own (30 are seen), the journal, agents, operators. */
+    /** Descriptors for the JVM itself (about 30), the journal, the agent and the operators' connections. */
     private static final int OTHER_SOCKETS = 48 + OperatorServer.MOST;
-    /** Share of the rest for clients, who may hold a third of all for requests; the others are for calls. */
+    /**
+     * Share of the remaining descriptors for client connections; the others are for calls to endpoints. Clients may
+     * use a third of all descriptors for requests.
+     */
     private static final double CLIENT_SHARE = 0.5;
-    /** From SIGTERM: new connections come for so long at most. */
+    /** How long after SIGTERM new client connections are accepted; they may still arrive for this long. */
     static final long TAKING_MS = 450;
-    /** From SIGTERM: calls out may last till here; SIGKILL may come at 3.7 s. */
+    /** How long after SIGTERM calls in flight may take; SIGKILL may come after 3.7 s. */
     static final long CLOSING_MS = 3300;
     private static final long DRAIN_POLL_MS = 20;
-    /** After that, so long for clients to see that their connections end, and to close them. */
+    /** How long after that clients have to notice the end of their connections and to close them. */
     private static final long PARTING_MS = 200;
-    /** Between looks for messages that have no end though their time is up, and so long after it they are told. */
+    /**
+     * Interval between checks for messages past their deadline, and the grace period after the deadline before one is
+     * reported.
+     */
     private static final long OVERDUE_LOOK_MS = 1000;
     private static final double OVERDUE_AFTER_MS = 1000;
-    /** An endpoint that has left the list is forgotten after so long: no call lasts till then. */
+    /** How long an endpoint is remembered after its removal from the list; no call lasts longer. */
     private static final long GONE_MS = 60_000;
 
-    /** Share of the heap for endpoints that are listed; the rest is for messages, buffers and the journal's reading. */
+    /** Share of the heap for listed endpoints; the rest is for messages, buffers and reading the journal. */
     private static final double LIST_SHARE = 0.6;
     /**
-     * What one costs in all parts, with a destination of 1.6 endpoints, in bytes: 1,157 between 1,000 and 20,000 listed,
-     * 1,131 between 1,000 and 25,000, live after a full collection of the real sender.
+     * Heap that one listed endpoint takes in all parts of the sender, at 1.6 endpoints per destination. Live bytes
+     * per endpoint after a full garbage collection: 1,157 between 1,000 and 20,000 listed endpoints, 1,131 between
+     * 1,000 and 25,000.
      */
     private static final int ENDPOINT_BYTES = 1160;
-    /** Endpoints that are known at once; beyond that the process would end with the heap. */
+    /** Limit on the endpoints that are known at once; more could exhaust the heap. */
     private static final int MOST_ENDPOINTS =
             (int) Math.min(Integer.MAX_VALUE, Runtime.getRuntime().maxMemory() * LIST_SHARE / ENDPOINT_BYTES);
 
     private final MachineClock machine;
     private final Config config;
-    /** Whether another process may link to this one to take over from it. */
+    /** Whether another process may connect to this one to take over from it. */
     private final boolean links;
     private final long takingMs;
     private final long closingMs;
@@ -66,10 +75,11 @@
     private final CountDownLatch stopped = new CountDownLatch(1);
     private final long startNanos = System.nanoTime();
     private final EndpointRegistry directory = new EndpointRegistry(MOST_ENDPOINTS);
-    /** What is held and not over, by the module's number, and by the client's id. */
+    /** Accepted messages that are not finished, by the number that the decision module uses. */
     private final Map<Long, AcceptedMessage> open = new HashMap<>();
+    /** The same messages by the id that the client gave them. */
     private final Map<String, AcceptedMessage> byId = new HashMap<>();
-    /** Attempts that are out, by message and attempt. */
+    /** Calls of the attempts in flight. */
     private final Map<AttemptId, EndpointClient.Call> calls = new HashMap<>();
     private final Relay relay;
     private Journal journal;
@@ -84,23 +94,24 @@
     private final SendGuard guard;
     private Trace trace = Trace.OFF;
     private RetryingListener clientListener;
-    /** Where operators connect, if anywhere. */
+    /** Empty if the configuration has no address for operators. */
     private Optional<RetryingListener> operatorListener = Optional.empty();
     private boolean turnOpen;
     private double clock;
     private boolean closing;
     private int mostClients;
-    /** A list is known and the journal is replayed. */
+    /** Whether an endpoint list is known and the journal has been replayed. */
     private boolean ready;
+    /** Whether an endpoint list has been read, from the configuration or from the agent. */
     private boolean listed;
-    /** The agent was asked for the list, and has answered, or not in time. */
+    /** Whether the agent has been asked for the list and has either answered or timed out. */
     private boolean asked;
     private ProcessHandover succession;
-    /** What the process before told of itself, until the journal is replayed. */
+    /** State received from the previous process; kept until the journal is replayed. */
     private Optional<ProcessHandover.HandoverState> legacy = Optional.empty();
-    /** Attempts that the process before made and waits for. */
+    /** Attempts that the previous process made and still awaits. */
     private final Map<AttemptId, AcceptedMessage> elsewhere = new HashMap<>();
-    /** Another process has taken over: nothing is decided here any more. */
+    /** Whether another process has taken over; from then on this one decides nothing. */
     private boolean handedOver;
     private final SubmissionService clients = new SubmissionService();
 
@@ -111,7 +122,7 @@
         this(config, links, takingMs, closingMs, MachineClock.system());
     }
 
-    /** The same with clocks of its own; their monotonic one is that of {@link System#nanoTime}. */
+    /** Creates a sender with other clocks; the monotonic one must agree with {@link System#nanoTime}. */
     Sender(Config config, boolean links, long takingMs, long closingMs, MachineClock machine) {
         this.machine = machine;
         this.config = config;
@@ -124,8 +135,8 @@
     }
 
     /**
-     * Runs a sender until it is told to end; returns the exit code. Without links no other process can take over
-     * while this one runs.
+     * Runs a sender until a signal stops it; returns the exit code of the process. With {@code links} false no other
+     * process can take over while this one runs.
      */
     public static int serve(Map<String, String> env, boolean links) {
         try {
@@ -137,40 +148,43 @@
             sender.stopped.await();
             return 0;
         } catch (InvalidInputException | IOException e) {
-            Log.write("can't start: " + e.getMessage());
+            Log.write("the sender can't start: " + e.getMessage());
             return 1;
         } catch (InterruptedException e) {
             return 1;
         }
     }
 
-    /** Begins to serve, or to follow the process that does; what can't be had at once is waited for by itself. */
+    /**
+     * Starts to lead, or to follow the process that leads. Does not wait for resources that are not available yet: each
+     * is retried in the background.
+     */
     private void launch() {
         loop.submit(this::open).syncUninterruptibly();
     }
 
     /**
-     * The same, and waits until clients can connect if this process leads; returns the address, as configured where
-     * they can't yet.
+     * Starts as {@link #launch} does. If this process leads, waits until clients can connect and returns the address
+     * bound; otherwise returns the configured address.
      */
     InetSocketAddress start() {
         launch();
         return journal == null ? config.listen() : clientListener.bound().join();
     }
 
-    /** Where operators connect, once they can. */
+    /** Waits until operators can connect, and returns the address. */
     InetSocketAddress operators() {
         return operatorListener.orElseThrow().bound().join();
     }
 
     private void open() {
         if (closing) {
-            // It was told to end before it had begun.
+            // SIGTERM came before the start.
             return;
         }
         int sockets = Math.max(config.sockets() - OTHER_SOCKETS, 64);
         mostClients = (int) (sockets * CLIENT_SHARE);
-        // Twice the slots: the connection of a call that was given up lingers while its slot is in use again.
+        // Twice the slots: the connection of an abandoned call lingers while its slot is already in use again.
         int mostIdle = Math.max(1, sockets - mostClients - 2 * config.settings().slots());
         endpoints = new EndpointClient(loop, config.dialMs(), config.settings().keepAliveMs(), mostIdle,
                 new CallResults(), NioSocketChannel::new, machine);
@@ -193,20 +207,21 @@
         loop.scheduleWithFixedDelay(this::lookForOverdue, OVERDUE_LOOK_MS, OVERDUE_LOOK_MS, TimeUnit.MILLISECONDS);
     }
 
-    /** What was taken on ends before its time is up; one that has not by now would never be answered in time. */
+    /** Reports each message without a final result past its deadline: every accepted message must finish in time. */
     private void lookForOverdue() {
         for (AcceptedMessage held : open.values()) {
             if (held.told && !held.overdue && held.leftMs(machine) < -OVERDUE_AFTER_MS) {
                 held.overdue = true;
-                invariants.breached(Invariants.Rule.END_IN_TIME, held.id, held.attempts.size() + " attempts, "
-                        + (long) -held.leftMs(machine) + " ms late");
+                invariants.breached(Invariants.Rule.END_IN_TIME, held.id, held.attempts.size()
+                        + " attempts, no final result " + (long) -held.leftMs(machine) + " ms after the deadline");
             }
         }
     }
 
     /**
-     * Takes up what is held, once this process leads and has a list: the agent's if it answers, as what that has
-     * counts as told from the first moment of a process, and the configuration's may be old.
+     * Restores the messages of the journal as soon as this process leads and has an endpoint list. The agent's list is
+     * preferred if the agent answers: a process must respect the agent's current list from its start, and the list in
+     * the configuration may be outdated.
      */
     private void begin() {
         if (ready || journal == null || !listed || !asked) {
@@ -217,21 +232,21 @@
     }
 
     /**
-     * Reads the configuration again, on the caller's thread, since a file may be slow. Only discovery's
-     * address is taken over: all else holds for the life of a process. A file that can't be read, or names no
-     * address, leaves the old one standing.
+     * Reads the configuration again, on the caller's thread because reading a file may block. Only the address of
+     * discovery changes; all other settings stay as they were when the process started. If the file can't be read or
+     * has no address, the current address stays in use.
      */
     void reload(Map<String, String> env) {
         try {
             InetSocketAddress address = Config.read(env).discovery();
             loop.execute(() -> moveTo(address));
         } catch (InvalidInputException | IOException e) {
-            Log.write("the configuration can't be read again, the old one stands: " + e.getMessage());
+            Log.write("can't reload the configuration; keeping the current one: " + e.getMessage());
         }
     }
 
     private void moveTo(InetSocketAddress address) {
-        Log.write("configuration read again; discovery is at " + EndpointClient.hostPort(address));
+        Log.write("configuration reloaded; the discovery address is " + EndpointClient.hostPort(address));
         if (!address.equals(agentAddress)) {
             agentAddress = address;
             discovery.moveTo(new AgentClient(loop, address));
@@ -240,8 +255,9 @@
     }
 
     /**
-     * What an earlier life held goes back to the module, with what it did; notices owed go out again. Not
-     * before a list is known: without one the module could only give all of it up.
+     * Restores the state of the previous process: passes its unfinished messages with their attempts to the decision
+     * module, and sends its pending notices again. This must wait for an endpoint list, without which the module could
+     * only fail all of these messages.
      */
     private void replay() {
         int resumed = 0;
@@ -265,7 +281,7 @@
                 continue;
             }
             if (messageClass < 0) {
-                Log.write("class " + held.messageClass + " is gone; its message is given up");
+                Log.write("message class " + held.messageClass + " is no longer configured; a restored message fails");
                 end(held, new AcceptedMessage.Notice(false, 0));
                 continue;
             }
@@ -287,8 +303,8 @@
             relay.messageRestored(now, message(held, messageClass, held.leftMs(machine)), earlier);
         }
         all.stream().filter(held -> !held.over && !open.containsKey(held.number)).forEach(held ->
-                invariants.breached(Invariants.Rule.HELD_TAKEN_UP, held.id, "it is not tried again"));
-        Log.write(config.name() + " is ready, with " + resumed + " messages from its journal");
+                invariants.breached(Invariants.Rule.HELD_TAKEN_UP, held.id, "not restored from the journal"));
+        Log.write(config.name() + " is ready; restored " + resumed + " messages from its journal");
     }
 
     private void recall(ProcessHandover.HandoverState told) {
@@ -309,7 +325,10 @@
 
     // ---- the clock and turns ----
 
-    /** The module's time: one for all events of a turn, which ends when the loop has nothing more at hand. */
+    /**
+     * The time to pass to the decision module. All events of a turn share one time; the turn opens with its first event
+     * and ends when the event loop has run the tasks that were queued before.
+     */
     private double openTurn() {
         if (!turnOpen) {
             turnOpen = true;
@@ -319,7 +338,7 @@
         return clock;
     }
 
-    /** Milliseconds since the start. */
+    /** Milliseconds since the start of this process. */
     private double now() {
         return (System.nanoTime() - startNanos) / 1e6;
     }
@@ -329,7 +348,7 @@
         turnOpen = false;
     }
 
-    /** A fault in one message's handling must not take the others down with the process. */
+    /** Logs an internal error. An error in handling one message must not end the process and with it all others. */
     private static void fault(RuntimeException e) {
         Log.write("fault in the module: " + e + " at " + List.of(e.getStackTrace()).stream().limit(5).toList());
     }
@@ -345,7 +364,7 @@
         }
     }
 
-    // ---- what the module asks ----
+    // ---- actions that the decision module asks for ----
 
     @Override
     public void send(long message, long endpoint, double timeoutMs) {
@@ -353,7 +372,7 @@
         int number = held.attempts.size();
         Optional<Invariants.Rule> breach = guard.breach(held, directory.destination(endpoint).orElse(-1));
         if (breach.isPresent()) {
-            invariants.breached(breach.get(), held.id, "an attempt at " + directory.id(endpoint) + " is not made");
+            invariants.breached(breach.get(), held.id, "an attempt at " + directory.id(endpoint) + " was prevented");
             held.attempts.add(AcceptedMessage.Attempt.neverMade(directory.id(endpoint), machine));
             loop.execute(() -> attemptEnded(held, number, Relay.Outcome.NOT_SENT, false, 0, Relay.LoadReport.NONE, 0));
             return;
@@ -362,7 +381,7 @@
         try {
             journal.attempt(held, attempt);
         } catch (IOException e) {
-            // Unrecorded it could run twice: it is not made.
+            // Without a record in the journal the message could run twice after a restart, so the attempt is not made.
             loop.execute(() -> attemptEnded(held, number, Relay.Outcome.NOT_SENT, false, 0, Relay.LoadReport.NONE, 0));
             return;
         }
@@ -423,7 +442,7 @@
 
     private void end(AcceptedMessage held, AcceptedMessage.Notice notice) {
         if (held.over) {
-            invariants.breached(Invariants.Rule.ONE_END, held.id, "it ends once more, by " + notice);
+            invariants.breached(Invariants.Rule.ONE_END, held.id, "a second final result: " + notice);
             return;
         }
         trace.step(notice.bounced() ? "refused" : "failed", held.id, held.attempts.size());
@@ -432,9 +451,9 @@
         notices.owe(held);
     }
 
-    // ---- what the module is told ----
+    // ---- events for the decision module ----
 
-    /** The endpoints' side. */
+    /** Passes results of calls to the decision module, or to the next process after a handover. */
     private final class CallResults implements EndpointClient.CallListener {
         @Override
         public void ended(EndpointClient.Call call, Relay.Outcome outcome, boolean gone, double waitMs,
@@ -464,10 +483,10 @@
         }
 
         /**
-         * The module keeps told waits, drains and the windows of keyed messages by the time at which it decides.
-         * Where the CPU is scarce, as after a start, or a connect takes long, that may have changed at the write.
-         * After a handover what is not written is the other process's to send. Where calls can't be called off, that
-         * of a message that is over comes here too.
+         * The decision module respects Retry-After waits, draining endpoints and the deduplication windows of keyed
+         * messages as of the time of its decision. They may change before the call is written if CPU time is scarce, as
+         * after a start, or if connecting takes long. After a handover, calls that are not yet written are for the next
+         * process to make. If calls can't be cancelled, the call of a finished message gets here as well.
          */
         @Override
         public boolean mayStillGo(EndpointClient.Call call) {
@@ -481,7 +500,7 @@
         }
     }
 
-    /** A wait runs from when it is told; the turn may have been open for long. */
+    /** The wait counts from now, but the turn's time may be older, so the difference is added. */
     private void waitTold(long endpoint, double waitMs) {
         event(() -> relay.retryAfterReceived(openTurn(), endpoint, waitMs + now() - clock));
     }
@@ -520,7 +539,7 @@
         }
     }
 
-    /** Discovery's side. */
+    /** Applies the endpoint lists that discovery reads. */
     private final class EndpointListUpdates implements Discovery.UpdateListener {
         @Override
         public void begins() {
@@ -539,8 +558,8 @@
             }
             forgetGone();
             if (directory.passedOver() > 0) {
-                Log.write("the list names " + directory.passedOver() + " endpoints beyond the " + MOST_ENDPOINTS
-                        + " that the heap has room for; they get nothing");
+                Log.write("the endpoint list is too long: ignoring " + directory.passedOver()
+                        + " endpoints beyond the " + MOST_ENDPOINTS + " that fit into the heap");
             }
             listed = true;
             begin();
@@ -553,7 +572,10 @@
         }
     }
 
-    /** Entries bind as they are read; the module is told of them as of changes, since a list may come in portions. */
+    /**
+     * Applies entries as soon as they are read. They are passed to the decision module as changes rather than as a full
+     * list, since a list may arrive in portions.
+     */
     private void named(List<Discovery.Entry> entries) {
         List<Relay.Endpoint> list = new ArrayList<>(entries.size());
         long now = System.nanoTime();
@@ -579,7 +601,10 @@
         event(() -> relay.endpointsChanged(openTurn(), false, list));
     }
 
-    /** A whole list has ended. Those that it did not name get the rate that they or their destination had. */
+    /**
+     * Removes the endpoints that a full list did not name, once it has been read. Each is reported with the rate that
+     * the list gave last for an endpoint of its destination.
+     */
     private void leave() {
         List<Relay.Endpoint> left = directory.leave(System.nanoTime()).stream().map(Sender::goneEndpoint).toList();
         event(() -> relay.endpointsChanged(openTurn(), false, left));
@@ -589,7 +614,7 @@
         return new Relay.Endpoint(gone.number(), gone.destination(), 0, 0, false, gone.rate(), true);
     }
 
-    /** Later than the module does, lest it name one that is no longer known here. */
+    /** Forgets removed endpoints, later than the decision module does, which must not name one unknown here. */
     private void forgetGone() {
         for (EndpointRegistry.RegisteredEndpoint gone
                 : directory.forget(System.nanoTime(), TimeUnit.MILLISECONDS.toNanos(GONE_MS))) {
@@ -604,7 +629,7 @@
         return directory.number(id, System.nanoTime());
     }
 
-    /** The clients' side. */
+    /** Accepts or rejects what clients submit. */
     private final class SubmissionService implements ClientServer.SubmissionHandler {
         @Override
         public boolean ready() {
@@ -653,7 +678,7 @@
 
         @Override
         public void leavesUnanswered(ClientServer.CloseReason reason) {
-            invariants.breached(Invariants.Rule.REQUEST_ANSWERED, "-", "a request is left by " + reason);
+            invariants.breached(Invariants.Rule.REQUEST_ANSWERED, "-", "a request got no answer; closed by " + reason);
         }
 
         @Override
@@ -661,7 +686,7 @@
             figures.ended(messageClass, Metrics.Completion.REJECTED);
         }
 
-        /** What was ended by a notice is not taken on again under its id, nor is it owed anything more. */
+        /** A message that ended with a notice is not accepted again under its id, and needs no further notice. */
         @Override
         public Optional<HttpResponseStatus> answeredBefore(String id) {
             if (byId.containsKey(id)) {
@@ -679,7 +704,7 @@
             double mostMs = config.settings().classes().get(config.classes().indexOf(s.messageClass()))
                     .deadlineMs();
             if (s.budgetMs() < AcceptedMessage.unreadMs(mostMs)) {
-                // Its time may be up already: then no end could come in time, where a refusal does no harm.
+                // The deadline may have passed already, and a result would be too late; a rejection does no harm.
                 return refuse(s, Metrics.RejectionReason.TOO_LITTLE_TIME);
             }
             AcceptedMessage held = AcceptedMessage.taken(journal.nextNumber(), s, mostMs, machine);
@@ -710,7 +735,7 @@
             held.told = heard;
             trace.step(heard ? "answered" : "unheard", held.id);
             if (!heard) {
-                // A client that never heard of its being taken is owed nothing, and will come again.
+                // The client did not get the answer: it submits the message again, and this one needs no result.
                 over(held);
                 Sender.this.heard(held);
                 return;
@@ -720,7 +745,7 @@
         }
     }
 
-    /** The operators' side. */
+    /** Carries out the operators' commands. */
     private final class OperatorCommands implements OperatorServer.CommandHandler {
         @Override
         public boolean serves() {
@@ -737,12 +762,12 @@
 
         @Override
         public void evacuate(boolean away) {
-            Log.write(away ? "operators send the clients away" : "operators take the clients back");
+            Log.write(away ? "operator command: evacuating clients" : "operator command: accepting clients again");
             intake.evacuate(away);
         }
     }
 
-    /** The side of the processes before and after this one. */
+    /** Reacts to the process before and the process after this one. */
     private final class HandoverEvents implements ProcessHandover.Callbacks {
         @Override
         public void lead(Optional<ProcessHandover.HandoverState> told) throws IOException {
@@ -769,11 +794,11 @@
 
         @Override
         public void relieved() {
-            // Not at once: the connections that have come are taken first.
+            // Deferred, so that connections already waiting are accepted first.
             loop.execute(clientListener::close);
         }
 
-        /** Its client hears the answer from the other process, but it is taken on here. */
+        /** Accepts a message that a client submitted to the previous process, which passes on the answer. */
         @Override
         public HttpResponseStatus handedIn(ClientServer.Submission s) {
             Optional<HttpResponseStatus> before = clients.answeredBefore(s.id());
@@ -805,10 +830,10 @@
             cancel(message, attempt);
         }
 
-        /** What it had out may have run; its journal has been this process's for long. */
+        /** The attempts that the previous process had in flight may have run; its journal was taken over before. */
         @Override
         public void left() {
-            Log.write("the process before has left, with " + elsewhere.size() + " attempts out");
+            Log.write("the previous process has exited; " + elsewhere.size() + " attempts were in flight");
             Map<AttemptId, AcceptedMessage> lost = new HashMap<>(elsewhere);
             elsewhere.clear();
             lost.forEach((out, held) -> attemptEnded(held, out.attempt(), Relay.Outcome.BROKEN, false, 0,
@@ -818,8 +843,8 @@
     }
 
     /**
-     * Hands all that is held to the process that follows. It decides from here on; this one still waits for the
-     * calls that are out, and for requests on the connections that clients have here.
+     * Hands all messages over to the process that follows, which makes the decisions from here on. This process still
+     * awaits the results of its calls in flight, and forwards the requests on its remaining client connections.
      */
     private void handOver() {
         ProcessHandover.HandoverState told = new HandoverEvents().legacy();
@@ -830,17 +855,18 @@
         succession.handOver(told);
         intake.handOver();
         endpoints.closeIdle();
-        Log.write(config.name() + " has handed over " + open.size() + " messages, " + told.out().size()
-                + " attempts out");
+        Log.write(config.name() + " has handed over " + open.size() + " messages to the next process, with "
+                + told.out().size() + " attempts in flight");
         open.clear();
         byId.clear();
     }
 
-    // ---- the end ----
+    // ---- shutdown ----
 
     /**
-     * Ends in order, within the time before SIGKILL: takes messages while new connections still come, starts
-     * no call that can't end in time, and lets calls and notices out finish. The journal holds the rest.
+     * Shuts down gracefully within the time before SIGKILL: accepts messages while new connections may still arrive,
+     * starts no call that can't finish in time, and waits for calls and notices in flight. The journal keeps the rest.
+     * If another process follows, everything is handed over to it instead.
      */
     void drain() {
         long begun = System.nanoTime();
@@ -852,7 +878,7 @@
             }
             closing = true;
             if (journal == null) {
-                // It only followed: nothing is held here.
+                // This process never led, so it has no messages.
                 stopped.countDown();
                 return;
             }
@@ -874,8 +900,8 @@
         boolean idle = open.isEmpty() && notices.owed() == 0 && intake.clients() == 0
                 && (!handedOver || calls.isEmpty());
         if (idle || System.nanoTime() - begun >= TimeUnit.MILLISECONDS.toNanos(closingMs)) {
-            Log.write(config.name() + " ends; " + (handedOver ? calls.size() + " attempts are out"
-                    : "its journal holds " + open.size() + " messages and " + notices.owed() + " notices"));
+            Log.write(config.name() + " is stopping; " + (handedOver ? calls.size() + " attempts are in flight"
+                    : "its journal keeps " + open.size() + " messages and " + notices.owed() + " notices"));
             intake.shut();
             awaitClientsGone(System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(PARTING_MS));
             return;
@@ -891,7 +917,7 @@
         }
     }
 
-    /** Lets go of everything at once, as the end of the process would: the journal first. */
+    /** Releases everything at once, as if the process were killed; for tests. */
     void kill() {
         loop.submit(() -> {
             succession.close();
--- a/src/main/java/kestreldeal/net/Trace.java
+++ b/src/main/java/kestreldeal/net/Trace.java
@@ -10,11 +10,12 @@
 import java.util.Optional;
 
 /**
- * What happens to each message, a line for each step: the monotonic clock in milliseconds, the step, the message's id and
- * what belongs to it. For following one message by its id; it is off unless the environment names a file.
+ * Trace of what happens to each message, for following one message by its id. Each step is a line with the monotonic
+ * clock in milliseconds, the step, the message's id and details of the step. Tracing is off unless the environment
+ * names a file.
  */
 final class Trace {
-    /** The variable of the environment that names the file; lives of a sender add to it. */
+    /** The environment variable that names the file; further runs of a sender append to it. */
     static final String FILE = "GW_TRACE";
     static final Trace OFF = new Trace(Optional.empty());
 
@@ -24,7 +25,7 @@
         this.out = out;
     }
 
-    /** As the environment has it. */
+    /** The trace that the environment asks for, which may be {@link #OFF}. */
     static Trace of(Map<String, String> env) throws IOException {
         if (!env.containsKey(FILE)) {
             return OFF;
@@ -33,7 +34,7 @@
                 StandardCharsets.UTF_8, StandardOpenOption.CREATE, StandardOpenOption.APPEND), true)));
     }
 
-    /** A step of the message with this id. */
+    /** Writes a step of the message with this id. */
     void step(String step, String id, Object... details) {
         out.ifPresent(writer -> {
             StringBuilder line = new StringBuilder().append(System.nanoTime() / 1_000_000).append(' ').append(step)
--- a/src/test/java/kestreldeal/net/AcceptFailureTest.java
+++ b/src/test/java/kestreldeal/net/AcceptFailureTest.java
@@ -19,11 +19,11 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Accepts that fail for a moment because of the machine, while this process has descriptors enough. */
+/** Tests accepts that fail because the machine or this process has no file descriptor left. */
 class AcceptFailureTest {
     private static final int MOST = 100;
     private static final int BEFORE = 10;
-    /** More than the clients that stay at least where descriptors lack. */
+    /** More clients than the minimum that the connection limit falls to when descriptors run out. */
     private static final int BEHIND = 40;
     private static final int FAILURES = 3;
     private static final String HEALTH = "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n";
@@ -34,7 +34,7 @@
     private volatile boolean descriptorsLeft = true;
     private InetSocketAddress address;
 
-    /** One whose next accepts fail as they do where the whole machine has no file left. */
+    /** A listening channel whose next accepts fail as if the whole machine had no file descriptor left. */
     private final class FailingListener extends NioServerSocketChannel {
         @Override
         protected int doReadMessages(List<Object> accepted) throws Exception {
@@ -86,7 +86,7 @@
         }
     }
 
-    /** Those that rest leave their descriptors to calls, the agent and the journal. */
+    /** Idle clients are disconnected to free descriptors for calls, the agent and the journal. */
     @Test
     void whereThisProcessHasNoneLeftTheIdleOnesMakeRoom() throws Exception {
         connect(BEFORE);
@@ -95,7 +95,7 @@
         clients.add(new Socket(address.getAddress(), address.getPort()));
         assertServed(clients.get(BEFORE));
         for (Socket idle : clients.subList(0, BEFORE)) {
-            assertEquals(-1, idle.getInputStream().read(), "it was sent away");
+            assertEquals(-1, idle.getInputStream().read(), "the idle client is disconnected");
         }
     }
 }
--- a/src/test/java/kestreldeal/net/AcceptingSubmissionHandler.java
+++ b/src/test/java/kestreldeal/net/AcceptingSubmissionHandler.java
@@ -3,7 +3,7 @@
 import io.netty.handler.codec.http.HttpResponseStatus;
 import java.util.Optional;
 
-/** A desk that is ready and knows nothing. */
+/** A handler that is ready but knows no class, tenant or destination and accepts no message. */
 class AcceptingSubmissionHandler implements ClientServer.SubmissionHandler {
     @Override
     public boolean ready() {
--- a/src/test/java/kestreldeal/net/ClientServerTest.java
+++ b/src/test/java/kestreldeal/net/ClientServerTest.java
@@ -19,16 +19,16 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** The bound on clients' connections, apart from the sender. */
+/** Tests the client server without a sender: connection limit, fairness between clients, and shutdown. */
 class ClientServerTest {
     private static final int MOST = 10;
 
-    /** A desk that knows all, has room for nothing, and notes what it was asked to take. */
+    /** Knows every class and destination, rejects every submission, and records the ids submitted. */
     private static final class NotingDesk extends AcceptingSubmissionHandler {
         private final List<String> asked = new CopyOnWriteArrayList<>();
-        /** Run as it is asked whether it is ready. */
+        /** Runs when the server asks whether the sender is ready. */
         private volatile Runnable asking = () -> { };
-        /** Run as it is asked to take a message. */
+        /** Runs when a message is submitted. */
         private volatile Runnable taking = () -> { };
 
         @Override
@@ -65,7 +65,7 @@
                 + "X-Envelope: dest=7\r\nContent-Length: 2\r\n\r\nhi");
     }
 
-    /** Found on a reload day: short of CPU, most requests that were read had no client any more. */
+    /** When CPU time is scarce, the clients of most requests have disconnected before their request is read. */
     @Test
     void aClientThatLeftBeforeItsRequestWasReadIsNotTakenOn() throws Exception {
         EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
@@ -101,7 +101,7 @@
                 .syncUninterruptibly().channel().localAddress();
     }
 
-    /** Holds the loop; it is held when this returns. */
+    /** Blocks the event loop until the latch opens; the loop is blocked when this returns. */
     private static void keepBusy(EventLoop loop, CountDownLatch until) throws Exception {
         CountDownLatch held = new CountDownLatch(1);
         loop.execute(() -> {
@@ -111,7 +111,7 @@
         held.await();
     }
 
-    /** Found in incident r0b62c9: hundreds that connected in one turn all made room by the same one. */
+    /** Incident r0b62c9: hundreds of clients that connected in one turn all replaced the same connection. */
     @Test
     void aCrowdThatConnectsAtOnceStaysWithinTheBound() throws Exception {
         EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
@@ -139,7 +139,7 @@
         }
     }
 
-    /** Its request has been read in part: a close would end it with no answer. */
+    /** A connection whose request has been read in part must not be closed without an answer. */
     @Test
     void nobodyInTheMiddleOfARequestMakesRoomForANewcomer() throws Exception {
         EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
@@ -147,7 +147,7 @@
             InetSocketAddress address = listen(new ClientServer(group.next(), 2, new AcceptingSubmissionHandler()));
             for (Socket asking : List.of(first, second)) {
                 asking.connect(address);
-                // The half is decoded with the request before it, so it is known once that is answered.
+                // The partial request is read together with the one before it, so it is known once that is answered.
                 assertEquals("HTTP/1.1 200 OK", ask(asking, HEALTH + HEALTH.substring(0, 10)).line());
             }
             newcomer.connect(address);
@@ -160,7 +160,7 @@
         }
     }
 
-    /** A first request that has come in part is refused before its connection goes. */
+    /** A partial first request is answered with 503 before its connection is closed. */
     @Test
     void whoMakesRoomInTheMiddleOfAFirstRequestGetsAnAnswer() throws Exception {
         EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
@@ -170,7 +170,7 @@
             InetSocketAddress address = listen(intake);
             slow.connect(address);
             StubServer.write(slow, HEALTH.substring(0, 10));
-            StubServer.await("its first bytes are read",
+            StubServer.await("the first bytes are read",
                     () -> loop.submit(intake::begun).syncUninterruptibly().getNow() == 1);
             newcomer.connect(address);
             assertEquals("HTTP/1.1 200 OK", ask(newcomer, HEALTH).line());
@@ -181,7 +181,7 @@
         }
     }
 
-    /** Found on join+brink: what one client sent at once was decoded in one go, and held up all else for 0.4 s. */
+    /** Decoding all requests that one client sent at once in one go delayed everything else by 0.4 s. */
     @Test
     void aClientThatSendsMuchAtOnceHasOneTurnAtATime() throws Exception {
         EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
@@ -210,7 +210,7 @@
             asked.countDown();
             StubServer.read(new BufferedInputStream(other.getInputStream()), 0);
             int ahead = desk.asked.indexOf("other");
-            assertTrue(ahead >= 1 && ahead <= 3, "turns before: " + ahead);
+            assertTrue(ahead >= 1 && ahead <= 3, "requests answered before: " + ahead);
             BufferedInputStream in = new BufferedInputStream(flood.getInputStream());
             for (int i = 0; i < 300; i++) {
                 assertEquals("HTTP/1.1 503 Service Unavailable", StubServer.read(in, 0).line());
@@ -236,7 +236,7 @@
         return StubServer.read(new BufferedInputStream(socket.getInputStream()), 0);
     }
 
-    /** Ends all, and holds the loop once it has looked at its sockets once more. */
+    /** Closes all connections, and blocks the event loop after it has read its sockets once more. */
     private static void endAndHold(EventLoop loop, ClientServer intake, CountDownLatch held, CountDownLatch until) {
         loop.execute(() -> {
             intake.shut();
@@ -247,7 +247,7 @@
         });
     }
 
-    /** A request may come at the very moment in which its connection ends: the end must not become a reset. */
+    /** A request may arrive while its connection is being closed: the connection must not be reset then. */
     @Test
     void aRequestThatCrossesTheEndIsNotTakenNorIsItsConnectionReset() throws Exception {
         EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
@@ -266,7 +266,7 @@
             written.countDown();
             held.await();
             for (int i = 0; i < 5; i++) {
-                // Where the connection is reset, one of the first two fails.
+                // If the connection is reset, one of the first two writes fails.
                 submit(resting, "later-" + i);
             }
             assertEquals(-1, resting.getInputStream().read());
@@ -279,7 +279,7 @@
         }
     }
 
-    /** Nor may the rest of a request that is answered unread. */
+    /** The rest of a request that is answered before it is complete must not cause a reset either. */
     @Test
     void theLastAnswerIsFollowedByAnEndHoweverMuchStillComes() throws Exception {
         EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
@@ -292,7 +292,7 @@
             client.connect(address);
             other.connect(address);
             StubServer.write(client, "POST /order HTTP/1.1\r\nContent-Length: 50000\r\n");
-            assertEquals("HTTP/1.1 200 OK", ask(other, HEALTH).line(), "so what came before is read");
+            assertEquals("HTTP/1.1 200 OK", ask(other, HEALTH).line(), "earlier input is read");
             CountDownLatch held = new CountDownLatch(1);
             endAndHold(loop, intake, held, until);
             held.await();
@@ -309,7 +309,7 @@
         }
     }
 
-    /** What was read whole is owed an answer, also if the sender ends between its reading and its turn. */
+    /** A request that was read completely is answered even if the sender stops before handling it. */
     @Test
     void aRequestThatWasReadAsTheSenderEndsIsAnswered() throws Exception {
         EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
@@ -324,7 +324,7 @@
             }
             CountDownLatch written = new CountDownLatch(1);
             keepBusy(loop, written);
-            // Both are read at once; the turn of the first ends all, and that of the other is still to come.
+            // Both are read in one turn; handling the first one shuts the server down before the second is handled.
             desk.asking = intake::shut;
             StubServer.write(first, HEALTH);
             StubServer.write(second, HEALTH);
--- a/src/test/java/kestreldeal/net/FileDescriptorsTest.java
+++ b/src/test/java/kestreldeal/net/FileDescriptorsTest.java
@@ -29,11 +29,11 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The program as a process under a limit of descriptors, and a crowd of idle clients that takes all it can get. */
+/** Runs the program as a process with a limit on file descriptors, and many idle clients that use up all they get. */
 class FileDescriptorsTest {
     private static final int CROWD = 300;
     private static final int MESSAGES = 150;
-    /** So much that the journal has to be compacted, which opens a file. */
+    /** Large enough that the journal has to be compacted, which opens a file. */
     private static final String BODY = "x".repeat(30_000);
 
     @TempDir
@@ -73,13 +73,13 @@
         world.sockets = sockets;
         world.slots = 40;
         process = world.process(limit);
-        StubServer.await("it is ready", () -> {
+        StubServer.await("the sender is ready", () -> {
             address = world.listening().orElse(null);
             return address != null && SenderTestEnvironment.ask(address, SenderTestEnvironment.HEALTH) == 200;
         });
     }
 
-    /** Fills every place that there is, and again each that is taken back. */
+    /** Keeps opening idle connections up to the number of the crowd, and replaces each one that the sender closes. */
     private void startCrowd() throws InterruptedException {
         crowding = new Thread(() -> {
             try {
@@ -97,11 +97,11 @@
                     Thread.sleep(100);
                 }
             } catch (IOException | InterruptedException over) {
-                // The process has ended, or the test has.
+                // The process or the test has ended.
             }
         });
         crowding.start();
-        StubServer.await("the crowd has come", () -> crowded);
+        StubServer.await("the idle clients are connected", () -> crowded);
     }
 
     private static boolean isClosed(SocketChannel client) {
@@ -116,9 +116,9 @@
         }
     }
 
-    /** By a usual client, which comes again if its connection was shut unread. */
+    /** Submits a message as an ordinary client does, which retries if its connection is closed without an answer. */
     private void handIn(String id, String messageClass, long destination, String body) throws Exception {
-        StubServer.await(id + " is taken", () -> {
+        StubServer.await(id + " is accepted", () -> {
             try (Socket socket = new Socket(address.getAddress(), address.getPort())) {
                 socket.setSoTimeout(400);
                 return SenderTestEnvironment.ask(socket,
@@ -138,22 +138,23 @@
         for (int i = 0; i < MESSAGES; i++) {
             handIn("m-" + i, "order", i % world.endpoints, BODY);
         }
-        StubServer.await("all are delivered",
+        StubServer.await("all messages are delivered",
                 () -> endpoint.requests.stream().map(r -> r.header("X-Call-Id")).distinct()
                 .count() == MESSAGES + 1);
-        assertTrue(Files.size(world.state().resolve("journal")) < (long) MESSAGES * BODY.length(), "it was compacted");
+        assertTrue(Files.size(world.state().resolve("journal")) < (long) MESSAGES * BODY.length(),
+                "the journal was compacted");
         world.firstState = "DRAINING";
         world.agent.script(world::answer);
-        StubServer.await("the change is known", () -> world.agent.requests.stream()
+        StubServer.await("the list change is applied", () -> world.agent.requests.stream()
                 .anyMatch(r -> r.line().contains("after=" + world.generation())));
-        StubServer.await("the notice is heard", () -> !world.notices.isEmpty());
+        StubServer.await("the notice is delivered", () -> !world.notices.isEmpty());
         handIn("last", "order", 2, BODY);
-        StubServer.await("the last one is delivered", () -> endpoint.requests.stream()
+        StubServer.await("the last message is delivered", () -> endpoint.requests.stream()
                 .anyMatch(r -> r.header("X-Call-Id").equals("last")));
         String log = Files.readString(world.log());
         assertFalse(log.contains("journal:"), log);
         assertFalse(log.contains("journal can't"), log);
-        System.out.println("at most " + mostOpen + " of " + limit + " descriptors were seen in use");
+        System.out.println("at most " + mostOpen + " of " + limit + " file descriptors were in use");
     }
 
     @Test
@@ -161,18 +162,21 @@
         start(256, 256, MESSAGES);
         allGetTheirs(256);
         String log = Files.readString(world.log());
-        assertFalse(log.contains("no descriptor is left"), log);
+        assertFalse(log.contains("out of file descriptors"), log);
     }
 
-    /** The configuration allows more than the system does, so that the crowd does get the last one. */
+    /** The configuration allows more descriptors than the system, so that the idle clients do get the last one. */
     @Test
     void whoeverTakesTheLastDescriptorHasToLeaveSome() throws Exception {
         start(1024, 150, 5);
         allGetTheirs(150);
-        assertTrue(Files.readString(world.log()).contains("no descriptor is left"));
+        assertTrue(Files.readString(world.log()).contains("out of file descriptors"));
     }
 
-    /** That none is left here is no word of the endpoint: one that counted as unreachable would be down for long. */
+    /**
+     * A missing descriptor says nothing about the endpoint: if the endpoint counted as unreachable, it would be
+     * considered down for a long time.
+     */
     @Test
     void aCallWithoutADescriptorWasNotSent() throws Exception {
         EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
--- a/src/test/java/kestreldeal/net/OperatorServerTest.java
+++ b/src/test/java/kestreldeal/net/OperatorServerTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** The operators' address, apart from the sender. */
+/** Tests the operator server without a sender. */
 class OperatorServerTest {
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final List<Socket> sockets = new ArrayList<>();
@@ -129,7 +129,7 @@
             silent.add(caller());
         }
         assertEquals("YES\n", call("readyz\n"));
-        // The first made room; the last run into the time limit.
+        // The first was closed to make room; the last one times out.
         assertEquals("", rest(silent.get(0)));
         assertTrue(rest(silent.get(silent.size() - 1)).startsWith("NO"));
     }
--- a/src/test/java/kestreldeal/net/SenderTest.java
+++ b/src/test/java/kestreldeal/net/SenderTest.java
@@ -31,7 +31,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The whole sender over loopback sockets: clients, two endpoints of one destination, and the agent. */
+/** Tests a whole sender over loopback sockets, with clients, two endpoints of one destination, and the agent. */
 class SenderTest {
     private static final int MAX_OPEN = 5;
 
@@ -50,13 +50,13 @@
     private boolean copies;
     private boolean cancels = true;
     private int senders = 1;
-    /** Further endpoints on the list, each of a destination of its own; all are one machine. */
+    /** Number of further endpoints on the list; each has its own destination, and all share one stub server. */
     private int others;
     private boolean indented;
     private boolean links = true;
     private String listen = "127.0.0.1:0";
     private Sender sender;
-    /** A process that runs beside the other, and was started before it. */
+    /** In tests of two processes, the one that was started first. */
     private Sender before;
     private InetSocketAddress address;
 
@@ -84,7 +84,7 @@
         agent.close();
     }
 
-    // ---- the world ----
+    // ---- test environment ----
 
     private void agent(StubServer.Message request, Socket socket) throws Exception {
         if (!agentUp) {
@@ -102,7 +102,7 @@
         String known = request.line().contains("after=") ? request.line().replaceAll(".*after=(\\d+).*", "$1")
                 : "";
         if (!request.line().contains("wait_ms=0 ")) {
-            StubServer.await("something new on the list", () -> !known.equals(generation()));
+            StubServer.await("a change of the list", () -> !known.equals(generation()));
         }
         String list = list();
         StubServer.write(socket, "HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + "\r\n\r\n" + list);
@@ -157,7 +157,7 @@
         start(Sender.CLOSING_MS);
     }
 
-    /** Until it is ready, where a list can be known and no other process leads. */
+    /** Starts a sender and waits until it is ready, if a list is available and no other process leads. */
     private void start(long closingMs) throws Exception {
         startOnly(closingMs);
         if ((known || agentUp) && before == null) {
@@ -177,7 +177,7 @@
     }
 
     private void awaitReady() throws InterruptedException {
-        StubServer.await("it is ready", () -> unchecked(() ->
+        StubServer.await("the sender is ready", () -> unchecked(() ->
                 ask(client(), "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n").line().contains(" 200 ")));
     }
 
@@ -210,7 +210,7 @@
         endpoints.forEach(e -> e.script(script));
     }
 
-    /** What the journal holds, read from a copy. */
+    /** The messages in the journal, read from a copy. */
     private List<AcceptedMessage> journalled() {
         return journalled(journal -> List.copyOf(journal.held()));
     }
@@ -232,7 +232,7 @@
         }
     }
 
-    /** Leaves a journal as an earlier life would have: one message with one attempt, out since then. */
+    /** Writes a journal as a previous process would leave it: one message with one attempt in flight, or none. */
     private AcceptedMessage earlierLife(String type, long attemptAgoMs, long leftMs, boolean notice) throws Exception {
         try (Journal journal = new Journal(folder.resolve("state"), 3_000_000, 12)) {
             AcceptedMessage held = AcceptedMessage.withTimeLeft(journal.nextNumber(), "old", type, "acme",
@@ -249,7 +249,7 @@
         }
     }
 
-    /** Leaves a journal with messages that are late, not one of them tried, and what was known of endpoints. */
+    /** Writes a journal with late messages without any attempt, and with the health of endpoints. */
     private void earlierBacklog(int many, Map<String, Relay.EndpointState> states) throws Exception {
         try (Journal journal = new Journal(folder.resolve("state"), 3_000_000, 12)) {
             for (int i = 0; i < many; i++) {
@@ -267,11 +267,11 @@
     }
 
     private void awaitNothingHeld() throws InterruptedException {
-        StubServer.await("the journal holds nothing", () -> journalled().isEmpty());
+        StubServer.await("the journal is empty", () -> journalled().isEmpty());
     }
 
     private void awaitNotice(String result) throws Exception {
-        StubServer.await("the notice", () -> !notices.isEmpty());
+        StubServer.await("a notice", () -> !notices.isEmpty());
         assertTrue(notices.get(0).contains(result), notices.get(0));
         awaitNothingHeld();
         assertEquals(1, notices.size());
@@ -289,7 +289,7 @@
                 .mapToInt(line -> Integer.parseInt(line.split(" ")[1])).findFirst().orElseThrow();
     }
 
-    // ---- the operators ----
+    // ---- operators' commands ----
 
     @Test
     void figuresTellHowMessagesEnded() throws Exception {
@@ -304,7 +304,7 @@
             handIn("held-" + i, "order");
         }
         assertEquals("HTTP/1.1 503 Service Unavailable", ask(client(), message("more", "order", "x")).line());
-        StubServer.await("all are out", () -> calls().size() == 2 + MAX_OPEN);
+        StubServer.await("all calls are in flight", () -> calls().size() == 2 + MAX_OPEN);
         assertEquals(1, figure("completed_total{lane=\"order\"}"));
         assertEquals(0, figure("completed_total{lane=\"once\"}"));
         assertEquals(1, figure("failed_total{lane=\"once\"}"));
@@ -314,21 +314,21 @@
         assertEquals(2, figure("members"));
         assertEquals(0, figure("members_unavailable"));
         killAndStart();
-        assertEquals(0, figure("completed_total{lane=\"order\"}"), "each process counts from 0");
+        assertEquals(0, figure("completed_total{lane=\"order\"}"), "each process starts its counters at 0");
     }
 
     @Test
     void figuresTellWhichEndpointsAreAvoided() throws Exception {
         start();
         states = "DRAINING SERVING";
-        StubServer.await("one drains", () -> unchecked(() -> figure("members_unavailable") == 1));
+        StubServer.await("one endpoint is draining", () -> unchecked(() -> figure("members_unavailable") == 1));
         assertEquals(2, figure("members"));
         states = "DELETED SERVING";
-        StubServer.await("one is gone", () -> unchecked(() -> figure("members") == 1));
+        StubServer.await("one endpoint is removed", () -> unchecked(() -> figure("members") == 1));
         assertEquals(0, figure("members_unavailable"));
         endpoints.get(1).close();
         handIn("one", "order");
-        StubServer.await("the other is down", () -> unchecked(() -> figure("members_unavailable") == 1));
+        StubServer.await("the other endpoint is down", () -> unchecked(() -> figure("members_unavailable") == 1));
     }
 
     @Test
@@ -340,20 +340,20 @@
         assertEquals("HTTP/1.1 200 OK", ask(used, health).line());
         assertEquals("HTTP/1.1 200 OK", ask(idle, health).line());
         assertEquals("YES\n", operator("evacuate"));
-        assertEquals("YES\n", operator("evacuate"), "a drain may be told twice");
-        assertEquals("YES\n", operator("readyz"), "the process can serve all the same");
+        assertEquals("YES\n", operator("evacuate"), "the command may be repeated");
+        assertEquals("YES\n", operator("readyz"), "the process can still serve");
         StubServer.Message taken = ask(used, message("one", "order", "hello"));
-        assertEquals("HTTP/1.1 202 Accepted", taken.line(), "what comes all the same is taken");
+        assertEquals("HTTP/1.1 202 Accepted", taken.line(), "messages are accepted nevertheless");
         assertEquals("close", taken.header("Connection"));
         assertEquals(-1, used.getInputStream().read());
-        assertEquals(-1, idle.getInputStream().read(), "what idles is closed");
+        assertEquals(-1, idle.getInputStream().read(), "an idle connection is closed");
         assertEquals("HTTP/1.1 503 Service Unavailable", ask(client(), health).line());
         awaitNothingHeld();
         assertEquals("YES\n", operator("activate"));
         Socket back = client();
         assertEquals("HTTP/1.1 200 OK", ask(back, health).line());
         assertEquals("HTTP/1.1 202 Accepted", ask(back, message("two", "order", "hello")).line());
-        assertEquals("HTTP/1.1 200 OK", ask(back, health).line(), "connections are kept again");
+        assertEquals("HTTP/1.1 200 OK", ask(back, health).line(), "connections are kept open again");
     }
 
     private static boolean unchecked(Callable<Boolean> condition) {
@@ -376,11 +376,11 @@
         handIn("one", "order");
         Thread end = new Thread(sender::drain);
         end.start();
-        StubServer.await("it ends", () -> unchecked(() -> operator("readyz").startsWith("NO")));
+        StubServer.await("the sender stops", () -> unchecked(() -> operator("readyz").startsWith("NO")));
         end.join();
     }
 
-    /** What is read just before the process is gone would be taken and not answered. */
+    /** A request read just before the process exits would be accepted and never answered. */
     @Test
     void nothingIsReadOnceASenderEnds() throws Exception {
         script(StubServer.silent());
@@ -403,24 +403,24 @@
 
     // ---- two processes ----
 
-    /** Starts a second process beside the one that serves. */
+    /** Starts a second process that follows the first. */
     private void startBeside() throws Exception {
         before = sender;
         listen = address.getHostString() + ":" + address.getPort();
         start();
-        StubServer.await("it can take over", () -> unchecked(() -> operator("readyz").equals("YES\n")));
+        StubServer.await("the second process can take over", () -> unchecked(() -> operator("readyz").equals("YES\n")));
     }
 
-    /** Tells the first process to end, and waits until the second one serves; the thread ends with the first. */
+    /** Stops the first process and waits until the second one serves; the thread returned ends with the first. */
     private Thread replace() throws Exception {
         Thread end = new Thread(before::drain);
         end.setDaemon(true);
         end.start();
-        StubServer.await("the second process takes clients", () -> unchecked(() -> {
+        StubServer.await("the second process accepts clients", () -> unchecked(() -> {
             try (Socket socket = new Socket(address.getAddress(), address.getPort())) {
                 ask(socket, message("one", "order", "hello"));
             } catch (SocketException refused) {
-                // It came just as the first process ended its listening.
+                // The connection arrived just as the first process stopped listening.
                 return false;
             }
             return figure("pending") + figure("completed_total{lane=\"order\"}") > 0;
@@ -428,13 +428,16 @@
         return end;
     }
 
-    /** Its message is over with the first line; the head that follows binds the process that sends now. */
+    /**
+     * The status line of the response finishes the message; the Retry-After header that follows must still reach the
+     * process that sends from then on.
+     */
     @Test
     void aWaitToldToTheProcessBeforeIsKeptByTheNext() throws Exception {
         script(StubServer.silent());
         start(60_000);
         handIn("early", "order");
-        StubServer.await("its call", () -> calls().size() == 1);
+        StubServer.await("the call", () -> calls().size() == 1);
         startBeside();
         Thread end = new Thread(before::drain);
         end.setDaemon(true);
@@ -443,15 +446,15 @@
         for (StubServer endpoint : endpoints) {
             endpoint.answerAll("HTTP/1.1 200 OK\r\nRetry-After: 2\r\nContent-Length: 0\r\n\r\n");
         }
-        StubServer.await("the end is told", () -> unchecked(() -> figure("pending") == 0));
+        StubServer.await("the result is handed on", () -> unchecked(() -> figure("pending") == 0));
         long told = System.nanoTime();
         script(StubServer.status(200, ""));
-        StubServer.await("the next process takes clients", () -> unchecked(() -> operator("readyz").equals("YES\n")));
+        StubServer.await("the next process accepts clients", () -> unchecked(() -> operator("readyz").equals("YES\n")));
         awaitReady();
         handIn("two", "order");
         awaitNothingHeld();
         assertEquals(2, calls().size());
-        assertTrue(calls().stream().anyMatch(c -> c.atNanos() - told >= 1_500_000_000L), "sent while waiting");
+        assertTrue(calls().stream().anyMatch(c -> c.atNanos() - told >= 1_500_000_000L), "sent during the wait");
         end.join();
     }
 
@@ -475,20 +478,20 @@
         handIn("two", "once");
         StubServer.await("both calls", () -> calls().size() == 2);
         startBeside();
-        assertEquals(2, journalled().size(), "it only follows");
+        assertEquals(2, journalled().size(), "a follower changes nothing");
         Thread end = replace();
-        assertEquals(2, figure("pending"), "what is held goes to the next process");
+        assertEquals(2, figure("pending"), "pending messages go to the next process");
         assertEquals("202", ask(kept, message("three", "once", "hello")).line().split(" ")[1],
-                "a request on a connection of the old process is handed on");
-        StubServer.await("its call", () -> calls().size() == 3);
+                "a request on a connection of the old process is forwarded");
+        StubServer.await("the forwarded message is sent", () -> calls().size() == 3);
         answerCallsOut();
         awaitNothingHeld();
         end.join();
-        assertEquals(3, calls().size(), "nothing went out twice");
+        assertEquals(3, calls().size(), "no message was sent twice");
         assertTrue(notices.isEmpty(), notices.toString());
         assertEquals(1, figure("completed_total{lane=\"order\"}"));
         assertEquals(2, figure("completed_total{lane=\"once\"}"));
-        assertEquals(1, figure("upstream_requests_total"), "each process counts what it wrote");
+        assertEquals(1, figure("upstream_requests_total"), "each process counts the messages that it wrote");
     }
 
     @Test
@@ -519,7 +522,7 @@
         replace();
         script(StubServer.status(200, ""));
         killBefore();
-        StubServer.await("what may be repeated is", () -> calls().size() == 3);
+        StubServer.await("the repeatable message is retried", () -> calls().size() == 3);
         awaitNotice("{\"ref\":\"two\",\"result\":\"dead\"}");
         assertEquals(2, calls().stream().filter(c -> c.header("X-Call-Id").equals("one")).count());
     }
@@ -534,8 +537,8 @@
         script(StubServer.status(200, ""));
         killBefore();
         awaitNothingHeld();
-        assertEquals(2, calls().size(), "its journal is taken up");
-        StubServer.await("clients are taken", () -> unchecked(() -> {
+        assertEquals(2, calls().size(), "the messages of its journal are restored");
+        StubServer.await("clients are accepted", () -> unchecked(() -> {
             try (Socket socket = new Socket(address.getAddress(), address.getPort())) {
                 return ask(socket, message("two", "order", "hello")).line().contains("202");
             } catch (SocketException notYet) {
@@ -553,7 +556,7 @@
         sender.drain();
         sender.kill();
         handIn("two", "order");
-        assertEquals(2, journalled().size(), "the first one goes on");
+        assertEquals(2, journalled().size(), "the first process continues");
         startBesideAgain();
         Thread end = replace();
         answerCallsOut();
@@ -564,7 +567,7 @@
     private void startBesideAgain() throws Exception {
         sender = new Sender(config(), links, Sender.TAKING_MS, Sender.CLOSING_MS);
         sender.start();
-        StubServer.await("it can take over", () -> unchecked(() -> operator("readyz").equals("YES\n")));
+        StubServer.await("the new process can take over", () -> unchecked(() -> operator("readyz").equals("YES\n")));
     }
 
     @Test
@@ -594,7 +597,7 @@
         killAndStart();
         handIn("two", "order");
         awaitNothingHeld();
-        assertEquals(2, calls().size(), "what was delivered is not sent again by a later life");
+        assertEquals(2, calls().size(), "delivered messages are not sent again after a restart");
     }
 
     @Test
@@ -602,7 +605,7 @@
         batch = 4;
         earlierBacklog(8, Map.of());
         script((request, socket) -> {
-            // A call with one message is answered by its first line; the body means nothing then.
+            // A call with one message is answered by the status code alone; its body is ignored.
             String ends = request.body().lines().filter(line -> line.startsWith("old-"))
                     .map(line -> line.split(" ")[0] + " accepted\r\n").collect(Collectors.joining());
             StubServer.write(socket, "HTTP/1.1 200 x\r\nContent-Length: " + ends.length() + "\r\n\r\n" + ends);
@@ -638,7 +641,7 @@
         reportStatus = 500;
         start();
         handIn("one", "once");
-        StubServer.await("several tries", () -> agent.requests.stream().filter(r -> r.line().startsWith("POST"))
+        StubServer.await("several attempts", () -> agent.requests.stream().filter(r -> r.line().startsWith("POST"))
                 .count() > 2);
         assertEquals(1, journalled().size());
         reportStatus = 204;
@@ -650,17 +653,18 @@
         start();
         script(StubServer.status(429, "Retry-After: 0.6\r\n"));
         handIn("one", "order");
-        StubServer.await("the wait is told", () -> journalled().get(0).attempts.stream().anyMatch(a -> a.neverRan));
+        StubServer.await("the Retry-After is received",
+                () -> journalled().get(0).attempts.stream().anyMatch(a -> a.neverRan));
         script(StubServer.status(200, ""));
         handIn("two", "order");
-        StubServer.await("both delivered", () -> calls().size() == 3);
+        StubServer.await("both messages are delivered", () -> calls().size() == 3);
         long first = calls().stream().mapToLong(StubServer.Message::atNanos).min().orElseThrow();
         for (StubServer.Message later : calls()) {
-            assertTrue(later.atNanos() == first || later.atNanos() - first >= 600_000_000, "sent while waiting");
+            assertTrue(later.atNanos() == first || later.atNanos() - first >= 600_000_000, "sent during the wait");
         }
     }
 
-    /** Has the first endpoint's connections come up late, and gives a message to each of the two. */
+    /** Delays connections to the first endpoint, and has one message sent to each of the two endpoints. */
     private void startWithALateConnect(StubServer.Script first, StubServer.Script other) throws Exception {
         dialMs = 20_000;
         endpoints.get(0).close();
@@ -669,10 +673,10 @@
         start();
         handIn("late", "order");
         handIn("two", "order");
-        StubServer.await("the call that connects", () -> endpoints.get(1).requests.size() == 1);
+        StubServer.await("the call to the other endpoint", () -> endpoints.get(1).requests.size() == 1);
     }
 
-    /** Found on zone+brink+mass: a connect took 0.35 s, and meanwhile the destination told to wait for 0.62 s. */
+    /** A connect took 0.35 s, and meanwhile the destination asked to back off for 0.62 s. */
     @Test
     void aToldWaitIsKeptByACallThatConnectsLate() throws Exception {
         StubServer.Script taken = StubServer.status(200, "");
@@ -695,14 +699,14 @@
         });
         start();
         handIn("one", "order");
-        StubServer.await("the wait is told", () -> calls().size() == 1);
+        StubServer.await("the response with Retry-After", () -> calls().size() == 1);
         long told = System.nanoTime();
         awaitNothingHeld();
         assertEquals(2, calls().size());
         assertEquals(1, calls().stream().filter(c -> c.atNanos() - told >= 1_900_000_000L).count());
     }
 
-    /** Where calls can't be called off, the first attempt's is still connecting when the copy has delivered. */
+    /** If calls can't be cancelled, the first attempt may still be connecting when the hedged one has delivered. */
     @Test
     void nothingIsWrittenLateForAMessageThatIsOver() throws Exception {
         copies = true;
@@ -713,7 +717,7 @@
         assertEquals(2, endpoints.get(1).requests.size());
         int others = 2;
         endpoints.get(0).accepts();
-        StubServer.await("the late connection", () -> endpoints.get(0).connections() > others);
+        StubServer.await("the delayed connection", () -> endpoints.get(0).connections() > others);
         handIn("three", "order");
         awaitNothingHeld();
         assertEquals(List.of(), endpoints.get(0).requests.stream().map(c -> c.header("X-Call-Id"))
@@ -752,7 +756,7 @@
         assertEquals(8, calls().size());
     }
 
-    /** With 256 descriptors, which are fewer than the servers. */
+    /** The sender has 256 descriptors, fewer than there are endpoints. */
     @Test
     void aLargeFleetAndAListOfAThousandServersAreServed() throws Exception {
         senders = 1024;
@@ -765,12 +769,12 @@
             known = !spread;
             start();
             awaitReady();
-            StubServer.await("the whole list", () -> unchecked(() -> figure("members") == 1024));
+            StubServer.await("the full list", () -> unchecked(() -> figure("members") == 1024));
             Socket client = client();
             for (int i = 0; i < 300; i++) {
                 String message = message((spread ? "b-" : "a-") + i, "order", "hello");
                 int cell = 100 + i * 3;
-                StubServer.await("it is taken", () -> unchecked(() ->
+                StubServer.await("the message is accepted", () -> unchecked(() ->
                         ask(client, message.replace("dest=7", "dest=" + cell)).line().contains(" 202 ")));
             }
             awaitNothingHeld();
@@ -787,11 +791,11 @@
         handIn("one", "order");
         awaitNothingHeld();
         agentUp = true;
-        StubServer.await("the list is asked for again", () -> agent.requests.stream()
+        StubServer.await("the list is requested again", () -> agent.requests.stream()
                 .anyMatch(r -> r.line().contains("after=")));
     }
 
-    /** What the agent has counts as told from the first moment; the configuration's list may be old. */
+    /** A process must respect the agent's list from its start; the list in the configuration may be outdated. */
     @Test
     void theFirstLifeAsksTheAgentBeforeItSendsByTheConfigurationsList() throws Exception {
         CountDownLatch go = new CountDownLatch(1);
@@ -809,7 +813,7 @@
         assertEquals(List.of(), calls());
     }
 
-    /** Found by review: a watch that is opened into an outage waits on when the outage is over. */
+    /** A long poll that starts during an outage of discovery keeps waiting when the outage is over. */
     @Test
     void anAgentThatWasSilentIsAskedForWhatItHasNow() throws Exception {
         agent.script((request, socket) -> {
@@ -818,9 +822,9 @@
             }
         });
         start();
-        StubServer.await("it is asked without a wait", () -> asked().contains("&wait_ms=0 "));
+        StubServer.await("a request without a wait", () -> asked().contains("&wait_ms=0 "));
         agent.script(this::agent);
-        StubServer.await("the watch goes on",
+        StubServer.await("the long poll continues",
                 () -> asked().lastIndexOf("&wait_ms=3000 ") > asked().indexOf("&wait_ms=0 "));
     }
 
@@ -840,12 +844,12 @@
             }
         });
         start();
-        StubServer.await("the change is known", () -> unchecked(() -> figure("members_unavailable") == 1));
+        StubServer.await("the change is applied", () -> unchecked(() -> figure("members_unavailable") == 1));
         List<String> watches = asked().lines().filter(line -> line.contains("after=" + before + "&")).toList();
         assertEquals(2, watches.size(), watches.toString());
     }
 
-    /** Word that an endpoint drains or is gone binds, be the rest of its entry spoilt. */
+    /** The lifecycle of an entry must be respected even if the rest of the entry is malformed. */
     @Test
     void anEntryWithoutAnAddressGetsNothingNew() throws Exception {
         start();
@@ -857,7 +861,7 @@
             }
         });
         states = "SERVING DRAINING";
-        StubServer.await("the list is taken", () -> asked().contains("after=7&"));
+        StubServer.await("the list is applied", () -> asked().contains("after=7&"));
         for (int i = 0; i < 4; i++) {
             handIn("m" + i, "order");
             awaitNothingHeld();
@@ -865,7 +869,7 @@
         assertEquals(List.of(), endpoints.get(0).requests);
     }
 
-    /** What the agent was asked. */
+    /** The request lines that the agent received. */
     private String asked() {
         return agent.requests.stream().map(StubServer.Message::line).collect(Collectors.joining("\n"));
     }
@@ -886,7 +890,7 @@
 
     // ---- restarts ----
 
-    /** As many messages as a journal holds in service, a thousand servers on the list, and no word from the agent. */
+    /** As many messages as a journal has in service, a thousand endpoints on the list, and no answer of the agent. */
     @Test
     void aFullBacklogIsTriedInTheNextLife() throws Exception {
         others = 1022;
@@ -898,14 +902,14 @@
         assertEquals(List.of(), notices);
     }
 
-    /** Lateness alone is no outage: it may come of our own slots, pace or CPU. */
+    /** Late messages alone don't indicate an outage: this sender's slots, rate limits or CPU may have delayed them. */
     @Test
     void aLateBacklogGoesOutAtOnceInTheNextLife() throws Exception {
         earlierBacklog(5, Map.of());
         script(StubServer.silent());
         start();
         StubServer.await("all calls", () -> calls().stream().map(c -> c.header("X-Call-Id")).distinct().count() == 5);
-        assertEquals(0, ended(), "none waited for the end of another");
+        assertEquals(0, ended(), "no call waited for the result of another");
     }
 
     @Test
@@ -913,8 +917,8 @@
         earlierBacklog(5, Map.of("s-0", Relay.EndpointState.DOWN, "s-1", Relay.EndpointState.DOWN));
         script(StubServer.silent());
         start();
-        StubServer.await("the end of a trial", () -> ended() > 0);
-        assertTrue(calls().size() <= 3, "one out at each endpoint: " + calls().size());
+        StubServer.await("the result of a probe", () -> ended() > 0);
+        assertTrue(calls().size() <= 3, "at most one in flight per endpoint: " + calls().size());
     }
 
     @Test
@@ -924,7 +928,7 @@
             endpoint.close();
         }
         handIn("one", "order");
-        StubServer.await("the state of both", () -> journalledHealth().values().stream()
+        StubServer.await("the health of both endpoints", () -> journalledHealth().values().stream()
                 .filter(h -> h.state() == Relay.EndpointState.DOWN).count() == 2);
     }
 
@@ -936,7 +940,7 @@
         StubServer.await("the call", () -> calls().size() == 1);
         script(StubServer.status(200, ""));
         killAndStart();
-        StubServer.await("the repeat", () -> calls().size() == 2);
+        StubServer.await("the retry", () -> calls().size() == 2);
         assertEquals(List.of("one", "one"), calls().stream().map(c -> c.header("X-Call-Id")).toList());
         assertEquals(List.of("key-one", "key-one"),
                 calls().stream().map(c -> c.header("Idempotency-Key")).toList());
@@ -967,7 +971,7 @@
         script(StubServer.status(503, ""));
         start();
         handIn("one", "once");
-        StubServer.await("the refusal is known", () -> journalled().get(0).attempts.stream()
+        StubServer.await("the rejection is recorded", () -> journalled().get(0).attempts.stream()
                 .anyMatch(a -> a.neverRan));
         script(StubServer.status(200, ""));
         killAndStart();
@@ -999,9 +1003,9 @@
         assertTrue(calls().isEmpty());
     }
 
-    // ---- a new configuration ----
+    // ---- configuration reload ----
 
-    /** A second agent, which counts its generations from anew; nothing moves before the program is told. */
+    /** A second agent, whose generations start again at 1; it is used only after a reload. */
     private StubServer secondAgent(List<String> told) throws IOException {
         return new StubServer((request, socket) -> {
             if (request.line().startsWith("POST")) {
@@ -1020,7 +1024,7 @@
         reportStatus = 500;
         start();
         handIn("one", "once");
-        StubServer.await("the watch and a notice that is not heard", () -> agent.requests.stream()
+        StubServer.await("the long poll and a failed notice", () -> agent.requests.stream()
                 .anyMatch(r -> r.line().contains("after=")) && agent.requests.stream()
                 .anyMatch(r -> r.line().startsWith("POST")));
         List<String> told = new CopyOnWriteArrayList<>();
@@ -1029,8 +1033,8 @@
             agent = fresh;
             config();
             sender.reload(environment());
-            StubServer.await("the notice, told to the new address", () -> told.size() == 1);
-            StubServer.await("a whole list, then a watch", () -> fresh.requests.stream()
+            StubServer.await("the notice at the new address", () -> told.size() == 1);
+            StubServer.await("a full list, then a long poll", () -> fresh.requests.stream()
                     .filter(r -> r.line().startsWith("GET")).count() == 2);
             List<String> asked = fresh.requests.stream().map(StubServer.Message::line)
                     .filter(line -> line.startsWith("GET")).toList();
@@ -1054,13 +1058,13 @@
         sender.reload(environment());
         String before = generation();
         states = "SERVING DRAINING";
-        StubServer.await("the old agent is asked on", () -> !before.equals(generation()) && agent.requests.stream()
+        StubServer.await("the old agent is still asked", () -> !before.equals(generation()) && agent.requests.stream()
                 .anyMatch(r -> r.line().contains("after=" + generation())));
         handIn("one", "order");
         awaitNothingHeld();
     }
 
-    /** The environment keeps the address that was true at the first start. */
+    /** The environment still has the address from the first start. */
     @Test
     void theFilesDiscoveryGoesBeforeTheEnvironments() throws Exception {
         config();
@@ -1069,13 +1073,16 @@
         assertEquals(agent.address(), Config.read(stale).discovery());
     }
 
-    /** The program itself, as a process: SIGHUP moves it and does not end it; SIGTERM still drains. */
+    /** Runs the program as a process: SIGHUP reloads the configuration without ending it; SIGTERM still drains. */
     @Test
     void theProcessMovesOnSighup() throws Exception {
         moveOnSighup(process());
     }
 
-    /** As under nohup, whose children a JVM takes at their word; the deploy file's command must not. */
+    /**
+     * A JVM started with SIGHUP ignored, as by nohup, does not handle the signal; the command in the deployment file
+     * must undo that.
+     */
     @Test
     void theProcessMovesOnSighupWhereThatWasIgnoredAtItsStart() throws Exception {
         String run = Files.readAllLines(Path.of("deploy/balancer.toml")).stream()
@@ -1091,10 +1098,10 @@
             agent = fresh;
             config();
             assertEquals(0, new ProcessBuilder("sh", "-c", "kill -HUP " + process.pid()).start().waitFor());
-            StubServer.await("the new agent is asked", () -> !fresh.requests.isEmpty());
+            StubServer.await("a request to the new agent", () -> !fresh.requests.isEmpty());
             script(StubServer.status(500, ""));
             handIn("one", "once");
-            StubServer.await("the notice, told to the new address", () -> told.size() == 1);
+            StubServer.await("the notice at the new address", () -> told.size() == 1);
             process.destroy();
             assertNotEquals(129, process.waitFor());
         } finally {
@@ -1135,7 +1142,7 @@
         handIn("good", "order");
     }
 
-    /** Reads to the end of the connection, however soon that comes; fails if it never does. */
+    /** Reads until the connection is closed or reset; fails if that never happens. */
     private static String untilClosed(Socket socket) throws IOException {
         socket.setSoTimeout(30_000);
         try {
@@ -1176,7 +1183,7 @@
         StubServer.write(endless, "GET /healthz HTTP/1.1\r\n" + "X-More: more\r\n".repeat(2000));
         Socket once = client();
         assertEquals("HTTP/1.1 200 OK", ask(once, "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n").line());
-        assertEquals("", untilClosed(once), "what asks once does not stay for good");
+        assertEquals("", untilClosed(once), "a connection with one request is not kept forever");
         assertEquals("", untilClosed(silent));
         assertTrue(untilClosed(half).startsWith("HTTP/1.1 408 "));
         assertTrue(untilClosed(later).startsWith("HTTP/1.1 408 "));
@@ -1195,7 +1202,7 @@
         }
         handIn("two", "order");
         assertEquals("202", ask(usual, message("three", "order", "hello")).line().split(" ")[1],
-                "one that asked before keeps its connection");
+                "a client that sent a request before keeps its connection");
     }
 
     @Test
@@ -1222,7 +1229,7 @@
         assertTrue(leftMs <= 23_300 && leftMs >= 23_300 - 1 - passedMs, leftMs + " ms");
     }
 
-    /** Seen on join+mass: clients come again with some milliseconds left, which a request that stands unread has lost. */
+    /** Clients submit messages again with a few milliseconds left, which pass while the request is still unread. */
     @Test
     void whatMayBeOverByTheTimeItIsReadIsNotTakenOn() throws Exception {
         script(StubServer.silent());
@@ -1251,7 +1258,7 @@
         assertTrue(journalled().isEmpty());
     }
 
-    /** Else what was delivered, or may have been, is delivered again. */
+    /** Otherwise a message that was delivered, or may have been, could be delivered again. */
     @Test
     void anIdThatIsOverIsNotTakenAgainInTheNextLife() throws Exception {
         start();
@@ -1326,7 +1333,7 @@
         assertEquals(List.of("one"), calls().stream().map(c -> c.header("X-Call-Id")).toList());
     }
 
-    // ---- the end ----
+    // ---- shutdown ----
 
     @Test
     void aDrainTakesThenClosesAndLetsCallsOutFinish() throws Exception {
@@ -1337,7 +1344,7 @@
         StubServer.await("the call", () -> calls().size() == 1);
         Thread drain = new Thread(sender::drain);
         drain.start();
-        StubServer.await("no new connection is taken", () -> {
+        StubServer.await("no new connection is accepted", () -> {
             try {
                 client().close();
                 return false;
@@ -1349,7 +1356,7 @@
         assertEquals("202", last.line().split(" ")[1], "a request on a kept connection is still answered");
         assertEquals("close", last.header("Connection"));
         assertEquals(-1, kept.getInputStream().read());
-        assertTrue(drain.isAlive(), "calls out are waited for");
+        assertTrue(drain.isAlive(), "calls in flight are waited for");
         StubServer.await("both calls", () -> calls().size() == 2);
         for (StubServer endpoint : endpoints) {
             endpoint.answerAll("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
@@ -1369,7 +1376,7 @@
         assertEquals(1, journalled().get(0).attempts.size());
     }
 
-    /** Found on the fleet days: an old list was acted on for longer than a drain leaves time. */
+    /** An outdated list was used for longer than a draining endpoint allows. */
     @Test
     void theNextLifeAsksTheAgentBeforeItSendsByAnOldList() throws Exception {
         script(StubServer.silent());
@@ -1380,11 +1387,11 @@
         sender = new Sender(config(), links, Sender.TAKING_MS, Sender.CLOSING_MS);
         states = "DRAINING DRAINING";
         address = sender.start();
-        StubServer.await("the list is known", () -> unchecked(() -> figure("members_unavailable") == 2));
+        StubServer.await("the list is applied", () -> unchecked(() -> figure("members_unavailable") == 2));
         assertEquals(1, calls().size());
     }
 
-    /** Where one process is all that a sender may be, a second one waits for the end of the first. */
+    /** If a sender may run as one process only, a second process waits until the first has ended. */
     @Test
     void withoutLinksASecondProcessWaitsForTheEnd() throws Exception {
         links = false;
@@ -1397,11 +1404,11 @@
         start();
         assertEquals("NO not serving\n", operator("readyz"));
         killBefore();
-        StubServer.await("the second one goes on", () -> calls().size() == 2);
+        StubServer.await("the second process retries", () -> calls().size() == 2);
         assertFalse(Files.exists(folder.resolve("state/helm.sock")));
     }
 
-    /** The program itself, as a process: SIGKILL loses nothing, and SIGTERM ends it by its own will. */
+    /** Runs the program as a process: SIGKILL loses no message, and SIGTERM lets the process exit by itself. */
     @Test
     void theProcessOutlivesItsSignals() throws Exception {
         script(StubServer.silent());
@@ -1419,7 +1426,7 @@
         assertFalse(second.isAlive());
     }
 
-    /** The program as a process, started by this command, if any, which gets the plain one behind its words. */
+    /** Starts the program as a process; {@code by} is an optional command that gets the program's as arguments. */
     private Process process(String... by) throws Exception {
         config();
         List<String> command = new ArrayList<>(List.of(by));
--- a/src/test/java/kestreldeal/net/SenderTestEnvironment.java
+++ b/src/test/java/kestreldeal/net/SenderTestEnvironment.java
@@ -14,8 +14,8 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 
 /**
- * What one sender has round it, over loopback sockets: its folder and configuration, an agent, and endpoints, each of a
- * destination of its own, that are all one machine.
+ * The environment of one sender on loopback sockets: its folder and configuration, an agent, and endpoints. Each
+ * endpoint has its own destination, and all of them share one stub server.
  */
 final class SenderTestEnvironment implements AutoCloseable {
     static final String HEALTH = "GET /healthz HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n";
@@ -35,7 +35,7 @@
     int slots = 10;
     boolean known = true;
     String listen = "127.0.0.1:0";
-    /** Where operators connect, or empty. */
+    /** The configured address for operators, or empty. */
     String operators = "";
 
     SenderTestEnvironment(Path folder, StubServer endpoint) throws IOException {
@@ -53,7 +53,7 @@
         return new Journal(state(), DISK_BYTES, MAX_ATTEMPTS);
     }
 
-    /** What the journal holds, read from a copy. */
+    /** The messages in the journal, read from a copy. */
     List<AcceptedMessage> journalled() {
         try {
             Path copy = Files.createTempDirectory(folder, "copy");
@@ -66,7 +66,7 @@
         }
     }
 
-    /** The agent as it is when all is well; a watch without news is not answered. */
+    /** Answers as a healthy agent does; a long poll is not answered until the list changes. */
     void answer(StubServer.Message request, Socket socket) throws IOException {
         if (request.line().startsWith("POST")) {
             notices.addAll(List.of(request.body().trim().split("\n")));
@@ -112,12 +112,12 @@
         return sender(MachineClock.system());
     }
 
-    /** One that is told the time by these clocks. */
+    /** Creates a sender with these clocks. */
     Sender sender(MachineClock clock) throws Exception {
         return new Sender(Config.read(environment()), false, Sender.TAKING_MS, Sender.CLOSING_MS, clock);
     }
 
-    /** The program as a process, under this limit of descriptors; it writes to the file {@code log}. */
+    /** Starts the program as a process with a limit on file descriptors; its output goes to the log file. */
     Process process(int descriptors) throws IOException {
         ProcessBuilder builder = new ProcessBuilder("sh", "-c", "ulimit -n " + descriptors + " && exec \"$0\" \"$@\"",
                 Path.of(System.getProperty("java.home"), "bin/java").toString(), "-cp",
@@ -130,7 +130,7 @@
         return folder.resolve("log");
     }
 
-    /** Where the process listens, once it says so. */
+    /** The address that the process listens at, once it has logged it. */
     Optional<InetSocketAddress> listening() {
         try {
             return Files.readAllLines(log()).stream().filter(line -> line.contains(" listens at "))
@@ -141,7 +141,7 @@
         }
     }
 
-    /** The status of an answer, or 0 if the connection was refused, or ended without one. */
+    /** The status code of the response, or 0 if the connection was refused or closed without a response. */
     static int ask(InetSocketAddress address, String request) {
         try (Socket socket = new Socket(address.getAddress(), address.getPort())) {
             return ask(socket, request);
@@ -156,7 +156,7 @@
         return answer == null ? 0 : Integer.parseInt(answer.line().split(" ")[1]);
     }
 
-    /** What operators are answered, or nothing where they can't connect. */
+    /** The answer to an operator's command, or an empty string if the connection is refused. */
     static String operatorsAnswer(InetSocketAddress address, String call) {
         try (Socket socket = new Socket(address.getAddress(), address.getPort())) {
             StubServer.write(socket, call + "\n");
--- a/src/test/java/kestreldeal/net/StubServer.java
+++ b/src/test/java/kestreldeal/net/StubServer.java
@@ -19,16 +19,16 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.function.BooleanSupplier;
 
-/** A scripted HTTP server on a loopback socket, and the plain client side, for tests. */
+/** A scripted HTTP server on a loopback socket, and helpers for a plain HTTP client, for tests. */
 final class StubServer implements AutoCloseable {
-    /** A request or an answer; {@code connection} numbers those of one server. */
+    /** A request or a response; {@code connection} is the number of its connection at this server. */
     record Message(String line, Map<String, String> headers, String body, int connection, long atNanos) {
         String header(String name) {
             return headers.get(name.toLowerCase(Locale.ROOT));
         }
     }
 
-    /** What is done when a request has come: write to the socket, close it, or nothing. */
+    /** Handles a request: may write to the socket, close it, or do nothing. */
     interface Script {
         void come(Message request, Socket socket) throws Exception;
     }
@@ -50,17 +50,20 @@
         this.server = new ServerSocket(0, backlog, InetAddress.getLoopbackAddress());
     }
 
-    /** One whose queue of connections is full: others come up late, a second or more after {@link #accepts}. */
+    /**
+     * Creates a server whose accept queue is full: further connections are established a second or more after
+     * {@link #accepts}.
+     */
     static StubServer busy(Script script) throws IOException {
         StubServer stub = new StubServer(script, 1);
-        // The system's queue holds one more than it is told.
+        // The system's queue holds one connection more than the backlog.
         for (int i = 0; i < 2; i++) {
             stub.sockets.add(new Socket(stub.address().getAddress(), stub.address().getPort()));
         }
         return stub;
     }
 
-    /** Takes connections from now on. */
+    /** Starts to accept connections. */
     void accepts() {
         daemon(this::accept);
     }
@@ -77,12 +80,12 @@
         return "127.0.0.1:" + server.getLocalPort();
     }
 
-    /** Connections that it has taken. */
+    /** Number of connections accepted. */
     int connections() {
         return connections.get();
     }
 
-    /** Connections that the other side has ended. */
+    /** Number of connections that have ended. */
     int ended() {
         return ended.get();
     }
@@ -102,7 +105,7 @@
                 daemon(() -> serve(socket, number));
             }
         } catch (IOException closed) {
-            // The test is over.
+            // The server was closed at the end of the test.
         }
     }
 
@@ -114,13 +117,13 @@
                 script.come(m, socket);
             }
         } catch (Exception gone) {
-            // The other side went away, which is its right.
+            // The client may disconnect at any time.
         } finally {
             ended.incrementAndGet();
         }
     }
 
-    /** Reads one message with a content length; null at the end of the stream. */
+    /** Reads one message whose body has a content length; null at the end of the stream. */
     static Message read(InputStream in, int number) throws IOException {
         String line = line(in);
         if (line == null) {
@@ -152,14 +155,14 @@
         socket.getOutputStream().flush();
     }
 
-    /** Writes this on every connection. */
+    /** Writes this text to every connection. */
     void answerAll(String text) throws IOException {
         for (Socket socket : sockets) {
             write(socket, text);
         }
     }
 
-    /** Answers with a status and further header lines, each closed by a line end. */
+    /** Answers with a status and further header lines, each of which must end with a line break. */
     static Script status(int status, String headers) {
         return (request, socket) -> write(socket, "HTTP/1.1 " + status + " x\r\n" + headers
                 + "Content-Length: 0\r\n\r\n");
@@ -169,12 +172,12 @@
         return (request, socket) -> { };
     }
 
-    /** Waits for something that must come about; how soon does not matter. */
+    /** Waits until a condition holds, and fails if it does not within 30 seconds. */
     static void await(String what, BooleanSupplier condition) throws InterruptedException {
         long end = System.nanoTime() + 30_000_000_000L;
         while (!condition.getAsBoolean()) {
             if (System.nanoTime() > end) {
-                throw new AssertionError("never came about: " + what);
+                throw new AssertionError("timed out waiting for: " + what);
             }
             Thread.sleep(2);
         }
