--- a/src/main/java/kestreldeal/net/ClientServer.java
+++ b/src/main/java/kestreldeal/net/ClientServer.java
@@ -57,9 +57,9 @@
  * journal before its 202 response, and passed to the decision module once the response has been written. Messages that
  * can't be accepted are rejected; malformed requests are answered and affect nothing else.
  *
- * <p>Each connection takes a file descriptor, so all states of a connection have a timeout: the first request must be
- * complete within a time after connecting, a later one within a time after its first byte, and idle connections are
- * closed. When there are too many connections, those without any complete request are closed first.
+ * <p>Each connection takes a file descriptor, so its time is limited: there are timeouts for completing the first
+ * request after connecting, for completing a later request after its first byte, and for being idle. When there are too
+ * many connections, those without any complete request are closed first.
  */
 final class ClientServer {
     private static final int LONGEST_BODY = 64 * 1024;
@@ -69,7 +69,7 @@
     private static final long REQUEST_MS = 2000;
     /** Idle connections are closed after this time, so that clients with a single request don't block others. */
     private static final long IDLE_MS = 2500;
-    /** The same during an evacuation, short enough that no client is left well before its limit of four seconds. */
+    /** The same during an evacuation, so that all clients are gone well within the four seconds allowed for it. */
     private static final long AWAY_IDLE_MS = 1000;
     /**
      * From the half-close after the last response until the close, unless the client closes first. Closing a socket
--- a/src/main/java/kestreldeal/net/Sender.java
+++ b/src/main/java/kestreldeal/net/Sender.java
@@ -36,12 +36,12 @@
      * use a third of all descriptors for requests.
      */
     private static final double CLIENT_SHARE = 0.5;
-    /** How long after SIGTERM new client connections are accepted; they may still arrive for this long. */
+    /** Time from SIGTERM during which new client connections may still arrive and are accepted. */
     static final long TAKING_MS = 450;
-    /** How long after SIGTERM calls in flight may take; SIGKILL may come after 3.7 s. */
+    /** Time limit for calls in flight, counted from SIGTERM; SIGKILL may come after 3.7 s. */
     static final long CLOSING_MS = 3300;
     private static final long DRAIN_POLL_MS = 20;
-    /** How long after that clients have to notice the end of their connections and to close them. */
+    /** How long clients may take after that to notice the end of their connections and to close them. */
     private static final long PARTING_MS = 200;
     /**
      * Interval between checks for messages past their deadline, and the grace period after the deadline before one is
