--- a/src/test/java/kestreldeal/net/DiscoveryTest.java
+++ b/src/test/java/kestreldeal/net/DiscoveryTest.java
@@ -256,7 +256,7 @@
     /** The connect is never answered: whichever limit is shorter ends it. */
     @Test
     void aConnectThatIsNeverAnsweredIsGivenUp() throws Exception {
-        try (StubServer busy = StubServer.busy(StubServer.silent())) {
+        try (StubServer busy = StubServer.withFullAcceptQueue(StubServer.silent())) {
             assertEquals("does not answer", end(busy, 100, LONG_MS, LONG_MS));
             assertEquals("can't be reached", end(busy, LONG_MS, LONG_MS, LONG_MS));
         }
@@ -338,7 +338,7 @@
             StubServer.Script then = once(fault.getValue(), new AtomicBoolean());
             StubServer agent = agent((request, socket) -> {
                 if (listed.getAndSet(true)) {
-                    then.come(request, socket);
+                    then.handle(request, socket);
                 } else {
                     StubServer.write(socket, answer(one(1, "SERVING")));
                 }
--- a/src/test/java/kestreldeal/net/EndpointClientTest.java
+++ b/src/test/java/kestreldeal/net/EndpointClientTest.java
@@ -109,7 +109,7 @@
     }
 
     private End call(StubServer.Script script) throws Exception {
-        stub.script(script);
+        stub.setScript(script);
         start(new byte[] {'b', 'o', 'd', 'y'}, LONG_MS);
         return end();
     }
@@ -133,7 +133,7 @@
     /** Found where messages were lost after restarts: calls of a turn that took a second ended a second late. */
     @Test
     void aTimeOutCountsFromTheDecisionHoweverLateTheCall() throws Exception {
-        stub.script(StubServer.silent());
+        stub.setScript(StubServer.silent());
         AcceptedMessage held = new AcceptedMessage(1, "id-1", "order", "t", Optional.of("key-1"), 7, 0, new byte[0]);
         start(held, 600_000, 600_000);
         assertTrue(end() != null, "it ends at once, not in ten minutes");
@@ -184,7 +184,7 @@
     void silenceIsATimeOutAndClosesTheConnection() throws Exception {
         expect(Outcome.DELIVERED, StubServer.status(200, ""));
         awaitKept();
-        stub.script(StubServer.silent());
+        stub.setScript(StubServer.silent());
         start(new byte[1], 30);
         assertEquals(new End(Outcome.TIMED_OUT, false, 0), end());
         expect(Outcome.DELIVERED, StubServer.status(200, ""));
@@ -195,7 +195,7 @@
     @Test
     void halfALineIsNoAnswer() throws Exception {
         CountDownLatch timedOut = new CountDownLatch(1);
-        stub.script((request, socket) -> {
+        stub.setScript((request, socket) -> {
             StubServer.write(socket, "HTTP/1.1 2");
             timedOut.await();
             StubServer.write(socket, "00 OK\r\nContent-Length: 0\r\n\r\n");
@@ -212,7 +212,7 @@
 
     @Test
     void aCancelledCallEndsOnceAndClosesTheConnection() throws Exception {
-        stub.script(StubServer.silent());
+        stub.setScript(StubServer.silent());
         EndpointClient.Call call = start(new byte[1], LONG_MS);
         StubServer.await("the call arrives", () -> !stub.requests.isEmpty());
         loop.submit(() -> endpoints.cancel(call)).syncUninterruptibly();
@@ -240,7 +240,7 @@
     @Test
     void aConnectionThatTheEndpointClosedIsNotUsedAgain() throws Exception {
         expect(Outcome.DELIVERED, (request, socket) -> {
-            StubServer.status(200, "").come(request, socket);
+            StubServer.status(200, "").handle(request, socket);
             socket.close();
         });
         StubServer.await("the close is noticed", () -> kept() == 0);
@@ -278,7 +278,7 @@
                 "HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\nConnection: upgrade\r\n\r\n",
                 "HTTP/1.1 twohundred x\r\nContent-Length: 0\r\n\r\n");
         for (String answer : spoilt) {
-            stub.script(raw(answer));
+            stub.setScript(raw(answer));
             start(new byte[1], 600_000);
             assertEquals(new End(Outcome.BROKEN, false, 0), end(), answer);
         }
@@ -291,11 +291,11 @@
         for (String rest : List.of("", "X-More: more", "\u0001\u0002\r\n\r\n", "Content-Length: many\r\n\r\n",
                 "Content-Length: 10\r\n\r\nfour", "Content-Length: 3000000000\r\n\r\nxxx",
                 "X-More: more\r\n".repeat(2000))) {
-            int before = stub.ended();
-            stub.script(raw("HTTP/1.1 200 OK\r\n" + rest));
+            int before = stub.endedConnections();
+            stub.setScript(raw("HTTP/1.1 200 OK\r\n" + rest));
             start(new byte[1], 600_000);
             assertEquals(new End(Outcome.DELIVERED, false, 0), end(), rest);
-            StubServer.await("the connection is closed", () -> stub.ended() == before + 1);
+            StubServer.await("the connection is closed", () -> stub.endedConnections() == before + 1);
         }
     }
 
@@ -303,24 +303,24 @@
     void whatComesBehindAnAnswerIsNotTakenForTheNext() throws Exception {
         String ok = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
         for (String behind : List.of(ok, "noise", "\r\n")) {
-            int before = stub.ended();
-            stub.script((request, socket) -> {
+            int before = stub.endedConnections();
+            stub.setScript((request, socket) -> {
                 StubServer.write(socket, ok);
                 StubServer.write(socket, behind);
             });
             start(new byte[1], LONG_MS);
             assertEquals(new End(Outcome.DELIVERED, false, 0), end());
-            stub.script(StubServer.status(500, ""));
+            stub.setScript(StubServer.status(500, ""));
             start(new byte[1], LONG_MS);
             assertEquals(new End(Outcome.ERROR, false, 0), end(), "the next call's own answer");
-            StubServer.await("the connection is closed", () -> stub.ended() > before);
+            StubServer.await("the connection is closed", () -> stub.endedConnections() > before);
         }
     }
 
     @Test
     void interimAnswersAheadAreSkippedHoweverLongTheRealOneTakes() throws Exception {
         CountDownLatch go = new CountDownLatch(1);
-        stub.script((request, socket) -> {
+        stub.setScript((request, socket) -> {
             StubServer.write(socket, "HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\nHTTP/1.1 100 Continue\r\n\r\n");
             go.await();
             StubServer.write(socket, "HTTP/1.1 429 x\r\nRetry-After: 0.5\r\nContent-Length: 0\r\n\r\n");
@@ -363,12 +363,12 @@
                 "HTTP/1.1 429 x\r\nretry-after:0.50 \r\nX-Endless: ", "HTTP/1.1 503 x\r\nRetry-After: 0.5\r\n\r\n",
                 "HTTP/1.1 200 x\r\nRetry-After: 0.5\r\nContent-Length: 0\r\n\r\n",
                 "HTTP/1.1 100 Continue\r\nRetry-After: 7\r\n\r\nHTTP/1.1 500 x\r\nRetry-After: 0.5\r\n\r\n")) {
-            stub.script((request, socket) -> StubServer.write(socket, head));
+            stub.setScript((request, socket) -> StubServer.write(socket, head));
             start(new byte[1], LONG_MS);
             assertEquals(500, waits.poll(30, TimeUnit.SECONDS), head);
             assertTrue(end() != null);
         }
-        stub.script(answer("Retry-After: 2\r\n", "not a line\r\n"));
+        stub.setScript(answer("Retry-After: 2\r\n", "not a line\r\n"));
         startTogether("a", "b");
         expectEnds(plain(Outcome.BROKEN), plain(Outcome.BROKEN));
         assertEquals(2000, waits.poll(30, TimeUnit.SECONDS));
@@ -380,9 +380,9 @@
     void aWaitIsHeardInAnAnswerThatCrossesTheEndOfItsCall() throws Exception {
         CountDownLatch go = new CountDownLatch(1);
         CountDownLatch written = new CountDownLatch(1);
-        stub.script((request, socket) -> {
+        stub.setScript((request, socket) -> {
             go.await();
-            StubServer.status(429, "Retry-After: 0.5\r\n").come(request, socket);
+            StubServer.status(429, "Retry-After: 0.5\r\n").handle(request, socket);
             written.countDown();
         });
         EndpointClient.Call call = start(new byte[1], LONG_MS);
@@ -395,7 +395,7 @@
         }).sync();
         assertEquals(new End(Outcome.CANCELLED, false, 0), end());
         assertEquals(500, waits.poll(30, TimeUnit.SECONDS));
-        StubServer.await("the connection is closed", () -> stub.ended() == 1);
+        StubServer.await("the connection is closed", () -> stub.endedConnections() == 1);
         assertEquals(0, kept());
     }
 
@@ -408,9 +408,9 @@
         keepTwo();
         CountDownLatch heldUp = new CountDownLatch(1);
         CountDownLatch written = new CountDownLatch(1);
-        stub.script((request, socket) -> {
+        stub.setScript((request, socket) -> {
             heldUp.await();
-            StubServer.status(429, "Retry-After: 5\r\n").come(request, socket);
+            StubServer.status(429, "Retry-After: 5\r\n").handle(request, socket);
             written.countDown();
         });
         startTogether("a");
@@ -434,14 +434,14 @@
         CountDownLatch heldUp = new CountDownLatch(1);
         CountDownLatch otherWritten = new CountDownLatch(1);
         CountDownLatch written = new CountDownLatch(1);
-        stub.script((request, socket) -> {
+        stub.setScript((request, socket) -> {
             heldUp.await();
-            StubServer.status(429, "Retry-After: 5\r\n").come(request, socket);
+            StubServer.status(429, "Retry-After: 5\r\n").handle(request, socket);
             written.countDown();
         });
         StubServer.Script othersAnswer = (request, socket) -> {
             decided.await();
-            StubServer.status(429, "Retry-After: 1\r\n").come(request, socket);
+            StubServer.status(429, "Retry-After: 1\r\n").handle(request, socket);
             otherWritten.countDown();
         };
         try (StubServer other = new StubServer(othersAnswer)) {
@@ -473,10 +473,10 @@
     /** Has two connections to the endpoint kept. */
     private void keepTwo() throws Exception {
         CountDownLatch both = new CountDownLatch(2);
-        stub.script((request, socket) -> {
+        stub.setScript((request, socket) -> {
             both.countDown();
             both.await();
-            StubServer.status(200, "").come(request, socket);
+            StubServer.status(200, "").handle(request, socket);
         });
         for (String id : List.of("one", "two")) {
             startTogether(id);
@@ -507,9 +507,9 @@
         CountDownLatch go = new CountDownLatch(1);
         expect(Outcome.DELIVERED, StubServer.status(200, ""));
         awaitKept();
-        stub.script((request, socket) -> {
+        stub.setScript((request, socket) -> {
             go.await();
-            StubServer.status(200, "").come(request, socket);
+            StubServer.status(200, "").handle(request, socket);
         });
         start(new byte[1], LONG_MS);
         start(new byte[1], LONG_MS);
@@ -518,7 +518,7 @@
         go.countDown();
         assertEquals(new End(Outcome.DELIVERED, false, 0), end(), "a call that is out still ends");
         assertEquals(new End(Outcome.DELIVERED, false, 0), end());
-        StubServer.await("its connections are closed", () -> stub.ended() == 2);
+        StubServer.await("its connections are closed", () -> stub.endedConnections() == 2);
         assertEquals(0, kept());
         assertEquals(0, loop.submit(() -> endpoints.known()).get());
     }
@@ -526,9 +526,9 @@
     @Test
     void aConnectionToTheOldAddressOfAMovedEndpointIsNotUsedAgain() throws Exception {
         CountDownLatch go = new CountDownLatch(1);
-        stub.script((request, socket) -> {
+        stub.setScript((request, socket) -> {
             go.await();
-            StubServer.status(200, "").come(request, socket);
+            StubServer.status(200, "").handle(request, socket);
         });
         start(new byte[1], LONG_MS);
         StubServer.await("the call is out", () -> stub.requests.size() == 1);
@@ -536,7 +536,7 @@
             at(moved.address());
             go.countDown();
             assertEquals(new End(Outcome.DELIVERED, false, 0), end());
-            StubServer.await("the old connection is closed", () -> stub.ended() == 1);
+            StubServer.await("the old connection is closed", () -> stub.endedConnections() == 1);
             start(new byte[1], LONG_MS);
             assertEquals(new End(Outcome.ERROR, false, 0), end());
         }
@@ -547,14 +547,14 @@
         End end = plain(Outcome.DELIVERED);
         // Where the loop was slow to dial, it dialled the new address, and shows nothing.
         while (end.equals(plain(Outcome.DELIVERED))) {
-            try (StubServer old = StubServer.busy(StubServer.status(200, "")); StubServer moved
+            try (StubServer old = StubServer.withFullAcceptQueue(StubServer.status(200, "")); StubServer moved
                     = new StubServer(StubServer.status(200, ""))) {
                 EndpointClient patient = new EndpointClient(loop, 20_000, 15_000, 4, ends());
                 loop.submit(() -> patient.at(1, old.address(), true, BATCH)).syncUninterruptibly();
                 call(patient, "a");
                 awaitPasses();
                 loop.submit(() -> patient.at(1, moved.address(), true, BATCH)).syncUninterruptibly();
-                old.accepts();
+                old.startAccepting();
                 end = end();
                 assertEquals(List.of(), old.requests);
             }
@@ -599,9 +599,9 @@
     @Test
     void whereKeptConnectionsAreLostTheNextCallGoesOverAFreshOne() throws Exception {
         Set<Integer> used = ConcurrentHashMap.newKeySet();
-        stub.script((request, socket) -> {
+        stub.setScript((request, socket) -> {
             if (used.add(request.connection())) {
-                StubServer.status(200, "").come(request, socket);
+                StubServer.status(200, "").handle(request, socket);
             } else {
                 socket.close();
             }
@@ -652,7 +652,7 @@
 
     @Test
     void theCallsOfATurnToOneEndpointTravelAsOne() throws Exception {
-        stub.script(answer("X-Load-Report: TEXT x0=0.5, x1=4\r\n", "a accepted\r\nc accepted\r\n"));
+        stub.setScript(answer("X-Load-Report: TEXT x0=0.5, x1=4\r\n", "a accepted\r\nc accepted\r\n"));
         startTogether("a", "c");
         expectEnds(plain(Outcome.DELIVERED), plain(Outcome.DELIVERED));
         assertEquals(1, stub.requests.size());
@@ -665,10 +665,10 @@
 
     @Test
     void noCallCarriesMoreThanTheEndpointTakesInOne() throws Exception {
-        stub.script((request, socket) -> {
+        stub.setScript((request, socket) -> {
             boolean several = request.line().contains(":batch");
             (several ? answer("", "a accepted\nb accepted\nc accepted\n") : StubServer.status(200, ""))
-                    .come(request, socket);
+                    .handle(request, socket);
         });
         startTogether("a", "b", "c", "d");
         for (int i = 0; i < 4; i++) {
@@ -680,24 +680,24 @@
 
     @Test
     void eachOfSeveralEndsAsItsLineSays() throws Exception {
-        stub.script(answer("Retry-After: 0.5\r\n", "c deferred\r\nb fault\r\na accepted\r\n"));
+        stub.setScript(answer("Retry-After: 0.5\r\n", "c deferred\r\nb fault\r\na accepted\r\n"));
         startTogether("a", "b", "c");
         expectEnds(new End(Outcome.DELIVERED, false, 500), new End(Outcome.ERROR, false, 500),
                 new End(Outcome.FULL, false, 500));
-        stub.script(answer("", "a expired\nb no_more\n"));
+        stub.setScript(answer("", "a expired\nb no_more\n"));
         startTogether("a", "b");
         expectEnds(new End(Outcome.NOT_SENT, true, 0), plain(Outcome.NOT_SENT));
     }
 
     @Test
     void severalMayFareAlike() throws Exception {
-        stub.script(StubServer.status(429, "Retry-After: 1.5\r\n"));
+        stub.setScript(StubServer.status(429, "Retry-After: 1.5\r\n"));
         startTogether("a", "b");
         expectEnds(new End(Outcome.FULL, false, 1500), new End(Outcome.FULL, false, 1500));
-        stub.script(StubServer.status(500, ""));
+        stub.setScript(StubServer.status(500, ""));
         startTogether("a", "b");
         expectEnds(plain(Outcome.ERROR), plain(Outcome.ERROR));
-        stub.script(StubServer.status(413, ""));
+        stub.setScript(StubServer.status(413, ""));
         startTogether("a", "b");
         expectEnds(plain(Outcome.NOT_SENT), plain(Outcome.NOT_SENT));
     }
@@ -706,11 +706,11 @@
     @Test
     void ofAnUnreadableAnswerToSeveralNothingIsBelieved() throws Exception {
         for (String body : List.of("", "a accepted\n", "a accepted\nb perhaps\n", "a accepted\na accepted\n")) {
-            stub.script(answer("", body));
+            stub.setScript(answer("", body));
             startTogether("a", "b");
             expectEnds(plain(Outcome.BROKEN), plain(Outcome.BROKEN));
         }
-        stub.script((request, socket) -> {
+        stub.setScript((request, socket) -> {
             StubServer.write(socket, "HTTP/1.1 200 x\r\nContent-Length: 99\r\n\r\na accepted\n");
             socket.close();
         });
@@ -724,7 +724,7 @@
      */
     @Test
     void anAnswerToSeveralAfterTheTimeOfOneIsNotBelieved() throws Exception {
-        stub.script(answer("", "a accepted\nb accepted\n"));
+        stub.setScript(answer("", "a accepted\nb accepted\n"));
         AcceptedMessage late = AcceptedMessage.withTimeLeft(1, "a", "order", "t", Optional.of("key-a"), 7, 0,
                 new byte[1], MachineClock.system());
         startTogether(late, message("b"));
@@ -735,9 +735,9 @@
     @Test
     void oneThatIsCalledOffLeavesTheOthersOut() throws Exception {
         CountDownLatch go = new CountDownLatch(1);
-        stub.script((request, socket) -> {
+        stub.setScript((request, socket) -> {
             go.await();
-            answer("", "a accepted\nb accepted\n").come(request, socket);
+            answer("", "a accepted\nb accepted\n").handle(request, socket);
         });
         List<EndpointClient.Call> calls = startTogether("a", "b");
         StubServer.await("the call is out", () -> stub.requests.size() == 1);
--- a/src/test/java/kestreldeal/net/FileDescriptorsTest.java
+++ b/src/test/java/kestreldeal/net/FileDescriptorsTest.java
@@ -67,15 +67,15 @@
 
     private void start(int sockets, int limit, int endpoints) throws Exception {
         endpoint = new StubServer((request, socket) -> StubServer.status(
-                "unlucky".equals(request.header("X-Call-Id")) ? 500 : 200, "").come(request, socket));
+                "unlucky".equals(request.header("X-Call-Id")) ? 500 : 200, "").handle(request, socket));
         world = new SenderTestEnvironment(folder, endpoint);
-        world.endpoints = endpoints;
-        world.sockets = sockets;
+        world.endpointCount = endpoints;
+        world.socketLimit = sockets;
         world.slots = 40;
-        process = world.process(limit);
+        process = world.startProcess(limit);
         StubServer.await("the sender is ready", () -> {
-            address = world.listening().orElse(null);
-            return address != null && SenderTestEnvironment.ask(address, SenderTestEnvironment.HEALTH) == 200;
+            address = world.listeningAddress().orElse(null);
+            return address != null && SenderTestEnvironment.requestStatus(address, SenderTestEnvironment.HEALTH) == 200;
         });
     }
 
@@ -121,8 +121,8 @@
         StubServer.await(id + " is accepted", () -> {
             try (Socket socket = new Socket(address.getAddress(), address.getPort())) {
                 socket.setSoTimeout(400);
-                return SenderTestEnvironment.ask(socket,
-                        SenderTestEnvironment.message(id, messageClass, destination, body)) == 202;
+                return SenderTestEnvironment.requestStatus(socket,
+                        SenderTestEnvironment.submitRequest(id, messageClass, destination, body)) == 202;
             } catch (SocketTimeoutException | SocketException shutUnread) {
                 return false;
             } catch (IOException e) {
@@ -132,26 +132,26 @@
     }
 
     private void allGetTheirs(int limit) throws Exception {
-        world.agent.script(StubServer.silent());
+        world.agent.setScript(StubServer.silent());
         startCrowd();
         handIn("unlucky", "once", 1, "");
         for (int i = 0; i < MESSAGES; i++) {
-            handIn("m-" + i, "order", i % world.endpoints, BODY);
+            handIn("m-" + i, "order", i % world.endpointCount, BODY);
         }
         StubServer.await("all messages are delivered",
                 () -> endpoint.requests.stream().map(r -> r.header("X-Call-Id")).distinct()
                 .count() == MESSAGES + 1);
-        assertTrue(Files.size(world.state().resolve("journal")) < (long) MESSAGES * BODY.length(),
+        assertTrue(Files.size(world.stateFolder().resolve("journal")) < (long) MESSAGES * BODY.length(),
                 "the journal was compacted");
-        world.firstState = "DRAINING";
-        world.agent.script(world::answer);
+        world.firstLifecycle = "DRAINING";
+        world.agent.setScript(world::answerAsAgent);
         StubServer.await("the list change is applied", () -> world.agent.requests.stream()
                 .anyMatch(r -> r.line().contains("after=" + world.generation())));
         StubServer.await("the notice is delivered", () -> !world.notices.isEmpty());
         handIn("last", "order", 2, BODY);
         StubServer.await("the last message is delivered", () -> endpoint.requests.stream()
                 .anyMatch(r -> r.header("X-Call-Id").equals("last")));
-        String log = Files.readString(world.log());
+        String log = Files.readString(world.logFile());
         assertFalse(log.contains("journal:"), log);
         assertFalse(log.contains("journal can't"), log);
         System.out.println("at most " + mostOpen + " of " + limit + " file descriptors were in use");
@@ -161,7 +161,7 @@
     void aCrowdOfIdleClientsLeavesAllElseItsDescriptors() throws Exception {
         start(256, 256, MESSAGES);
         allGetTheirs(256);
-        String log = Files.readString(world.log());
+        String log = Files.readString(world.logFile());
         assertFalse(log.contains("out of file descriptors"), log);
     }
 
@@ -170,7 +170,7 @@
     void whoeverTakesTheLastDescriptorHasToLeaveSome() throws Exception {
         start(1024, 150, 5);
         allGetTheirs(150);
-        assertTrue(Files.readString(world.log()).contains("out of file descriptors"));
+        assertTrue(Files.readString(world.logFile()).contains("out of file descriptors"));
     }
 
     /**
--- a/src/test/java/kestreldeal/net/RelistedEndpointTest.java
+++ b/src/test/java/kestreldeal/net/RelistedEndpointTest.java
@@ -25,9 +25,9 @@
     void open() throws Exception {
         endpoint = new StubServer(StubServer.status(200, ""));
         world = new SenderTestEnvironment(folder, endpoint);
-        sender = world.sender();
+        sender = world.createSender();
         address = sender.start();
-        StubServer.await("it is ready", () -> SenderTestEnvironment.ask(address, SenderTestEnvironment.HEALTH) == 200);
+        StubServer.await("it is ready", () -> SenderTestEnvironment.requestStatus(address, SenderTestEnvironment.HEALTH) == 200);
     }
 
     @AfterEach
@@ -42,8 +42,8 @@
     }
 
     private void handIn(String id, long destination) {
-        assertEquals(202, SenderTestEnvironment.ask(address,
-                SenderTestEnvironment.message(id, "order", destination, "")));
+        assertEquals(202, SenderTestEnvironment.requestStatus(address,
+                SenderTestEnvironment.submitRequest(id, "order", destination, "")));
     }
 
     @Test
--- a/src/test/java/kestreldeal/net/RepeatWindowTest.java
+++ b/src/test/java/kestreldeal/net/RepeatWindowTest.java
@@ -26,7 +26,7 @@
         endpoint = at;
         world = new SenderTestEnvironment(folder, at);
         world.windowMs = WINDOW_MS;
-        world.agent.script(this::agent);
+        world.agent.setScript(this::agent);
     }
 
     /** It does not answer a notice, so that the journal holds its message on. */
@@ -34,7 +34,7 @@
         if (request.line().startsWith("POST")) {
             world.notices.add(request.body());
         } else {
-            world.answer(request, socket);
+            world.answerAsAgent(request, socket);
         }
     }
 
@@ -49,7 +49,7 @@
 
     /** Leaves a message with one attempt that was out, made so long ago; returns when by the wall clock. */
     private long leave(long agoMs) throws Exception {
-        try (Journal journal = world.journal()) {
+        try (Journal journal = world.openJournal()) {
             long wall = System.currentTimeMillis();
             AcceptedMessage held = AcceptedMessage.withTimeLeft(journal.nextNumber(), "old", "order", "",
                     Optional.of("key-old"), 0, 20_000, new byte[0], MachineClock.system());
@@ -60,7 +60,7 @@
     }
 
     private void start() throws Exception {
-        sender = world.sender();
+        sender = world.createSender();
         sender.start();
     }
 
@@ -68,7 +68,7 @@
     private void awaitRefused(int attempts) throws Exception {
         StubServer.await("the notice", () -> !world.notices.isEmpty());
         assertTrue(world.notices.get(0).contains("bounced"), world.notices.toString());
-        assertEquals(List.of(attempts), world.journalled().stream().map(held -> held.attempts.size()).toList());
+        assertEquals(List.of(attempts), world.journalMessages().stream().map(held -> held.attempts.size()).toList());
         assertEquals(List.of(), endpoint.requests);
     }
 
@@ -94,11 +94,11 @@
     @Test
     void itIsNotRepeatedWhereTheRestartTakesLongerThanTheWindow() throws Exception {
         open(new StubServer(StubServer.status(200, "")));
-        world.known = false;
+        world.listInConfig = false;
         long sentAt = leave(0);
-        world.agent.script((request, socket) -> {
+        world.agent.setScript((request, socket) -> {
             StubServer.await("the window's end", () -> System.currentTimeMillis() > sentAt + WINDOW_MS);
-            world.agent.script(this::agent);
+            world.agent.setScript(this::agent);
             socket.close();
         });
         start();
@@ -108,15 +108,15 @@
     /** Decided inside the window; its connection comes up behind it. */
     @Test
     void itIsNotWrittenLate() throws Exception {
-        open(StubServer.busy(StubServer.status(200, "")));
-        world.dialMs = 20_000;
+        open(StubServer.withFullAcceptQueue(StubServer.status(200, "")));
+        world.dialTimeoutMs = 20_000;
         world.windowMs = 2 * WINDOW_MS;
         long sentAt = leave(0);
         start();
         StubServer.await("it is decided",
-                () -> world.journalled().stream().anyMatch(held -> held.attempts.size() == 2));
+                () -> world.journalMessages().stream().anyMatch(held -> held.attempts.size() == 2));
         StubServer.await("the window's end", () -> System.currentTimeMillis() > sentAt + 2 * WINDOW_MS);
-        endpoint.accepts();
+        endpoint.startAccepting();
         awaitRefused(2);
     }
 
--- a/src/test/java/kestreldeal/net/RestartTest.java
+++ b/src/test/java/kestreldeal/net/RestartTest.java
@@ -42,7 +42,7 @@
 
     @BeforeEach
     void open() throws Exception {
-        endpoint = StubServer.busy(StubServer.silent());
+        endpoint = StubServer.withFullAcceptQueue(StubServer.silent());
     }
 
     @AfterEach
@@ -66,14 +66,14 @@
         Restarted(Mode mode, int number) throws Exception {
             this.mode = mode;
             world = new SenderTestEnvironment(folder.resolve(mode + "-" + number), endpoint);
-            world.endpoints = ENDPOINTS;
-            world.agent.script(this::agent);
+            world.endpointCount = ENDPOINTS;
+            world.agent.setScript(this::agent);
             held = fill();
         }
 
         /** Until the journal takes no more: untried, tried, and ended by a notice that was not heard. */
         private int fill() throws IOException {
-            try (Journal journal = world.journal()) {
+            try (Journal journal = world.openJournal()) {
                 for (int i = 0; i < ENDPOINTS; i += 10) {
                     journal.health("s-" + i, Journal.Health.since(0, Relay.EndpointState.DOWN, 0.001,
                             MachineClock.system()));
@@ -106,9 +106,9 @@
                 return;
             }
             if (mode == Mode.ANSWERING) {
-                world.answer(request, socket);
+                world.answerAsAgent(request, socket);
             } else if (mode == Mode.SLOW) {
-                String list = world.list();
+                String list = world.endpointListJson();
                 StubServer.write(socket, "HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + "\r\n\r\n"
                         + list.substring(0, list.length() - 1));
                 StubServer.await("it is ready without the end of the list", () -> health() == 200);
@@ -116,12 +116,12 @@
         }
 
         private int health() {
-            return SenderTestEnvironment.ask(address.join(), SenderTestEnvironment.HEALTH);
+            return SenderTestEnvironment.requestStatus(address.join(), SenderTestEnvironment.HEALTH);
         }
 
         void start() {
             try {
-                sender = world.sender();
+                sender = world.createSender();
                 address.complete(sender.start());
             } catch (Exception e) {
                 throw new AssertionError(e);
--- a/src/test/java/kestreldeal/net/SenderTest.java
+++ b/src/test/java/kestreldeal/net/SenderTest.java
@@ -207,7 +207,7 @@
     }
 
     private void script(StubServer.Script script) {
-        endpoints.forEach(e -> e.script(script));
+        endpoints.forEach(e -> e.setScript(script));
     }
 
     /** The messages in the journal, read from a copy. */
@@ -263,7 +263,7 @@
     }
 
     private int ended() {
-        return endpoints.stream().mapToInt(StubServer::ended).sum();
+        return endpoints.stream().mapToInt(StubServer::endedConnections).sum();
     }
 
     private void awaitNothingHeld() throws InterruptedException {
@@ -444,7 +444,7 @@
         end.start();
         StubServer.await("the next process leads", () -> unchecked(() -> figure("pending") == 1));
         for (StubServer endpoint : endpoints) {
-            endpoint.answerAll("HTTP/1.1 200 OK\r\nRetry-After: 2\r\nContent-Length: 0\r\n\r\n");
+            endpoint.writeToAll("HTTP/1.1 200 OK\r\nRetry-After: 2\r\nContent-Length: 0\r\n\r\n");
         }
         StubServer.await("the result is handed on", () -> unchecked(() -> figure("pending") == 0));
         long told = System.nanoTime();
@@ -454,7 +454,7 @@
         handIn("two", "order");
         awaitNothingHeld();
         assertEquals(2, calls().size());
-        assertTrue(calls().stream().anyMatch(c -> c.atNanos() - told >= 1_500_000_000L), "sent during the wait");
+        assertTrue(calls().stream().anyMatch(c -> c.receivedNanos() - told >= 1_500_000_000L), "sent during the wait");
         end.join();
     }
 
@@ -465,7 +465,7 @@
 
     private void answerCallsOut() throws IOException {
         for (StubServer endpoint : endpoints) {
-            endpoint.answerAll("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
+            endpoint.writeToAll("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
         }
     }
 
@@ -504,7 +504,7 @@
         Thread end = replace();
         script(StubServer.status(200, ""));
         for (StubServer endpoint : endpoints) {
-            endpoint.answerAll("HTTP/1.1 500 x\r\nContent-Length: 0\r\n\r\n");
+            endpoint.writeToAll("HTTP/1.1 500 x\r\nContent-Length: 0\r\n\r\n");
         }
         awaitNothingHeld();
         end.join();
@@ -658,9 +658,9 @@
         script(StubServer.status(200, ""));
         handIn("two", "order");
         StubServer.await("both messages are delivered", () -> calls().size() == 3);
-        long first = calls().stream().mapToLong(StubServer.Message::atNanos).min().orElseThrow();
+        long first = calls().stream().mapToLong(StubServer.Message::receivedNanos).min().orElseThrow();
         for (StubServer.Message later : calls()) {
-            assertTrue(later.atNanos() == first || later.atNanos() - first >= 600_000_000, "sent during the wait");
+            assertTrue(later.receivedNanos() == first || later.receivedNanos() - first >= 600_000_000, "sent during the wait");
         }
     }
 
@@ -668,8 +668,8 @@
     private void startWithALateConnect(StubServer.Script first, StubServer.Script other) throws Exception {
         dialMs = 20_000;
         endpoints.get(0).close();
-        endpoints.set(0, StubServer.busy(first));
-        endpoints.get(1).script(other);
+        endpoints.set(0, StubServer.withFullAcceptQueue(first));
+        endpoints.get(1).setScript(other);
         start();
         handIn("late", "order");
         handIn("two", "order");
@@ -681,14 +681,14 @@
     void aToldWaitIsKeptByACallThatConnectsLate() throws Exception {
         StubServer.Script taken = StubServer.status(200, "");
         startWithALateConnect(taken, (request, socket) -> {
-            endpoints.get(1).script(taken);
-            StubServer.status(429, "Retry-After: 2\r\n").come(request, socket);
+            endpoints.get(1).setScript(taken);
+            StubServer.status(429, "Retry-After: 2\r\n").handle(request, socket);
         });
-        endpoints.get(0).accepts();
+        endpoints.get(0).startAccepting();
         awaitNothingHeld();
         assertEquals(3, calls().size());
-        long told = endpoints.get(1).requests.get(0).atNanos();
-        assertEquals(2, calls().stream().filter(c -> c.atNanos() - told >= 2_000_000_000L).count());
+        long told = endpoints.get(1).requests.get(0).receivedNanos();
+        assertEquals(2, calls().stream().filter(c -> c.receivedNanos() - told >= 2_000_000_000L).count());
     }
 
     @Test
@@ -703,7 +703,7 @@
         long told = System.nanoTime();
         awaitNothingHeld();
         assertEquals(2, calls().size());
-        assertEquals(1, calls().stream().filter(c -> c.atNanos() - told >= 1_900_000_000L).count());
+        assertEquals(1, calls().stream().filter(c -> c.receivedNanos() - told >= 1_900_000_000L).count());
     }
 
     /** If calls can't be cancelled, the first attempt may still be connecting when the hedged one has delivered. */
@@ -716,8 +716,8 @@
         awaitNothingHeld();
         assertEquals(2, endpoints.get(1).requests.size());
         int others = 2;
-        endpoints.get(0).accepts();
-        StubServer.await("the delayed connection", () -> endpoints.get(0).connections() > others);
+        endpoints.get(0).startAccepting();
+        StubServer.await("the delayed connection", () -> endpoints.get(0).acceptedConnections() > others);
         handIn("three", "order");
         awaitNothingHeld();
         assertEquals(List.of(), endpoints.get(0).requests.stream().map(c -> c.header("X-Call-Id"))
@@ -732,7 +732,7 @@
         String generation = generation();
         StubServer.await("the list is read", () -> agent.requests.stream()
                 .anyMatch(r -> r.line().contains("after=" + generation)));
-        endpoints.get(0).accepts();
+        endpoints.get(0).startAccepting();
         awaitNothingHeld();
         assertTrue(endpoints.get(0).requests.isEmpty());
         assertEquals(2, endpoints.get(1).requests.size());
@@ -799,7 +799,7 @@
     @Test
     void theFirstLifeAsksTheAgentBeforeItSendsByTheConfigurationsList() throws Exception {
         CountDownLatch go = new CountDownLatch(1);
-        agent.script((request, socket) -> {
+        agent.setScript((request, socket) -> {
             go.await();
             agent(request, socket);
         });
@@ -816,14 +816,14 @@
     /** A long poll that starts during an outage of discovery keeps waiting when the outage is over. */
     @Test
     void anAgentThatWasSilentIsAskedForWhatItHasNow() throws Exception {
-        agent.script((request, socket) -> {
+        agent.setScript((request, socket) -> {
             if (!request.line().contains("after=")) {
                 agent(request, socket);
             }
         });
         start();
         StubServer.await("a request without a wait", () -> asked().contains("&wait_ms=0 "));
-        agent.script(this::agent);
+        agent.setScript(this::agent);
         StubServer.await("the long poll continues",
                 () -> asked().lastIndexOf("&wait_ms=3000 ") > asked().indexOf("&wait_ms=0 "));
     }
@@ -831,10 +831,10 @@
     @Test
     void aChangeThatBreaksOffIsAskedForAgain() throws Exception {
         String before = generation();
-        agent.script((request, socket) -> {
+        agent.setScript((request, socket) -> {
             if (request.line().contains("after=")) {
                 states = "DRAINING SERVING";
-                agent.script(this::agent);
+                agent.setScript(this::agent);
                 String list = list();
                 StubServer.write(socket, "HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + "\r\n\r\n"
                         + list.substring(0, list.length() - 2));
@@ -855,7 +855,7 @@
         start();
         String spoilt = list().replace(endpoints.get(0).hostPort(), "").replace("\"reset\":true", "\"reset\":false")
                 .replace("\"generation\":" + generation(), "\"generation\":7");
-        agent.script((request, socket) -> {
+        agent.setScript((request, socket) -> {
             if (!request.line().contains("after=7&")) {
                 StubServer.write(socket, "HTTP/1.1 200 OK\r\nContent-Length: " + spoilt.length() + "\r\n\r\n" + spoilt);
             }
@@ -1359,7 +1359,7 @@
         assertTrue(drain.isAlive(), "calls in flight are waited for");
         StubServer.await("both calls", () -> calls().size() == 2);
         for (StubServer endpoint : endpoints) {
-            endpoint.answerAll("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
+            endpoint.writeToAll("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
         }
         drain.join();
         assertTrue(journalled().isEmpty());
--- a/src/test/java/kestreldeal/net/SenderTestEnvironment.java
+++ b/src/test/java/kestreldeal/net/SenderTestEnvironment.java
@@ -26,38 +26,38 @@
     final StubServer endpoint;
     final StubServer agent;
     final List<String> notices = new CopyOnWriteArrayList<>();
-    volatile String firstState = "SERVING";
+    volatile String firstLifecycle = "SERVING";
     volatile int firstDestination;
-    int endpoints = 1;
+    int endpointCount = 1;
     int windowMs = 20_000;
-    int dialMs = 1000;
-    int sockets = 256;
+    int dialTimeoutMs = 1000;
+    int socketLimit = 256;
     int slots = 10;
-    boolean known = true;
-    String listen = "127.0.0.1:0";
+    boolean listInConfig = true;
+    String listenAddress = "127.0.0.1:0";
     /** The configured address for operators, or empty. */
-    String operators = "";
+    String operatorAddress = "";
 
     SenderTestEnvironment(Path folder, StubServer endpoint) throws IOException {
         this.folder = folder;
         this.endpoint = endpoint;
-        this.agent = new StubServer(this::answer);
-        Files.createDirectories(state());
+        this.agent = new StubServer(this::answerAsAgent);
+        Files.createDirectories(stateFolder());
     }
 
-    Path state() {
+    Path stateFolder() {
         return folder.resolve("state");
     }
 
-    Journal journal() throws IOException {
-        return new Journal(state(), DISK_BYTES, MAX_ATTEMPTS);
+    Journal openJournal() throws IOException {
+        return new Journal(stateFolder(), DISK_BYTES, MAX_ATTEMPTS);
     }
 
     /** The messages in the journal, read from a copy. */
-    List<AcceptedMessage> journalled() {
+    List<AcceptedMessage> journalMessages() {
         try {
             Path copy = Files.createTempDirectory(folder, "copy");
-            Files.copy(state().resolve("journal"), copy.resolve("journal"));
+            Files.copy(stateFolder().resolve("journal"), copy.resolve("journal"));
             try (Journal journal = new Journal(copy, DISK_BYTES, MAX_ATTEMPTS)) {
                 return List.copyOf(journal.held());
             }
@@ -67,26 +67,26 @@
     }
 
     /** Answers as a healthy agent does; a long poll is not answered until the list changes. */
-    void answer(StubServer.Message request, Socket socket) throws IOException {
+    void answerAsAgent(StubServer.Message request, Socket socket) throws IOException {
         if (request.line().startsWith("POST")) {
             notices.addAll(List.of(request.body().trim().split("\n")));
             StubServer.write(socket, "HTTP/1.1 204 x\r\n\r\n");
         } else if (!request.line().contains("after=" + generation())) {
-            String list = list();
+            String list = endpointListJson();
             StubServer.write(socket, "HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + "\r\n\r\n" + list);
         }
     }
 
     int generation() {
-        return 1000 + Math.abs(firstState.hashCode() % 1000) + 1000 * firstDestination;
+        return 1000 + Math.abs(firstLifecycle.hashCode() % 1000) + 1000 * firstDestination;
     }
 
-    String list() {
+    String endpointListJson() {
         List<String> entries = new ArrayList<>();
-        for (int i = 0; i < endpoints; i++) {
+        for (int i = 0; i < endpointCount; i++) {
             entries.add("{\"instanceId\":\"s-" + i + "\",\"hostPort\":\"" + endpoint.hostPort()
                     + "\",\"zone\":\"a\",\"machineType\":\"m\",\"cell\":" + (i == 0 ? firstDestination : i) + ",\"lifecycle\":\""
-                    + (i == 0 ? firstState : "SERVING") + "\",\"weight\":1.0,\"startedAtMs\":0}");
+                    + (i == 0 ? firstLifecycle : "SERVING") + "\",\"weight\":1.0,\"startedAtMs\":0}");
         }
         return "{\"generation\":" + generation() + ",\"reset\":true,\"instances\":[" + String.join(",", entries) + "]}";
     }
@@ -104,36 +104,36 @@
                   "fleet_size":1,"limits":{"most_tries":%d,"second_copies":false,"cancel":true,
                    "dial_timeout_ms":%d,"keepalive_ms":15000},
                   "rules":{"start_capacity":0.2,"warm_after_ms":12000,"fall_multiple":2,"fall_ms":1500}}}
-                """.formatted(listen, operators, agent.hostPort(), sockets, known ? list() : "null", windowMs, slots, MAX_ATTEMPTS, dialMs));
-        return Map.of("GW_CONFIG", file.toString(), "GW_STATE", state().toString());
+                """.formatted(listenAddress, operatorAddress, agent.hostPort(), socketLimit, listInConfig ? endpointListJson() : "null", windowMs, slots, MAX_ATTEMPTS, dialTimeoutMs));
+        return Map.of("GW_CONFIG", file.toString(), "GW_STATE", stateFolder().toString());
     }
 
-    Sender sender() throws Exception {
-        return sender(MachineClock.system());
+    Sender createSender() throws Exception {
+        return createSender(MachineClock.system());
     }
 
     /** Creates a sender with these clocks. */
-    Sender sender(MachineClock clock) throws Exception {
+    Sender createSender(MachineClock clock) throws Exception {
         return new Sender(Config.read(environment()), false, Sender.TAKING_MS, Sender.CLOSING_MS, clock);
     }
 
     /** Starts the program as a process with a limit on file descriptors; its output goes to the log file. */
-    Process process(int descriptors) throws IOException {
+    Process startProcess(int descriptors) throws IOException {
         ProcessBuilder builder = new ProcessBuilder("sh", "-c", "ulimit -n " + descriptors + " && exec \"$0\" \"$@\"",
                 Path.of(System.getProperty("java.home"), "bin/java").toString(), "-cp",
                 System.getProperty("java.class.path"), "kestreldeal.Main", "serve", "--alone");
         builder.environment().putAll(environment());
-        return builder.redirectErrorStream(true).redirectOutput(log().toFile()).start();
+        return builder.redirectErrorStream(true).redirectOutput(logFile().toFile()).start();
     }
 
-    Path log() {
+    Path logFile() {
         return folder.resolve("log");
     }
 
     /** The address that the process listens at, once it has logged it. */
-    Optional<InetSocketAddress> listening() {
+    Optional<InetSocketAddress> listeningAddress() {
         try {
-            return Files.readAllLines(log()).stream().filter(line -> line.contains(" listens at "))
+            return Files.readAllLines(logFile()).stream().filter(line -> line.contains(" listens at "))
                     .map(line -> new InetSocketAddress("127.0.0.1",
                             Integer.parseInt(line.substring(line.lastIndexOf(':') + 1).trim()))).findFirst();
         } catch (IOException e) {
@@ -142,22 +142,22 @@
     }
 
     /** The status code of the response, or 0 if the connection was refused or closed without a response. */
-    static int ask(InetSocketAddress address, String request) {
+    static int requestStatus(InetSocketAddress address, String request) {
         try (Socket socket = new Socket(address.getAddress(), address.getPort())) {
-            return ask(socket, request);
+            return requestStatus(socket, request);
         } catch (IOException refused) {
             return 0;
         }
     }
 
-    static int ask(Socket socket, String request) throws IOException {
+    static int requestStatus(Socket socket, String request) throws IOException {
         StubServer.write(socket, request);
         StubServer.Message answer = StubServer.read(new BufferedInputStream(socket.getInputStream()), 0);
         return answer == null ? 0 : Integer.parseInt(answer.line().split(" ")[1]);
     }
 
     /** The answer to an operator's command, or an empty string if the connection is refused. */
-    static String operatorsAnswer(InetSocketAddress address, String call) {
+    static String askOperator(InetSocketAddress address, String call) {
         try (Socket socket = new Socket(address.getAddress(), address.getPort())) {
             StubServer.write(socket, call + "\n");
             return new String(socket.getInputStream().readAllBytes(), StandardCharsets.US_ASCII);
@@ -166,7 +166,7 @@
         }
     }
 
-    static String message(String id, String messageClass, long destination, String body) {
+    static String submitRequest(String id, String messageClass, long destination, String body) {
         return "POST /" + messageClass + " HTTP/1.1\r\nHost: x\r\nX-Call-Id: " + id + "\r\nX-Call-Class: "
                 + messageClass + "\r\nX-Budget-Ms: 24000\r\nIdempotency-Key: key-" + id + "\r\nX-Envelope: dest="
                 + destination + "\r\nContent-Length: " + body.length() + "\r\n\r\n" + body;
--- a/src/test/java/kestreldeal/net/StartupTest.java
+++ b/src/test/java/kestreldeal/net/StartupTest.java
@@ -51,7 +51,7 @@
 
     private boolean hasSaid(String text) {
         try {
-            return Files.readString(world.log()).contains(text);
+            return Files.readString(world.logFile()).contains(text);
         } catch (IOException e) {
             throw new AssertionError(e);
         }
@@ -59,17 +59,17 @@
 
     private void awaitAlive(String what, BooleanSupplier condition) throws Exception {
         StubServer.await(what, () -> !process.isAlive() || condition.getAsBoolean());
-        assertTrue(process.isAlive(), "it ended: " + Files.readString(world.log()));
+        assertTrue(process.isAlive(), "it ended: " + Files.readString(world.logFile()));
     }
 
     @ParameterizedTest
     @EnumSource(Failing.class)
     void whatFailsForAMomentIsTriedAgain(Failing failing) throws Exception {
         open();
-        Path journal = world.state().resolve("journal");
+        Path journal = world.stateFolder().resolve("journal");
         try (ServerSocket clients = taken(); ServerSocket operators = taken()) {
-            world.listen = hostPort(clients);
-            world.operators = hostPort(operators);
+            world.listenAddress = hostPort(clients);
+            world.operatorAddress = hostPort(operators);
             if (failing != Failing.CLIENTS_ADDRESS) {
                 clients.close();
             }
@@ -79,16 +79,16 @@
             if (failing == Failing.FOLDER) {
                 Files.createDirectory(journal);
             }
-            process = world.process(256);
+            process = world.startProcess(256);
             awaitAlive("it has tried", () -> hasSaid("can't "));
         }
         if (failing == Failing.FOLDER) {
             Files.delete(journal);
         }
-        InetSocketAddress clients = Config.address(world.listen);
-        awaitAlive("it is ready", () -> SenderTestEnvironment.ask(clients, SenderTestEnvironment.HEALTH) == 200);
-        InetSocketAddress operators = Config.address(world.operators);
+        InetSocketAddress clients = Config.address(world.listenAddress);
+        awaitAlive("it is ready", () -> SenderTestEnvironment.requestStatus(clients, SenderTestEnvironment.HEALTH) == 200);
+        InetSocketAddress operators = Config.address(world.operatorAddress);
         awaitAlive("operators are answered",
-                () -> SenderTestEnvironment.operatorsAnswer(operators, "readyz").equals("YES\n"));
+                () -> SenderTestEnvironment.askOperator(operators, "readyz").equals("YES\n"));
     }
 }
--- a/src/test/java/kestreldeal/net/StubServer.java
+++ b/src/test/java/kestreldeal/net/StubServer.java
@@ -22,7 +22,7 @@
 /** A scripted HTTP server on a loopback socket, and helpers for a plain HTTP client, for tests. */
 final class StubServer implements AutoCloseable {
     /** A request or a response; {@code connection} is the number of its connection at this server. */
-    record Message(String line, Map<String, String> headers, String body, int connection, long atNanos) {
+    record Message(String line, Map<String, String> headers, String body, int connection, long receivedNanos) {
         String header(String name) {
             return headers.get(name.toLowerCase(Locale.ROOT));
         }
@@ -30,19 +30,19 @@
 
     /** Handles a request: may write to the socket, close it, or do nothing. */
     interface Script {
-        void come(Message request, Socket socket) throws Exception;
+        void handle(Message request, Socket socket) throws Exception;
     }
 
     final List<Message> requests = new CopyOnWriteArrayList<>();
     private final ServerSocket server;
     private final Set<Socket> sockets = ConcurrentHashMap.newKeySet();
     private volatile Script script;
-    private final AtomicInteger connections = new AtomicInteger();
-    private final AtomicInteger ended = new AtomicInteger();
+    private final AtomicInteger acceptedConnections = new AtomicInteger();
+    private final AtomicInteger endedConnections = new AtomicInteger();
 
     StubServer(Script script) throws IOException {
         this(script, 50);
-        accepts();
+        startAccepting();
     }
 
     private StubServer(Script script, int backlog) throws IOException {
@@ -52,9 +52,9 @@
 
     /**
      * Creates a server whose accept queue is full: further connections are established a second or more after
-     * {@link #accepts}.
+     * {@link #startAccepting}.
      */
-    static StubServer busy(Script script) throws IOException {
+    static StubServer withFullAcceptQueue(Script script) throws IOException {
         StubServer stub = new StubServer(script, 1);
         // The system's queue holds one connection more than the backlog.
         for (int i = 0; i < 2; i++) {
@@ -64,11 +64,11 @@
     }
 
     /** Starts to accept connections. */
-    void accepts() {
-        daemon(this::accept);
+    void startAccepting() {
+        startDaemon(this::acceptConnections);
     }
 
-    void script(Script next) {
+    void setScript(Script next) {
         script = next;
     }
 
@@ -81,28 +81,28 @@
     }
 
     /** Number of connections accepted. */
-    int connections() {
-        return connections.get();
+    int acceptedConnections() {
+        return acceptedConnections.get();
     }
 
     /** Number of connections that have ended. */
-    int ended() {
-        return ended.get();
+    int endedConnections() {
+        return endedConnections.get();
     }
 
-    private static void daemon(Runnable task) {
+    private static void startDaemon(Runnable task) {
         Thread thread = new Thread(task);
         thread.setDaemon(true);
         thread.start();
     }
 
-    private void accept() {
+    private void acceptConnections() {
         try {
             while (true) {
                 Socket socket = server.accept();
                 sockets.add(socket);
-                int number = connections.getAndIncrement();
-                daemon(() -> serve(socket, number));
+                int number = acceptedConnections.getAndIncrement();
+                startDaemon(() -> serve(socket, number));
             }
         } catch (IOException closed) {
             // The server was closed at the end of the test.
@@ -114,23 +114,23 @@
             InputStream in = new BufferedInputStream(socket.getInputStream());
             for (Message m = read(in, number); m != null; m = read(in, number)) {
                 requests.add(m);
-                script.come(m, socket);
+                script.handle(m, socket);
             }
         } catch (Exception gone) {
             // The client may disconnect at any time.
         } finally {
-            ended.incrementAndGet();
+            endedConnections.incrementAndGet();
         }
     }
 
     /** Reads one message whose body has a content length; null at the end of the stream. */
     static Message read(InputStream in, int number) throws IOException {
-        String line = line(in);
+        String line = readLine(in);
         if (line == null) {
             return null;
         }
         Map<String, String> headers = new TreeMap<>();
-        for (String h = line(in); h != null && !h.isEmpty(); h = line(in)) {
+        for (String h = readLine(in); h != null && !h.isEmpty(); h = readLine(in)) {
             int cut = h.indexOf(':');
             headers.put(h.substring(0, cut).toLowerCase(Locale.ROOT), h.substring(cut + 1).trim());
         }
@@ -139,7 +139,7 @@
                 System.nanoTime());
     }
 
-    private static String line(InputStream in) throws IOException {
+    private static String readLine(InputStream in) throws IOException {
         ByteArrayOutputStream line = new ByteArrayOutputStream();
         for (int c = in.read(); c != '\n'; c = in.read()) {
             if (c < 0) {
@@ -156,7 +156,7 @@
     }
 
     /** Writes this text to every connection. */
-    void answerAll(String text) throws IOException {
+    void writeToAll(String text) throws IOException {
         for (Socket socket : sockets) {
             write(socket, text);
         }
--- a/src/test/java/kestreldeal/net/WallClockTest.java
+++ b/src/test/java/kestreldeal/net/WallClockTest.java
@@ -129,11 +129,11 @@
     void whatIsHeldIsTriedInTheNextLifeWhateverTheWallClockSays(long stepMs) throws Exception {
         endpoint = new StubServer(StubServer.status(200, ""));
         world = new SenderTestEnvironment(folder, endpoint);
-        try (Journal journal = world.journal()) {
+        try (Journal journal = world.openJournal()) {
             journal.taken(AcceptedMessage.withTimeLeft(journal.nextNumber(), "untried", "once", "", Optional.empty(), 0,
                     20_000, new byte[0], MachineClock.system()));
         }
-        sender = world.sender(new Stepped(stepMs));
+        sender = world.createSender(new Stepped(stepMs));
         sender.start();
         StubServer.await("the call", () -> endpoint.requests.size() == 1);
         assertEquals("untried", endpoint.requests.get(0).header("X-Call-Id"));
