--- a/src/main/java/kestreldeal/net/ClientConnectionLimit.java
+++ b/src/main/java/kestreldeal/net/ClientConnectionLimit.java
@@ -8,37 +8,37 @@
  */
 final class ClientConnectionLimit {
     /** Number of descriptors to free when none is left; also the minimum of the limit. */
-    static final int SPARE = 32;
+    static final int SPARE_DESCRIPTORS = 32;
     /** After each interval without another shortage the limit rises by one step. */
-    private static final long STEP_NANOS = TimeUnit.SECONDS.toNanos(10);
-    private static final int STEP = SPARE / 4;
+    private static final long RAISE_INTERVAL_NANOS = TimeUnit.SECONDS.toNanos(10);
+    private static final int RAISE_STEP = SPARE_DESCRIPTORS / 4;
 
     private int configured;
-    private int most;
-    private long changedNanos;
+    private int limit;
+    private long lastChangeNanos;
 
     ClientConnectionLimit(int configured) {
-        set(configured);
+        setConfigured(configured);
     }
 
     /** Sets the value that the configuration, or another process sharing the descriptors, allows for. */
-    void set(int allowed) {
+    void setConfigured(int allowed) {
         configured = allowed;
-        most = allowed;
+        limit = allowed;
     }
 
     /** Lowers the limit because no descriptor is left while this many clients are connected. */
     void lower(int clients, long nowNanos) {
-        most = Math.min(configured, Math.max(SPARE, clients - SPARE));
-        changedNanos = nowNanos;
+        limit = Math.min(configured, Math.max(SPARE_DESCRIPTORS, clients - SPARE_DESCRIPTORS));
+        lastChangeNanos = nowNanos;
     }
 
     /** The limit at this time. */
-    int most(long nowNanos) {
-        while (most < configured && nowNanos - changedNanos >= STEP_NANOS) {
-            most = Math.min(configured, most + STEP);
-            changedNanos += STEP_NANOS;
+    int current(long nowNanos) {
+        while (limit < configured && nowNanos - lastChangeNanos >= RAISE_INTERVAL_NANOS) {
+            limit = Math.min(configured, limit + RAISE_STEP);
+            lastChangeNanos += RAISE_INTERVAL_NANOS;
         }
-        return most;
+        return limit;
     }
 }
--- a/src/main/java/kestreldeal/net/ClientServer.java
+++ b/src/main/java/kestreldeal/net/ClientServer.java
@@ -62,30 +62,30 @@
  * many connections, those without any complete request are closed first.
  */
 final class ClientServer {
-    private static final int LONGEST_BODY = 64 * 1024;
+    private static final int MAX_BODY_BYTES = 64 * 1024;
     /** The id is written to the journal and passed on to endpoints, so its length is limited. */
-    private static final int LONGEST_ID = 256;
+    private static final int MAX_ID_LENGTH = 256;
     /** From connecting, or from the first byte of a later request, until the request is complete. */
-    private static final long REQUEST_MS = 2000;
+    private static final long REQUEST_TIMEOUT_MS = 2000;
     /** Idle connections are closed after this time, so that clients with a single request don't block others. */
-    private static final long IDLE_MS = 2500;
+    private static final long IDLE_TIMEOUT_MS = 2500;
     /** The same during an evacuation, so that all clients are gone well within the four seconds allowed for it. */
-    private static final long AWAY_IDLE_MS = 1000;
+    private static final long EVACUATION_IDLE_TIMEOUT_MS = 1000;
     /**
      * From the half-close after the last response until the close, unless the client closes first. Closing a socket
      * with unread bytes resets the connection, and the last response could be lost with it.
      */
-    private static final long LINGER_MS = 500;
+    private static final long LINGER_TIMEOUT_MS = 500;
     /** Limit on the bytes that are read and discarded during that time, so that a flood is not read to its end. */
-    private static final int MOST_DISCARDED = LONGEST_BODY;
-    private static final long SWEEP_MS = 200;
+    private static final int MAX_DISCARDED_BYTES = MAX_BODY_BYTES;
+    private static final long SWEEP_INTERVAL_MS = 200;
     /** Reads from one connection before the others are served. */
-    private static final int READS = 16;
+    private static final int MAX_READS_PER_TURN = 16;
     /** Pause after a failed accept; it doubles with each further failure, up to the maximum. */
-    private static final long FIRST_ACCEPT_PAUSE_MS = 5;
-    private static final long MOST_ACCEPT_PAUSE_MS = 160;
+    private static final long MIN_ACCEPT_PAUSE_MS = 5;
+    private static final long MAX_ACCEPT_PAUSE_MS = 160;
     /** Minimum time between two log lines about failed accepts. */
-    private static final long ACCEPT_LINE_MS = 10_000;
+    private static final long ACCEPT_LOG_INTERVAL_MS = 10_000;
 
     /** A message that a client asks to have delivered. */
     record Submission(String id, String messageClass, String tenant, Optional<String> key, long destination,
@@ -108,70 +108,70 @@
         boolean knowsDestination(long destination);
 
         /** Whether submissions must be forwarded to another process, which decides on them. */
-        default boolean handsOn() {
+        default boolean forwardsSubmissions() {
             return false;
         }
 
         /** Forwards a submission; the answer of the other process arrives later. */
-        default void handOn(Submission submission, Consumer<HttpResponseStatus> answer) {
+        default void forward(Submission submission, Consumer<HttpResponseStatus> answer) {
         }
 
         /** The answer to an earlier submission with this id, if that message is pending or finished recently. */
-        Optional<HttpResponseStatus> answeredBefore(String id);
+        Optional<HttpResponseStatus> previousAnswer(String id);
 
         /** Writes a message to the journal, or returns empty to reject it. */
-        Optional<AcceptedMessage> take(Submission submission);
+        Optional<AcceptedMessage> accept(Submission submission);
 
         /** This process closes a connection, for this reason. */
-        default void closes(CloseReason reason) {
+        default void connectionClosing(CloseReason reason) {
         }
 
         /** This process closes a connection although a request read from it has no answer. */
-        default void leavesUnanswered(CloseReason reason) {
+        default void requestLeftUnanswered(CloseReason reason) {
         }
 
         /** A submission of this class was rejected. */
-        default void turnedAway(String messageClass) {
+        default void submissionRejected(String messageClass) {
         }
 
         /** The 202 response for an accepted message was written, or writing it failed. */
-        void answered(AcceptedMessage held, boolean heard);
+        void responseWritten(AcceptedMessage message, boolean success);
     }
 
     private final EventLoop loop;
-    private final SubmissionHandler desk;
-    private final FileDescriptors descriptors;
-    private final ClientConnectionLimit bound;
+    private final SubmissionHandler handler;
+    private final FileDescriptors fileDescriptors;
+    private final ClientConnectionLimit connectionLimit;
     /** The connections in each state, ordered by the time when they entered it. */
-    private final Map<State, Set<Client>> clients = new EnumMap<>(State.class);
+    private final Map<State, Set<ClientConnection>> connectionsByState = new EnumMap<>(State.class);
     private final ServerBootstrap bootstrap;
     private boolean closing;
     /** Whether clients are being evacuated; messages that they submit nevertheless are still accepted. */
-    private boolean away;
+    private boolean evacuating;
     /** Whether another process has taken over, or is about to. */
-    private boolean leaving;
+    private boolean handedOver;
 
-    ClientServer(EventLoop loop, int mostClients, SubmissionHandler desk) {
-        this(loop, mostClients, desk, NioServerSocketChannel::new, FileDescriptors.system());
+    ClientServer(EventLoop loop, int maxClients, SubmissionHandler handler) {
+        this(loop, maxClients, handler, NioServerSocketChannel::new, FileDescriptors.system());
     }
 
     /** Creates a server with another factory for the listening channel; tests use one whose accepts fail. */
-    ClientServer(EventLoop loop, int mostClients, SubmissionHandler desk,
-            ChannelFactory<NioServerSocketChannel> listeners, FileDescriptors descriptors) {
+    ClientServer(EventLoop loop, int maxClients, SubmissionHandler handler,
+            ChannelFactory<NioServerSocketChannel> listenerFactory, FileDescriptors fileDescriptors) {
         this.loop = loop;
-        this.descriptors = descriptors;
-        this.desk = desk;
-        this.bound = new ClientConnectionLimit(mostClients);
+        this.fileDescriptors = fileDescriptors;
+        this.handler = handler;
+        this.connectionLimit = new ClientConnectionLimit(maxClients);
         for (State state : State.values()) {
-            clients.put(state, new LinkedHashSet<>());
+            connectionsByState.put(state, new LinkedHashSet<>());
         }
         bootstrap = new ServerBootstrap().group(loop, loop)
-                .channelFactory(listeners)
+                .channelFactory(listenerFactory)
                 .handler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
                         // A new one for each attempt to bind.
-                        channel.pipeline().addLast(new AcceptFailures());
+                        channel.pipeline().addLast(new AcceptFailureHandler());
                     }
                 })
                 .option(ChannelOption.SO_BACKLOG, 512)
@@ -180,16 +180,16 @@
                 .childOption(ChannelOption.TCP_NODELAY, true)
                 // Reads until the socket is empty, so that a close right after a request is noticed with it.
                 .childOption(ChannelOption.RECVBUF_ALLOCATOR,
-                        new AdaptiveRecvByteBufAllocator().respectMaybeMoreData(false).maxMessagesPerRead(READS))
+                        new AdaptiveRecvByteBufAllocator().respectMaybeMoreData(false).maxMessagesPerRead(MAX_READS_PER_TURN))
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
-                        Client client = new Client(channel);
-                        channel.pipeline().addLast(client.requests, new HttpResponseEncoder(), new Framing(),
-                                new Bodies(client), client);
+                        ClientConnection connection = new ClientConnection(channel);
+                        channel.pipeline().addLast(connection.decoder, new HttpResponseEncoder(), new BodyLengthCheck(),
+                                new BodyAggregator(connection), connection);
                     }
                 });
-        loop.scheduleWithFixedDelay(this::sweep, SWEEP_MS, SWEEP_MS, TimeUnit.MILLISECONDS);
+        loop.scheduleWithFixedDelay(this::closeTimedOut, SWEEP_INTERVAL_MS, SWEEP_INTERVAL_MS, TimeUnit.MILLISECONDS);
     }
 
     /** Binds to the address; another process may be bound to it at the same time. */
@@ -201,7 +201,7 @@
      * Closes each open connection with the response to its next request. No connection is closed between requests: a
      * request that is already on its way would get no answer.
      */
-    void close() {
+    void closeAfterNextResponse() {
         closing = true;
     }
 
@@ -210,8 +210,8 @@
      * process could exit before the response is written. Requests already read are answered with 503, and clients
      * submit again what crosses the half-close. The connections close when their clients close them, or soon after.
      */
-    void shut() {
-        clients.values().stream().flatMap(Set::stream).toList().forEach(Client::letGo);
+    void shutDown() {
+        connectionsByState.values().stream().flatMap(Set::stream).toList().forEach(ClientConnection::shutDown);
     }
 
     /**
@@ -220,8 +220,8 @@
      * connections that were idle for a while are closed without a response: the client must repeat a request that
      * crosses such a close, on a new connection.
      */
-    void evacuate(boolean clientsAway) {
-        away = clientsAway;
+    void evacuate(boolean start) {
+        evacuating = start;
     }
 
     /**
@@ -229,23 +229,23 @@
      * time out.
      */
     void handOver() {
-        leaving = true;
-        away = false;
+        handedOver = true;
+        evacuating = false;
     }
 
     /** Sets the limit on client connections; it is lower while another process shares the descriptors. */
-    void bound(int most) {
-        bound.set(most);
+    void setConnectionLimit(int limit) {
+        connectionLimit.setConfigured(limit);
     }
 
     /** The number of connections on which a part of a request has arrived. */
-    long begun() {
-        return clients.values().stream().flatMap(Set::stream).filter(c -> c.begun).count();
+    long partialRequests() {
+        return connectionsByState.values().stream().flatMap(Set::stream).filter(connection -> connection.requestStarted).count();
     }
 
     /** The number of open client connections. */
-    int clients() {
-        return clients.values().stream().mapToInt(Set::size).sum();
+    int connectionCount() {
+        return connectionsByState.values().stream().mapToInt(Set::size).sum();
     }
 
     /**
@@ -254,29 +254,29 @@
      *
      * @return whether any connection could be closed without interrupting a request
      */
-    private boolean leaveSpare() {
-        long now = System.nanoTime();
-        bound.lower(clients(), now);
-        List<Client> idle = withoutLaterRequest().limit(ClientConnectionLimit.SPARE).toList();
-        idle.forEach(Client::makeRoom);
+    private boolean freeDescriptors() {
+        long nowNanos = System.nanoTime();
+        connectionLimit.lower(connectionCount(), nowNanos);
+        List<ClientConnection> idle = evictionCandidates().limit(ClientConnectionLimit.SPARE_DESCRIPTORS).toList();
+        idle.forEach(ClientConnection::evict);
         Log.write("out of file descriptors; closing " + idle.size() + " idle client connections and limiting them to "
-                + bound.most(now) + " for now");
+                + connectionLimit.current(nowNanos) + " for now");
         return !idle.isEmpty();
     }
 
     /** Connections that may be closed to make room for others, in the order in which to close them. */
-    private Stream<Client> withoutLaterRequest() {
-        return clients.entrySet().stream().filter(e -> e.getKey() != State.ASKING).flatMap(e -> e.getValue().stream());
+    private Stream<ClientConnection> evictionCandidates() {
+        return connectionsByState.entrySet().stream().filter(e -> e.getKey() != State.IN_REQUEST).flatMap(e -> e.getValue().stream());
     }
 
     /** Handles failures to accept a connection. */
-    private final class AcceptFailures extends ChannelInboundHandlerAdapter {
-        private long pauseMs = FIRST_ACCEPT_PAUSE_MS;
-        private long loggedNanos = System.nanoTime() - TimeUnit.MILLISECONDS.toNanos(ACCEPT_LINE_MS);
+    private final class AcceptFailureHandler extends ChannelInboundHandlerAdapter {
+        private long pauseMs = MIN_ACCEPT_PAUSE_MS;
+        private long lastLogNanos = System.nanoTime() - TimeUnit.MILLISECONDS.toNanos(ACCEPT_LOG_INTERVAL_MS);
 
         @Override
         public void channelRead(ChannelHandlerContext ctx, Object accepted) {
-            pauseMs = FIRST_ACCEPT_PAUSE_MS;
+            pauseMs = MIN_ACCEPT_PAUSE_MS;
             ctx.fireChannelRead(accepted);
         }
 
@@ -284,36 +284,36 @@
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
             if (!(cause instanceof IOException)) {
                 ctx.fireExceptionCaught(cause);
-            } else if (descriptors.anyLeft() || !leaveSpare()) {
-                pause(ctx.channel());
+            } else if (fileDescriptors.available() || !freeDescriptors()) {
+                pauseAccepting(ctx.channel());
             }
         }
 
         /** Stops accepting for a short time, to avoid a busy loop. Netty's own handler would pause for a second. */
-        private void pause(Channel listening) {
-            long now = System.nanoTime();
-            if (now - loggedNanos >= TimeUnit.MILLISECONDS.toNanos(ACCEPT_LINE_MS)) {
-                loggedNanos = now;
+        private void pauseAccepting(Channel listener) {
+            long nowNanos = System.nanoTime();
+            if (nowNanos - lastLogNanos >= TimeUnit.MILLISECONDS.toNanos(ACCEPT_LOG_INTERVAL_MS)) {
+                lastLogNanos = nowNanos;
                 Log.write("can't accept client connections at the moment; retrying");
             }
-            listening.config().setAutoRead(false);
+            listener.config().setAutoRead(false);
             loop.schedule(() -> {
-                listening.config().setAutoRead(true);
+                listener.config().setAutoRead(true);
             }, pauseMs, TimeUnit.MILLISECONDS);
-            pauseMs = Math.min(MOST_ACCEPT_PAUSE_MS, 2 * pauseMs);
+            pauseMs = Math.min(MAX_ACCEPT_PAUSE_MS, 2 * pauseMs);
         }
     }
 
-    private void sweep() {
-        long now = System.nanoTime();
-        clients.forEach((state, members) -> {
+    private void closeTimedOut() {
+        long nowNanos = System.nanoTime();
+        connectionsByState.forEach((state, connections) -> {
             long limitMs = switch (state) {
-                case ENDING -> LINGER_MS;
-                case SILENT, ASKING -> REQUEST_MS;
-                case IDLE -> closing ? Long.MAX_VALUE : away ? AWAY_IDLE_MS : IDLE_MS;
+                case CLOSING -> LINGER_TIMEOUT_MS;
+                case NEW, IN_REQUEST -> REQUEST_TIMEOUT_MS;
+                case IDLE -> closing ? Long.MAX_VALUE : evacuating ? EVACUATION_IDLE_TIMEOUT_MS : IDLE_TIMEOUT_MS;
             };
-            members.stream().takeWhile(c -> TimeUnit.NANOSECONDS.toMillis(now - c.since) >= limitMs).toList()
-                    .forEach(Client::outOfTime);
+            connections.stream().takeWhile(c -> TimeUnit.NANOSECONDS.toMillis(nowNanos - c.stateEnteredNanos) >= limitMs).toList()
+                    .forEach(ClientConnection::timeOut);
         });
     }
 
@@ -338,13 +338,13 @@
     /** State of a connection, in the order in which connections are closed to make room for others. */
     private enum State {
         /** The last response is being written, or none is due; further input is discarded. */
-        ENDING,
+        CLOSING,
         /** No complete request has arrived yet. */
-        SILENT,
+        NEW,
         /** Waiting for the next request. */
         IDLE,
         /** A later request has arrived in part, or a request is waiting for its answer. */
-        ASKING
+        IN_REQUEST
     }
 
     /**
@@ -352,26 +352,26 @@
      * complete request are decoded only once that request is answered, and only a limited number is buffered: otherwise
      * a client that sends many requests at once would delay all others.
      */
-    private static final class Requests extends HttpRequestDecoder {
-        private final Client client;
+    private static final class SequentialRequestDecoder extends HttpRequestDecoder {
+        private final ClientConnection connection;
         private final Deque<ByteBuf> backlog = new ArrayDeque<>();
         private int backlogBytes;
         /** Whether decoding can't continue with the bytes that the decoder has buffered itself. */
-        private boolean starved = true;
+        private boolean needsInput = true;
 
-        Requests(Client client) {
-            this.client = client;
+        SequentialRequestDecoder(ClientConnection connection) {
+            this.connection = connection;
             setSingleDecode(true);
         }
 
         @Override
-        public void channelRead(ChannelHandlerContext ctx, Object read) throws Exception {
-            ByteBuf bytes = (ByteBuf) read;
-            if (client.state == State.ENDING) {
-                client.discard(bytes);
+        public void channelRead(ChannelHandlerContext ctx, Object data) throws Exception {
+            ByteBuf bytes = (ByteBuf) data;
+            if (connection.state == State.CLOSING) {
+                connection.discard(bytes);
                 return;
             }
-            client.begun();
+            connection.bytesReceived();
             backlog.add(bytes);
             backlogBytes += bytes.readableBytes();
             decodeNext(ctx);
@@ -379,20 +379,20 @@
 
         /** Decodes up to the next complete request, unless the one before still waits for its answer. */
         private void decodeNext(ChannelHandlerContext ctx) throws Exception {
-            while (client.takesNext() && !(starved && backlog.isEmpty())) {
-                ByteBuf next = starved ? backlog.remove() : Unpooled.EMPTY_BUFFER;
-                backlogBytes -= next.readableBytes();
-                int before = actualReadableBytes() + next.readableBytes();
-                super.channelRead(ctx, next);
-                starved = actualReadableBytes() == 0 || actualReadableBytes() == before;
+            while (connection.canDecodeNext() && !(needsInput && backlog.isEmpty())) {
+                ByteBuf input = needsInput ? backlog.remove() : Unpooled.EMPTY_BUFFER;
+                backlogBytes -= input.readableBytes();
+                int bytesBefore = actualReadableBytes() + input.readableBytes();
+                super.channelRead(ctx, input);
+                needsInput = actualReadableBytes() == 0 || actualReadableBytes() == bytesBefore;
             }
-            client.updateAutoRead();
+            connection.updateAutoRead();
         }
 
         /** Resumes decoding after a response, but only after other pending events have been processed. */
-        void answered() {
-            ChannelHandlerContext ctx = client.channel.pipeline().context(this);
-            if (ctx == null || !holdsMore()) {
+        void decodeNextLater() {
+            ChannelHandlerContext ctx = connection.channel.pipeline().context(this);
+            if (ctx == null || !hasMoreInput()) {
                 return;
             }
             ctx.channel().eventLoop().schedule(() -> {
@@ -410,12 +410,12 @@
             backlog.clear();
         }
 
-        /** Leaves such a request unchanged, because {@link Framing} rejects it. */
+        /** Leaves such a request unchanged, because {@link BodyLengthCheck} rejects it. */
         @Override
         protected void handleTransferEncodingChunkedWithContentLength(HttpMessage message) {
         }
 
-        boolean holdsMore() {
+        boolean hasMoreInput() {
             return actualReadableBytes() > 0 || !backlog.isEmpty();
         }
     }
@@ -424,62 +424,62 @@
      * Rejects requests whose body length is ambiguous or undefined, to prevent request smuggling: what one server takes
      * for the body may be another request to the next server.
      */
-    private static final class Framing extends ChannelInboundHandlerAdapter {
+    private static final class BodyLengthCheck extends ChannelInboundHandlerAdapter {
         @Override
-        public void channelRead(ChannelHandlerContext ctx, Object part) {
-            if (part instanceof HttpRequest request) {
-                List<String> codings = request.headers().getAll(HttpHeaderNames.TRANSFER_ENCODING);
-                boolean plain = codings.isEmpty() || codings.size() == 1
-                        && codings.get(0).equalsIgnoreCase(HttpHeaderValues.CHUNKED.toString())
+        public void channelRead(ChannelHandlerContext ctx, Object message) {
+            if (message instanceof HttpRequest request) {
+                List<String> transferEncodings = request.headers().getAll(HttpHeaderNames.TRANSFER_ENCODING);
+                boolean unambiguous = transferEncodings.isEmpty() || transferEncodings.size() == 1
+                        && transferEncodings.get(0).equalsIgnoreCase(HttpHeaderValues.CHUNKED.toString())
                         && request.protocolVersion().equals(HttpVersion.HTTP_1_1)
                         && !request.headers().contains(HttpHeaderNames.CONTENT_LENGTH);
-                if (!plain && request.decoderResult().isSuccess()) {
+                if (!unambiguous && request.decoderResult().isSuccess()) {
                     request.setDecoderResult(
                             DecoderResult.failure(new InvalidInputException("the body length is ambiguous")));
                 }
             }
-            ctx.fireChannelRead(part);
+            ctx.fireChannelRead(message);
         }
     }
 
     /** Collects request bodies; a body over the limit is answered with 413, and the rest of it is not read. */
-    private static final class Bodies extends HttpObjectAggregator {
-        private final Client client;
+    private static final class BodyAggregator extends HttpObjectAggregator {
+        private final ClientConnection connection;
 
-        Bodies(Client client) {
-            super(LONGEST_BODY);
-            this.client = client;
+        BodyAggregator(ClientConnection connection) {
+            super(MAX_BODY_BYTES);
+            this.connection = connection;
         }
 
         @Override
         protected void handleOversizedMessage(ChannelHandlerContext ctx, HttpMessage oversized) {
-            client.last(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "body over 64 KiB");
+            connection.respondAndClose(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "body over 64 KiB");
         }
     }
 
     /** One client connection. */
-    private final class Client extends SimpleChannelInboundHandler<FullHttpRequest> {
+    private final class ClientConnection extends SimpleChannelInboundHandler<FullHttpRequest> {
         private final Channel channel;
-        private final Requests requests = new Requests(this);
-        private State state = State.SILENT;
+        private final SequentialRequestDecoder decoder = new SequentialRequestDecoder(this);
+        private State state = State.NEW;
         /** When the connection entered its state, by {@link System#nanoTime}. */
-        private long since = System.nanoTime();
+        private long stateEnteredNanos = System.nanoTime();
         /** Whether the first bytes of the next request have arrived. */
-        private boolean begun;
-        /** Complete requests that wait for {@link #take}. */
-        private int unanswered;
+        private boolean requestStarted;
+        /** Complete requests that wait for {@link #handleRequest}. */
+        private int unansweredRequests;
         /** Bytes that arrived while the connection was being closed. */
-        private int discarded;
+        private int discardedBytes;
 
-        Client(Channel channel) {
+        ClientConnection(Channel channel) {
             this.channel = channel;
         }
 
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
-            clients.get(state).add(this);
-            if (clients() > bound.most(System.nanoTime())) {
-                withoutLaterRequest().filter(c -> c != this).findFirst().orElse(this).makeRoom();
+            connectionsByState.get(state).add(this);
+            if (connectionCount() > connectionLimit.current(System.nanoTime())) {
+                evictionCandidates().filter(c -> c != this).findFirst().orElse(this).evict();
             }
         }
 
@@ -487,115 +487,115 @@
          * Closes this connection in favour of another. It is removed from the map at once, so that several clients that
          * connect in one turn of the event loop each replace a different connection.
          */
-        private void makeRoom() {
-            closes(CloseReason.MAKES_ROOM);
-            clients.get(state).remove(this);
-            if (state == State.SILENT && begun) {
-                channel.writeAndFlush(answer(HttpResponseStatus.SERVICE_UNAVAILABLE, "too many clients"));
+        private void evict() {
+            reportClose(CloseReason.MAKES_ROOM);
+            connectionsByState.get(state).remove(this);
+            if (state == State.NEW && requestStarted) {
+                channel.writeAndFlush(response(HttpResponseStatus.SERVICE_UNAVAILABLE, "too many clients"));
             }
             channel.close();
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
-            clients.get(state).remove(this);
+            connectionsByState.get(state).remove(this);
         }
 
-        private void enter(State next) {
-            if (clients.get(state).remove(this)) {
-                clients.get(next).add(this);
+        private void enterState(State next) {
+            if (connectionsByState.get(state).remove(this)) {
+                connectionsByState.get(next).add(this);
             }
             state = next;
-            since = System.nanoTime();
+            stateEnteredNanos = System.nanoTime();
         }
 
         /** Bytes have arrived; the timeout of a request starts with its first byte. */
-        private void begun() {
-            begun = true;
+        private void bytesReceived() {
+            requestStarted = true;
             if (state == State.IDLE) {
-                enter(State.ASKING);
+                enterState(State.IN_REQUEST);
             }
         }
 
-        private void outOfTime() {
-            if (state == State.ENDING || state == State.SILENT && !begun) {
-                closes(state == State.ENDING ? CloseReason.LINGERED : CloseReason.SILENT);
+        private void timeOut() {
+            if (state == State.CLOSING || state == State.NEW && !requestStarted) {
+                reportClose(state == State.CLOSING ? CloseReason.LINGERED : CloseReason.SILENT);
                 channel.close();
-            } else if (begun) {
-                closes(CloseReason.REQUEST_TIMEOUT);
-                last(HttpResponseStatus.REQUEST_TIMEOUT, "the request did not come in time");
+            } else if (requestStarted) {
+                reportClose(CloseReason.REQUEST_TIMEOUT);
+                respondAndClose(HttpResponseStatus.REQUEST_TIMEOUT, "the request did not come in time");
             } else {
-                closes(CloseReason.IDLE);
+                reportClose(CloseReason.IDLE);
                 halfClose();
             }
         }
 
-        private void closes(CloseReason reason) {
-            desk.closes(reason);
-            if (unanswered > 0 && state != State.ENDING) {
-                desk.leavesUnanswered(reason);
+        private void reportClose(CloseReason reason) {
+            handler.connectionClosing(reason);
+            if (unansweredRequests > 0 && state != State.CLOSING) {
+                handler.requestLeftUnanswered(reason);
             }
         }
 
-        private void letGo() {
-            if (state == State.ENDING) {
+        private void shutDown() {
+            if (state == State.CLOSING) {
                 return;
             }
-            desk.closes(CloseReason.SHUTDOWN);
-            if (begun || unanswered > 0) {
-                last(HttpResponseStatus.SERVICE_UNAVAILABLE, "the sender ends");
+            handler.connectionClosing(CloseReason.SHUTDOWN);
+            if (requestStarted || unansweredRequests > 0) {
+                respondAndClose(HttpResponseStatus.SERVICE_UNAVAILABLE, "the sender ends");
             } else {
                 halfClose();
             }
         }
 
         /** Answers a request that is incomplete, malformed or too late to be accepted, and closes the connection. */
-        private void last(HttpResponseStatus status, String text) {
-            endWith(answer(status, text));
+        private void respondAndClose(HttpResponseStatus status, String text) {
+            writeLastResponse(response(status, text));
         }
 
         /** Shuts the output down; the connection is closed when the client closes it, or after a timeout. */
         private void halfClose() {
-            enter(State.ENDING);
+            enterState(State.CLOSING);
             ((DuplexChannel) channel).shutdownOutput();
         }
 
         private void discard(ByteBuf bytes) {
-            discarded += bytes.readableBytes();
+            discardedBytes += bytes.readableBytes();
             bytes.release();
             updateAutoRead();
         }
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
-            if (state == State.ENDING) {
+            if (state == State.CLOSING) {
                 // What follows the last request may be a part of its body, so it is not taken for a request.
                 return;
             }
-            begun = requests.holdsMore();
+            requestStarted = decoder.hasMoreInput();
             // In this state the connection is not closed to make room for others before the answer.
-            enter(State.ASKING);
-            unanswered++;
+            enterState(State.IN_REQUEST);
+            unansweredRequests++;
             request.retain();
             loop.execute(() -> {
-                unanswered--;
+                unansweredRequests--;
                 try {
-                    take(request);
+                    handleRequest(request);
                 } finally {
                     request.release();
-                    requests.answered();
+                    decoder.decodeNextLater();
                 }
             });
         }
 
-        private boolean takesNext() {
-            return unanswered == 0 && state != State.ENDING;
+        private boolean canDecodeNext() {
+            return unansweredRequests == 0 && state != State.CLOSING;
         }
 
         /** Applies backpressure: stops reading if the client does not read its responses or sends too far ahead. */
         private void updateAutoRead() {
-            boolean reads = state == State.ENDING ? discarded < MOST_DISCARDED
-                    : channel.isWritable() && requests.backlogBytes <= LONGEST_BODY;
+            boolean reads = state == State.CLOSING ? discardedBytes < MAX_DISCARDED_BYTES
+                    : channel.isWritable() && decoder.backlogBytes <= MAX_BODY_BYTES;
             channel.config().setAutoRead(reads);
         }
 
@@ -606,83 +606,83 @@
          * cost a whole delivery that counts for nothing, and be submitted again. The drawback is that a client that
          * half-closes its connection and still waits for the response gets none, but HTTP clients don't do that.
          */
-        private void take(FullHttpRequest request) {
-            if (state == State.ENDING || !channel.isActive()) {
+        private void handleRequest(FullHttpRequest request) {
+            if (state == State.CLOSING || !channel.isActive()) {
                 return;
             }
-            enter(begun ? State.ASKING : State.IDLE);
+            enterState(requestStarted ? State.IN_REQUEST : State.IDLE);
             String path = request.uri().split("\\?", 2)[0];
             if (request.decoderResult().isFailure()) {
-                last(HttpResponseStatus.BAD_REQUEST, "not HTTP");
+                respondAndClose(HttpResponseStatus.BAD_REQUEST, "not HTTP");
             } else if (path.equals("/healthz")) {
-                end(request, desk.ready() && !away ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE, "");
-            } else if (!desk.knowsClass(path.split("/", 3).length > 1 ? path.split("/", 3)[1] : "")) {
-                end(request, HttpResponseStatus.NOT_FOUND, "no such path");
+                respond(request, handler.ready() && !evacuating ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE, "");
+            } else if (!handler.knowsClass(path.split("/", 3).length > 1 ? path.split("/", 3)[1] : "")) {
+                respond(request, HttpResponseStatus.NOT_FOUND, "no such path");
             } else if (!request.method().equals(HttpMethod.POST)) {
-                end(request, HttpResponseStatus.METHOD_NOT_ALLOWED, "messages are handed in by POST");
+                respond(request, HttpResponseStatus.METHOD_NOT_ALLOWED, "messages are handed in by POST");
             } else {
-                handIn(request, path);
+                submit(request, path);
             }
         }
 
-        private void handIn(FullHttpRequest request, String path) {
+        private void submit(FullHttpRequest request, String path) {
             Submission submission;
             try {
-                submission = read(request, path.split("/", 3)[1]);
-            } catch (InvalidInputException bad) {
-                end(request, HttpResponseStatus.BAD_REQUEST, bad.getMessage());
+                submission = parseSubmission(request, path.split("/", 3)[1]);
+            } catch (InvalidInputException invalid) {
+                respond(request, HttpResponseStatus.BAD_REQUEST, invalid.getMessage());
                 return;
             }
-            if (desk.handsOn()) {
+            if (handler.forwardsSubmissions()) {
                 // In this state the connection is not closed to make room for others before the answer.
-                enter(State.ASKING);
-                desk.handOn(submission, this::lastOf);
+                enterState(State.IN_REQUEST);
+                handler.forward(submission, this::respondForwarded);
                 return;
             }
-            Optional<HttpResponseStatus> before = desk.answeredBefore(submission.id());
-            if (before.isPresent()) {
-                end(request, before.get(), "");
+            Optional<HttpResponseStatus> previousAnswer = handler.previousAnswer(submission.id());
+            if (previousAnswer.isPresent()) {
+                respond(request, previousAnswer.get(), "");
                 return;
             }
-            if (!desk.knowsDestination(submission.destination())) {
-                turnAway(request, submission, "no list names this dest");
+            if (!handler.knowsDestination(submission.destination())) {
+                reject(request, submission, "no list names this dest");
                 return;
             }
-            Optional<AcceptedMessage> taken = desk.take(submission);
-            if (taken.isEmpty()) {
-                turnAway(request, submission, "no room, or too little time");
+            Optional<AcceptedMessage> accepted = handler.accept(submission);
+            if (accepted.isEmpty()) {
+                reject(request, submission, "no room, or too little time");
                 return;
             }
-            end(request, HttpResponseStatus.ACCEPTED, "")
-                    .addListener(f -> desk.answered(taken.get(), f.isSuccess()));
+            respond(request, HttpResponseStatus.ACCEPTED, "")
+                    .addListener(f -> handler.responseWritten(accepted.get(), f.isSuccess()));
         }
 
-        private void turnAway(FullHttpRequest request, Submission submission, String why) {
-            desk.turnedAway(submission.messageClass());
-            end(request, HttpResponseStatus.SERVICE_UNAVAILABLE, why);
+        private void reject(FullHttpRequest request, Submission submission, String reason) {
+            handler.submissionRejected(submission.messageClass());
+            respond(request, HttpResponseStatus.SERVICE_UNAVAILABLE, reason);
         }
 
-        private ChannelFuture end(FullHttpRequest request, HttpResponseStatus status, String text) {
-            FullHttpResponse answer = answer(status, request.method().equals(HttpMethod.HEAD) ? "" : text);
-            if (!closing && !away && !leaving && HttpUtil.isKeepAlive(request)) {
-                return channel.writeAndFlush(answer);
+        private ChannelFuture respond(FullHttpRequest request, HttpResponseStatus status, String text) {
+            FullHttpResponse response = response(status, request.method().equals(HttpMethod.HEAD) ? "" : text);
+            if (!closing && !evacuating && !handedOver && HttpUtil.isKeepAlive(request)) {
+                return channel.writeAndFlush(response);
             }
-            desk.closes(CloseReason.LAST_ANSWER);
-            return endWith(answer);
+            handler.connectionClosing(CloseReason.LAST_ANSWER);
+            return writeLastResponse(response);
         }
 
         /** Passes on the answer of the other process, unless the connection has timed out before. */
-        private void lastOf(HttpResponseStatus status) {
-            if (state != State.ENDING) {
-                endWith(answer(status, ""));
+        private void respondForwarded(HttpResponseStatus status) {
+            if (state != State.CLOSING) {
+                writeLastResponse(response(status, ""));
             }
         }
 
-        private ChannelFuture endWith(FullHttpResponse answer) {
-            enter(State.ENDING);
-            answer.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
+        private ChannelFuture writeLastResponse(FullHttpResponse response) {
+            enterState(State.CLOSING);
+            response.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
             updateAutoRead();
-            return channel.writeAndFlush(answer).addListener(f -> halfClose());
+            return channel.writeAndFlush(response).addListener(f -> halfClose());
         }
 
         @Override
@@ -699,43 +699,43 @@
         }
     }
 
-    private static FullHttpResponse answer(HttpResponseStatus status, String text) {
-        FullHttpResponse answer = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status,
+    private static FullHttpResponse response(HttpResponseStatus status, String text) {
+        FullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status,
                 Unpooled.copiedBuffer(text, StandardCharsets.UTF_8));
-        answer.headers().set(HttpHeaderNames.CONTENT_LENGTH, answer.content().readableBytes());
-        return answer;
+        response.headers().set(HttpHeaderNames.CONTENT_LENGTH, response.content().readableBytes());
+        return response;
     }
 
-    private Submission read(FullHttpRequest request, String inPath) throws InvalidInputException {
+    private Submission parseSubmission(FullHttpRequest request, String pathClass) throws InvalidInputException {
         HttpHeaders headers = request.headers();
-        String id = required(headers, "X-Call-Id");
-        if (id.length() > LONGEST_ID) {
+        String id = requiredHeader(headers, "X-Call-Id");
+        if (id.length() > MAX_ID_LENGTH) {
             throw new InvalidInputException("X-Call-Id is too long");
         }
-        String messageClass = headers.get("X-Call-Class", inPath);
-        if (!messageClass.equals(inPath)) {
+        String messageClass = headers.get("X-Call-Class", pathClass);
+        if (!messageClass.equals(pathClass)) {
             throw new InvalidInputException("the class in the path is another than in X-Call-Class");
         }
         String tenant = headers.get("X-Caller", "");
-        if (!desk.knowsTenant(tenant)) {
+        if (!handler.knowsTenant(tenant)) {
             throw new InvalidInputException("X-Caller names no tenant");
         }
         Optional<String> key = Optional.ofNullable(headers.get("Idempotency-Key")).filter(k -> !k.isBlank());
-        if (key.isEmpty() && desk.needsKey(messageClass)) {
+        if (key.isEmpty() && handler.needsKey(messageClass)) {
             throw new InvalidInputException("Idempotency-Key is missing");
         }
-        long budgetMs = whole(required(headers, "X-Budget-Ms"), "X-Budget-Ms");
+        long budgetMs = parseNonNegative(requiredHeader(headers, "X-Budget-Ms"), "X-Budget-Ms");
         if (budgetMs < 1) {
             throw new InvalidInputException("X-Budget-Ms leaves no time");
         }
-        String destination = Arrays.stream(required(headers, "X-Envelope").split("[,;\\s]+"))
+        String destination = Arrays.stream(requiredHeader(headers, "X-Envelope").split("[,;\\s]+"))
                 .filter(part -> part.startsWith("dest=")).findFirst()
                 .orElseThrow(() -> new InvalidInputException("X-Envelope names no dest")).substring("dest=".length());
-        return new Submission(id, messageClass, tenant, key, whole(destination, "dest"), budgetMs,
+        return new Submission(id, messageClass, tenant, key, parseNonNegative(destination, "dest"), budgetMs,
                 ByteBufUtil.getBytes(request.content()));
     }
 
-    private static String required(HttpHeaders headers, String name) throws InvalidInputException {
+    private static String requiredHeader(HttpHeaders headers, String name) throws InvalidInputException {
         String value = headers.get(name);
         if (value == null || value.isBlank()) {
             throw new InvalidInputException(name + " is missing");
@@ -743,7 +743,7 @@
         return value;
     }
 
-    private static long whole(String value, String name) throws InvalidInputException {
+    private static long parseNonNegative(String value, String name) throws InvalidInputException {
         try {
             long number = Long.parseLong(value.trim());
             if (number < 0) {
--- a/src/main/java/kestreldeal/net/FileDescriptors.java
+++ b/src/main/java/kestreldeal/net/FileDescriptors.java
@@ -12,7 +12,7 @@
  */
 interface FileDescriptors {
     /** Whether this process can open at least one more. */
-    boolean anyLeft();
+    boolean available();
 
     /** Checks by opening a file that always exists. */
     static FileDescriptors system() {
--- a/src/main/java/kestreldeal/net/Invariants.java
+++ b/src/main/java/kestreldeal/net/Invariants.java
@@ -9,7 +9,7 @@
  */
 final class Invariants {
     /** Maximum number of log lines for each rule; further breaches are only counted. */
-    private static final int MOST_LINES = 20;
+    private static final int MAX_LOG_LINES = 20;
 
     enum Rule {
         /** A message is sent only to endpoints of its own destination. */
@@ -31,14 +31,14 @@
     private final Map<Rule, Long> breaches = new EnumMap<>(Rule.class);
 
     /** Reports that a rule was broken, or would have been, for the message with this id. */
-    void breached(Rule rule, String id, String detail) {
-        if (breaches.merge(rule, 1L, Long::sum) <= MOST_LINES) {
+    void reportBreach(Rule rule, String id, String detail) {
+        if (breaches.merge(rule, 1L, Long::sum) <= MAX_LOG_LINES) {
             Log.write("invariant broken: " + rule + ", message " + id + ": " + detail);
         }
     }
 
     /** How often a rule was broken since the start of this process. */
-    long breaches(Rule rule) {
+    long breachCount(Rule rule) {
         return breaches.getOrDefault(rule, 0L);
     }
 }
--- a/src/main/java/kestreldeal/net/Metrics.java
+++ b/src/main/java/kestreldeal/net/Metrics.java
@@ -27,75 +27,75 @@
     private static final String PREFIX = "edge_gw_";
 
     private final List<String> classes;
-    private final Map<Completion, Map<String, Long>> ends = new LinkedHashMap<>();
-    private final Map<RejectionReason, Long> refusals = new EnumMap<>(RejectionReason.class);
-    private final Map<SendGuard.SuppressionReason, Long> heldBack = new EnumMap<>(SendGuard.SuppressionReason.class);
-    private final Map<ClientServer.CloseReason, Long> closes = new EnumMap<>(ClientServer.CloseReason.class);
-    private long written;
+    private final Map<Completion, Map<String, Long>> completions = new LinkedHashMap<>();
+    private final Map<RejectionReason, Long> rejections = new EnumMap<>(RejectionReason.class);
+    private final Map<SendGuard.SuppressionReason, Long> suppressedCalls = new EnumMap<>(SendGuard.SuppressionReason.class);
+    private final Map<ClientServer.CloseReason, Long> clientCloses = new EnumMap<>(ClientServer.CloseReason.class);
+    private long messagesWritten;
 
     Metrics(List<String> classes) {
         this.classes = classes;
-        for (Completion end : Completion.values()) {
-            ends.put(end, new LinkedHashMap<>());
+        for (Completion completion : Completion.values()) {
+            completions.put(completion, new LinkedHashMap<>());
         }
     }
 
     /** Counts the final result of a message, unless its class is no longer configured. */
-    void ended(String messageClass, Completion end) {
+    void messageCompleted(String messageClass, Completion completion) {
         if (classes.contains(messageClass)) {
-            ends.get(end).merge(messageClass, 1L, Long::sum);
+            completions.get(completion).merge(messageClass, 1L, Long::sum);
         }
     }
 
     /** Counts a message that was rejected on submission. */
-    void refused(RejectionReason reason) {
-        refusals.merge(reason, 1L, Long::sum);
+    void messageRejected(RejectionReason reason) {
+        rejections.merge(reason, 1L, Long::sum);
     }
 
     /** Counts a call that was decided but not written. */
-    void heldBack(SendGuard.SuppressionReason reason) {
-        heldBack.merge(reason, 1L, Long::sum);
+    void callSuppressed(SendGuard.SuppressionReason reason) {
+        suppressedCalls.merge(reason, 1L, Long::sum);
     }
 
     /** Counts a client connection that this process closed. */
-    void closed(ClientServer.CloseReason reason) {
-        closes.merge(reason, 1L, Long::sum);
+    void clientClosed(ClientServer.CloseReason reason) {
+        clientCloses.merge(reason, 1L, Long::sum);
     }
 
     /** Counts messages that were written completely to an endpoint. */
-    void written(int messages) {
-        written += messages;
+    void messagesWritten(int count) {
+        messagesWritten += count;
     }
 
     /** All metrics in the Prometheus text format, with the current values of those that are not counted here. */
-    String text(int pending, int members, int avoided, long journalFailures, boolean journalBehind,
+    String toPrometheusText(int pending, int members, int unavailable, long journalFailures, boolean journalBehind,
             Invariants invariants) {
         StringBuilder text = new StringBuilder();
-        ends.forEach((end, counts) -> {
-            for (String c : classes) {
-                line(text, end.name().toLowerCase(Locale.ROOT) + "_total{lane=\"" + c + "\"}", counts.getOrDefault(c, 0L));
+        completions.forEach((completion, counts) -> {
+            for (String messageClass : classes) {
+                appendValue(text, completion.name().toLowerCase(Locale.ROOT) + "_total{lane=\"" + messageClass + "\"}", counts.getOrDefault(messageClass, 0L));
             }
         });
-        line(text, "upstream_requests_total", written);
-        line(text, "pending", pending);
-        line(text, "members", members);
-        line(text, "members_unavailable", avoided);
-        line(text, "journal_write_failures_total", journalFailures);
-        line(text, "journal_behind", journalBehind ? 1 : 0);
-        lines(text, "refusals_total", Metrics.RejectionReason.values(), r -> refusals.getOrDefault(r, 0L));
-        lines(text, "calls_held_back_total", SendGuard.SuppressionReason.values(), r -> heldBack.getOrDefault(r, 0L));
-        lines(text, "client_closes_total", ClientServer.CloseReason.values(), r -> closes.getOrDefault(r, 0L));
-        lines(text, "invariant_breaches_total", Invariants.Rule.values(), invariants::breaches);
+        appendValue(text, "upstream_requests_total", messagesWritten);
+        appendValue(text, "pending", pending);
+        appendValue(text, "members", members);
+        appendValue(text, "members_unavailable", unavailable);
+        appendValue(text, "journal_write_failures_total", journalFailures);
+        appendValue(text, "journal_behind", journalBehind ? 1 : 0);
+        appendByReason(text, "refusals_total", Metrics.RejectionReason.values(), reason -> rejections.getOrDefault(reason, 0L));
+        appendByReason(text, "calls_held_back_total", SendGuard.SuppressionReason.values(), reason -> suppressedCalls.getOrDefault(reason, 0L));
+        appendByReason(text, "client_closes_total", ClientServer.CloseReason.values(), reason -> clientCloses.getOrDefault(reason, 0L));
+        appendByReason(text, "invariant_breaches_total", Invariants.Rule.values(), invariants::breachCount);
         return text.toString();
     }
 
-    private static <R extends Enum<R>> void lines(StringBuilder text, String name, R[] reasons, ToLongFunction<R> count) {
+    private static <R extends Enum<R>> void appendByReason(StringBuilder text, String name, R[] reasons, ToLongFunction<R> count) {
         for (R reason : reasons) {
-            line(text, name + "{reason=\"" + reason.name().toLowerCase(Locale.ROOT) + "\"}", count.applyAsLong(reason));
+            appendValue(text, name + "{reason=\"" + reason.name().toLowerCase(Locale.ROOT) + "\"}", count.applyAsLong(reason));
         }
     }
 
-    private static void line(StringBuilder text, String name, long value) {
+    private static void appendValue(StringBuilder text, String name, long value) {
         text.append(PREFIX).append(name).append(' ').append(value).append('\n');
     }
 }
--- a/src/main/java/kestreldeal/net/OperatorServer.java
+++ b/src/main/java/kestreldeal/net/OperatorServer.java
@@ -30,33 +30,33 @@
  */
 final class OperatorServer {
     /** Maximum number of connections, and so of descriptors used here. */
-    static final int MOST = 24;
+    static final int MAX_CONNECTIONS = 24;
     /** From connecting until the command line is complete. */
-    private static final long CALL_MS = 2000;
+    private static final long COMMAND_TIMEOUT_MS = 2000;
     /** From writing the answer until the close, if the operator does not read it. */
-    private static final long LINGER_MS = 1000;
-    private static final int LONGEST_CALL = 256;
+    private static final long CLOSE_TIMEOUT_MS = 1000;
+    private static final int MAX_COMMAND_LENGTH = 256;
 
     /** The part of the sender that carries out commands. */
     interface CommandHandler {
         /** Whether this process can serve. */
-        boolean serves();
+        boolean canServe();
 
         /** All metrics, one per line. */
-        String figures();
+        String metrics();
 
         /** Starts or ends an evacuation of the clients; repeating it does no harm. */
-        void evacuate(boolean away);
+        void evacuate(boolean start);
     }
 
-    private final CommandHandler desk;
+    private final CommandHandler handler;
     private final ServerBootstrap bootstrap;
     /** Connections that have not sent a command yet, the oldest first. */
-    private final Set<Channel> asking = new LinkedHashSet<>();
-    private int open;
+    private final Set<Channel> awaitingCommand = new LinkedHashSet<>();
+    private int openConnections;
 
-    OperatorServer(EventLoop loop, CommandHandler desk) {
-        this.desk = desk;
+    OperatorServer(EventLoop loop, CommandHandler handler) {
+        this.handler = handler;
         bootstrap = new ServerBootstrap().group(loop, loop)
                 .channel(NioServerSocketChannel.class)
                 .option(ChannelOption.SO_BACKLOG, 128)
@@ -67,8 +67,8 @@
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
-                        channel.pipeline().addLast(new LineBasedFrameDecoder(LONGEST_CALL, true, true),
-                                new StringDecoder(StandardCharsets.US_ASCII), new Caller());
+                        channel.pipeline().addLast(new LineBasedFrameDecoder(MAX_COMMAND_LENGTH, true, true),
+                                new StringDecoder(StandardCharsets.US_ASCII), new OperatorConnection());
                     }
                 });
     }
@@ -77,49 +77,49 @@
         return bootstrap.bind(address);
     }
 
-    private String answer(String call) {
-        return switch (call.strip()) {
-            case "readyz" -> desk.serves() ? "YES\n" : "NO not serving\n";
-            case "telemetry" -> desk.figures() + "END\n";
+    private String execute(String command) {
+        return switch (command.strip()) {
+            case "readyz" -> handler.canServe() ? "YES\n" : "NO not serving\n";
+            case "telemetry" -> handler.metrics() + "END\n";
             case "evacuate" -> {
-                desk.evacuate(true);
+                handler.evacuate(true);
                 yield "YES\n";
             }
             case "activate" -> {
-                desk.evacuate(false);
+                handler.evacuate(false);
                 yield "YES\n";
             }
             default -> "NO unknown call\n";
         };
     }
 
-    private final class Caller extends SimpleChannelInboundHandler<String> {
-        private Future<?> timer;
+    private final class OperatorConnection extends SimpleChannelInboundHandler<String> {
+        private Future<?> timeout;
         private boolean answered;
 
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
-            asking.add(ctx.channel());
-            timer = ctx.executor().schedule(() -> answer(ctx, "NO no whole line in time\n"), CALL_MS,
+            awaitingCommand.add(ctx.channel());
+            timeout = ctx.executor().schedule(() -> respond(ctx, "NO no whole line in time\n"), COMMAND_TIMEOUT_MS,
                     TimeUnit.MILLISECONDS);
-            if (++open > MOST) {
-                asking.iterator().next().close();
+            if (++openConnections > MAX_CONNECTIONS) {
+                awaitingCommand.iterator().next().close();
             }
         }
 
         @Override
-        protected void channelRead0(ChannelHandlerContext ctx, String call) {
-            answer(ctx, OperatorServer.this.answer(call));
+        protected void channelRead0(ChannelHandlerContext ctx, String command) {
+            respond(ctx, OperatorServer.this.execute(command));
         }
 
-        private void answer(ChannelHandlerContext ctx, String text) {
+        private void respond(ChannelHandlerContext ctx, String text) {
             if (answered) {
                 return;
             }
             answered = true;
-            asking.remove(ctx.channel());
-            timer.cancel(false);
-            timer = ctx.executor().schedule(() -> ctx.close(), LINGER_MS, TimeUnit.MILLISECONDS);
+            awaitingCommand.remove(ctx.channel());
+            timeout.cancel(false);
+            timeout = ctx.executor().schedule(() -> ctx.close(), CLOSE_TIMEOUT_MS, TimeUnit.MILLISECONDS);
             ctx.writeAndFlush(Unpooled.copiedBuffer(text, StandardCharsets.US_ASCII))
                     .addListener(ChannelFutureListener.CLOSE);
         }
@@ -128,21 +128,21 @@
         @Override
         public void userEventTriggered(ChannelHandlerContext ctx, Object event) {
             if (event == ChannelInputShutdownEvent.INSTANCE) {
-                answer(ctx, "NO no whole line\n");
+                respond(ctx, "NO no whole line\n");
             }
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
-            open--;
-            asking.remove(ctx.channel());
-            timer.cancel(false);
+            openConnections--;
+            awaitingCommand.remove(ctx.channel());
+            timeout.cancel(false);
         }
 
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
             if (cause instanceof TooLongFrameException) {
-                answer(ctx, "NO line too long\n");
+                respond(ctx, "NO line too long\n");
                 return;
             }
             if (!(cause instanceof IOException)) {
--- a/src/main/java/kestreldeal/net/RetryingListener.java
+++ b/src/main/java/kestreldeal/net/RetryingListener.java
@@ -10,26 +10,26 @@
 
 /**
  * Listens at an address, retrying until the bind succeeds: another process may still use the address, and the machine
- * may be short of sockets for a moment. Neither must end a sender. All methods except {@link #bound} must be called on
+ * may be short of sockets for a moment. Neither must end a sender. All methods except {@link #boundAddress} must be called on
  * the event loop.
  */
 final class RetryingListener {
-    private static final long AGAIN_MS = 50;
+    private static final long RETRY_INTERVAL_MS = 50;
     /** Only the first of this many failed attempts is logged. */
-    private static final int ATTEMPTS_A_LINE = 100;
+    private static final int ATTEMPTS_PER_LOG_LINE = 100;
 
     private final EventLoop loop;
-    private final String forWhom;
+    private final String purpose;
     private final Supplier<ChannelFuture> bind;
-    private final CompletableFuture<InetSocketAddress> bound = new CompletableFuture<>();
+    private final CompletableFuture<InetSocketAddress> boundAddress = new CompletableFuture<>();
     private Channel channel;
-    private int attempts;
+    private int failedAttempts;
     private boolean closed;
 
     /** Creates a listener that binds by {@code bind}; log lines say for whom it listens. */
-    RetryingListener(EventLoop loop, String forWhom, Supplier<ChannelFuture> bind) {
+    RetryingListener(EventLoop loop, String purpose, Supplier<ChannelFuture> bind) {
         this.loop = loop;
-        this.forWhom = forWhom;
+        this.purpose = purpose;
         this.bind = bind;
     }
 
@@ -40,26 +40,26 @@
         }
         ChannelFuture binding = bind.get();
         // If no channel could be created, the listener of the future runs on a thread other than the event loop.
-        binding.addListener(f -> loop.execute(() -> tried(binding)));
+        binding.addListener(f -> loop.execute(() -> bindCompleted(binding)));
     }
 
-    private void tried(ChannelFuture binding) {
+    private void bindCompleted(ChannelFuture binding) {
         if (!binding.isSuccess()) {
-            if (attempts++ % ATTEMPTS_A_LINE == 0) {
-                Log.write("can't listen for " + forWhom + " yet, retrying: " + binding.cause().getMessage());
+            if (failedAttempts++ % ATTEMPTS_PER_LOG_LINE == 0) {
+                Log.write("can't listen for " + purpose + " yet, retrying: " + binding.cause().getMessage());
             }
-            loop.schedule(this::start, AGAIN_MS, TimeUnit.MILLISECONDS);
+            loop.schedule(this::start, RETRY_INTERVAL_MS, TimeUnit.MILLISECONDS);
         } else if (closed) {
             binding.channel().close();
         } else {
             channel = binding.channel();
-            bound.complete((InetSocketAddress) channel.localAddress());
+            boundAddress.complete((InetSocketAddress) channel.localAddress());
         }
     }
 
     /** Completes with the bound address. */
-    CompletableFuture<InetSocketAddress> bound() {
-        return bound;
+    CompletableFuture<InetSocketAddress> boundAddress() {
+        return boundAddress;
     }
 
     /** Stops listening. */
--- a/src/main/java/kestreldeal/net/Sender.java
+++ b/src/main/java/kestreldeal/net/Sender.java
@@ -30,119 +30,119 @@
  */
 public final class Sender implements Relay.Actions {
     /** Descriptors for the JVM itself (about 30), the journal, the agent and the operators' connections. */
-    private static final int OTHER_SOCKETS = 48 + OperatorServer.MOST;
+    private static final int RESERVED_DESCRIPTORS = 48 + OperatorServer.MAX_CONNECTIONS;
     /**
      * Share of the remaining descriptors for client connections; the others are for calls to endpoints. Clients may
      * use a third of all descriptors for requests.
      */
-    private static final double CLIENT_SHARE = 0.5;
+    private static final double CLIENT_DESCRIPTOR_SHARE = 0.5;
     /** Time from SIGTERM during which new client connections may still arrive and are accepted. */
-    static final long TAKING_MS = 450;
+    static final long DRAIN_ACCEPT_MS = 450;
     /** Time limit for calls in flight, counted from SIGTERM; SIGKILL may come after 3.7 s. */
-    static final long CLOSING_MS = 3300;
-    private static final long DRAIN_POLL_MS = 20;
+    static final long DRAIN_TIMEOUT_MS = 3300;
+    private static final long DRAIN_POLL_INTERVAL_MS = 20;
     /** How long clients may take after that to notice the end of their connections and to close them. */
-    private static final long PARTING_MS = 200;
+    private static final long CLIENT_CLOSE_TIMEOUT_MS = 200;
     /**
      * Interval between checks for messages past their deadline, and the grace period after the deadline before one is
      * reported.
      */
-    private static final long OVERDUE_LOOK_MS = 1000;
-    private static final double OVERDUE_AFTER_MS = 1000;
+    private static final long OVERDUE_CHECK_INTERVAL_MS = 1000;
+    private static final double OVERDUE_GRACE_MS = 1000;
     /** How long an endpoint is remembered after its removal from the list; no call lasts longer. */
-    private static final long GONE_MS = 60_000;
+    private static final long REMOVED_ENDPOINT_RETENTION_MS = 60_000;
 
     /** Share of the heap for listed endpoints; the rest is for messages, buffers and reading the journal. */
-    private static final double LIST_SHARE = 0.6;
+    private static final double ENDPOINT_HEAP_SHARE = 0.6;
     /**
      * Heap that one listed endpoint takes in all parts of the sender, at 1.6 endpoints per destination. Live bytes
      * per endpoint after a full garbage collection: 1,157 between 1,000 and 20,000 listed endpoints, 1,131 between
      * 1,000 and 25,000.
      */
-    private static final int ENDPOINT_BYTES = 1160;
+    private static final int BYTES_PER_ENDPOINT = 1160;
     /** Limit on the endpoints that are known at once; more could exhaust the heap. */
-    private static final int MOST_ENDPOINTS =
-            (int) Math.min(Integer.MAX_VALUE, Runtime.getRuntime().maxMemory() * LIST_SHARE / ENDPOINT_BYTES);
+    private static final int MAX_ENDPOINTS =
+            (int) Math.min(Integer.MAX_VALUE, Runtime.getRuntime().maxMemory() * ENDPOINT_HEAP_SHARE / BYTES_PER_ENDPOINT);
 
-    private final MachineClock machine;
+    private final MachineClock machineClock;
     private final Config config;
     /** Whether another process may connect to this one to take over from it. */
-    private final boolean links;
-    private final long takingMs;
-    private final long closingMs;
+    private final boolean handoverAllowed;
+    private final long drainAcceptMs;
+    private final long drainTimeoutMs;
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
     private final CountDownLatch stopped = new CountDownLatch(1);
     private final long startNanos = System.nanoTime();
-    private final EndpointRegistry directory = new EndpointRegistry(MOST_ENDPOINTS);
+    private final EndpointRegistry registry = new EndpointRegistry(MAX_ENDPOINTS);
     /** Accepted messages that are not finished, by the number that the decision module uses. */
-    private final Map<Long, AcceptedMessage> open = new HashMap<>();
+    private final Map<Long, AcceptedMessage> openMessages = new HashMap<>();
     /** The same messages by the id that the client gave them. */
-    private final Map<String, AcceptedMessage> byId = new HashMap<>();
+    private final Map<String, AcceptedMessage> openMessagesById = new HashMap<>();
     /** Calls of the attempts in flight. */
-    private final Map<AttemptId, EndpointClient.Call> calls = new HashMap<>();
+    private final Map<AttemptId, EndpointClient.Call> callsInFlight = new HashMap<>();
     private final Relay relay;
     private Journal journal;
-    private EndpointClient endpoints;
-    private NoticeClient notices;
+    private EndpointClient endpointClient;
+    private NoticeClient noticeClient;
     private Discovery discovery;
     private InetSocketAddress agentAddress;
-    private ClientServer intake;
-    private OperatorServer ops;
-    private final Metrics figures;
+    private ClientServer clientServer;
+    private OperatorServer operatorServer;
+    private final Metrics metrics;
     private final Invariants invariants = new Invariants();
-    private final SendGuard guard;
+    private final SendGuard sendGuard;
     private Trace trace = Trace.OFF;
     private RetryingListener clientListener;
     /** Empty if the configuration has no address for operators. */
     private Optional<RetryingListener> operatorListener = Optional.empty();
     private boolean turnOpen;
-    private double clock;
-    private boolean closing;
-    private int mostClients;
+    private double turnTimeMs;
+    private boolean shuttingDown;
+    private int maxClients;
     /** Whether an endpoint list is known and the journal has been replayed. */
     private boolean ready;
     /** Whether an endpoint list has been read, from the configuration or from the agent. */
-    private boolean listed;
+    private boolean listKnown;
     /** Whether the agent has been asked for the list and has either answered or timed out. */
-    private boolean asked;
-    private ProcessHandover succession;
+    private boolean listQueryDone;
+    private ProcessHandover handover;
     /** State received from the previous process; kept until the journal is replayed. */
-    private Optional<ProcessHandover.HandoverState> legacy = Optional.empty();
+    private Optional<ProcessHandover.HandoverState> receivedState = Optional.empty();
     /** Attempts that the previous process made and still awaits. */
-    private final Map<AttemptId, AcceptedMessage> elsewhere = new HashMap<>();
+    private final Map<AttemptId, AcceptedMessage> predecessorAttempts = new HashMap<>();
     /** Whether another process has taken over; from then on this one decides nothing. */
     private boolean handedOver;
-    private final SubmissionService clients = new SubmissionService();
+    private final SubmissionService submissionService = new SubmissionService();
 
-    private record AttemptId(long message, int attempt) {
+    private record AttemptId(long messageNumber, int attempt) {
     }
 
-    Sender(Config config, boolean links, long takingMs, long closingMs) {
-        this(config, links, takingMs, closingMs, MachineClock.system());
+    Sender(Config config, boolean handoverAllowed, long drainAcceptMs, long drainTimeoutMs) {
+        this(config, handoverAllowed, drainAcceptMs, drainTimeoutMs, MachineClock.system());
     }
 
     /** Creates a sender with other clocks; the monotonic one must agree with {@link System#nanoTime}. */
-    Sender(Config config, boolean links, long takingMs, long closingMs, MachineClock machine) {
-        this.machine = machine;
+    Sender(Config config, boolean handoverAllowed, long drainAcceptMs, long drainTimeoutMs, MachineClock machineClock) {
+        this.machineClock = machineClock;
         this.config = config;
-        this.links = links;
-        this.takingMs = takingMs;
-        this.closingMs = closingMs;
+        this.handoverAllowed = handoverAllowed;
+        this.drainAcceptMs = drainAcceptMs;
+        this.drainTimeoutMs = drainTimeoutMs;
         this.relay = Relay.create(config.settings(), config.seed(), this);
-        this.figures = new Metrics(config.classes());
-        this.guard = new SendGuard(config.settings(), config.classes());
+        this.metrics = new Metrics(config.classes());
+        this.sendGuard = new SendGuard(config.settings(), config.classes());
     }
 
     /**
      * Runs a sender until a signal stops it; returns the exit code of the process. With {@code links} false no other
      * process can take over while this one runs.
      */
-    public static int serve(Map<String, String> env, boolean links) {
+    public static int serve(Map<String, String> environment, boolean handoverAllowed) {
         try {
-            Sender sender = new Sender(Config.read(env), links, TAKING_MS, CLOSING_MS);
-            sender.trace = Trace.of(env);
-            SighupHandler.handle(() -> sender.reload(env));
+            Sender sender = new Sender(Config.read(environment), handoverAllowed, DRAIN_ACCEPT_MS, DRAIN_TIMEOUT_MS);
+            sender.trace = Trace.fromEnvironment(environment);
+            SighupHandler.handle(() -> sender.reload(environment));
             Runtime.getRuntime().addShutdownHook(new Thread(sender::drain, "drain"));
             sender.launch();
             sender.stopped.await();
@@ -160,7 +160,7 @@
      * is retried in the background.
      */
     private void launch() {
-        loop.submit(this::open).syncUninterruptibly();
+        loop.submit(this::initialize).syncUninterruptibly();
     }
 
     /**
@@ -169,51 +169,51 @@
      */
     InetSocketAddress start() {
         launch();
-        return journal == null ? config.listen() : clientListener.bound().join();
+        return journal == null ? config.listen() : clientListener.boundAddress().join();
     }
 
     /** Waits until operators can connect, and returns the address. */
-    InetSocketAddress operators() {
-        return operatorListener.orElseThrow().bound().join();
+    InetSocketAddress operatorAddress() {
+        return operatorListener.orElseThrow().boundAddress().join();
     }
 
-    private void open() {
-        if (closing) {
+    private void initialize() {
+        if (shuttingDown) {
             // SIGTERM came before the start.
             return;
         }
-        int sockets = Math.max(config.sockets() - OTHER_SOCKETS, 64);
-        mostClients = (int) (sockets * CLIENT_SHARE);
+        int descriptors = Math.max(config.sockets() - RESERVED_DESCRIPTORS, 64);
+        maxClients = (int) (descriptors * CLIENT_DESCRIPTOR_SHARE);
         // Twice the slots: the connection of an abandoned call lingers while its slot is already in use again.
-        int mostIdle = Math.max(1, sockets - mostClients - 2 * config.settings().slots());
-        endpoints = new EndpointClient(loop, config.dialMs(), config.settings().keepAliveMs(), mostIdle,
-                new CallResults(), NioSocketChannel::new, machine);
+        int maxIdleConnections = Math.max(1, descriptors - maxClients - 2 * config.settings().slots());
+        endpointClient = new EndpointClient(loop, config.dialMs(), config.settings().keepAliveMs(), maxIdleConnections,
+                new CallResults(), NioSocketChannel::new, machineClock);
         agentAddress = config.discovery();
-        notices = new NoticeClient(loop, new AgentClient(loop, agentAddress), this::heard);
-        intake = new ClientServer(loop, mostClients, clients);
-        ops = new OperatorServer(loop, new OperatorCommands());
+        noticeClient = new NoticeClient(loop, new AgentClient(loop, agentAddress), this::closeInJournal);
+        clientServer = new ClientServer(loop, maxClients, submissionService);
+        operatorServer = new OperatorServer(loop, new OperatorCommands());
         discovery = new Discovery(loop, new AgentClient(loop, agentAddress), new EndpointListUpdates());
-        succession = new ProcessHandover(loop, config.state(), links, new HandoverEvents());
-        clientListener = new RetryingListener(loop, "clients", () -> intake.listen(config.listen()));
-        clientListener.bound().thenAccept(address -> {
+        handover = new ProcessHandover(loop, config.state(), handoverAllowed, new HandoverEvents());
+        clientListener = new RetryingListener(loop, "clients", () -> clientServer.listen(config.listen()));
+        clientListener.boundAddress().thenAccept(address -> {
             Log.write(config.name() + " listens at " + EndpointClient.hostPort(address));
-            succession.listens();
+            handover.listens();
         });
         operatorListener = config.ops()
-                .map(address -> new RetryingListener(loop, "operators", () -> ops.listen(address)));
-        succession.start();
+                .map(address -> new RetryingListener(loop, "operators", () -> operatorServer.listen(address)));
+        handover.start();
         discovery.start(config.file());
         operatorListener.ifPresent(RetryingListener::start);
-        loop.scheduleWithFixedDelay(this::lookForOverdue, OVERDUE_LOOK_MS, OVERDUE_LOOK_MS, TimeUnit.MILLISECONDS);
+        loop.scheduleWithFixedDelay(this::checkOverdue, OVERDUE_CHECK_INTERVAL_MS, OVERDUE_CHECK_INTERVAL_MS, TimeUnit.MILLISECONDS);
     }
 
     /** Reports each message without a final result past its deadline: every accepted message must finish in time. */
-    private void lookForOverdue() {
-        for (AcceptedMessage held : open.values()) {
-            if (held.told && !held.overdue && held.leftMs(machine) < -OVERDUE_AFTER_MS) {
-                held.overdue = true;
-                invariants.breached(Invariants.Rule.END_IN_TIME, held.id, held.attempts.size()
-                        + " attempts, no final result " + (long) -held.leftMs(machine) + " ms after the deadline");
+    private void checkOverdue() {
+        for (AcceptedMessage message : openMessages.values()) {
+            if (message.told && !message.overdue && message.leftMs(machineClock) < -OVERDUE_GRACE_MS) {
+                message.overdue = true;
+                invariants.reportBreach(Invariants.Rule.END_IN_TIME, message.id, message.attempts.size()
+                        + " attempts, no final result " + (long) -message.leftMs(machineClock) + " ms after the deadline");
             }
         }
     }
@@ -223,12 +223,12 @@
      * preferred if the agent answers: a process must respect the agent's current list from its start, and the list in
      * the configuration may be outdated.
      */
-    private void begin() {
-        if (ready || journal == null || !listed || !asked) {
+    private void restoreWhenReady() {
+        if (ready || journal == null || !listKnown || !listQueryDone) {
             return;
         }
         ready = true;
-        event(this::replay);
+        runEvent(this::restoreFromJournal);
     }
 
     /**
@@ -236,21 +236,21 @@
      * discovery changes; all other settings stay as they were when the process started. If the file can't be read or
      * has no address, the current address stays in use.
      */
-    void reload(Map<String, String> env) {
+    void reload(Map<String, String> environment) {
         try {
-            InetSocketAddress address = Config.read(env).discovery();
-            loop.execute(() -> moveTo(address));
+            InetSocketAddress address = Config.read(environment).discovery();
+            loop.execute(() -> setAgentAddress(address));
         } catch (InvalidInputException | IOException e) {
             Log.write("can't reload the configuration; keeping the current one: " + e.getMessage());
         }
     }
 
-    private void moveTo(InetSocketAddress address) {
+    private void setAgentAddress(InetSocketAddress address) {
         Log.write("configuration reloaded; the discovery address is " + EndpointClient.hostPort(address));
         if (!address.equals(agentAddress)) {
             agentAddress = address;
             discovery.moveTo(new AgentClient(loop, address));
-            notices.moveTo(new AgentClient(loop, address));
+            noticeClient.moveTo(new AgentClient(loop, address));
         }
     }
 
@@ -259,68 +259,68 @@
      * module, and sends its pending notices again. This must wait for an endpoint list, without which the module could
      * only fail all of these messages.
      */
-    private void replay() {
-        int resumed = 0;
-        Collection<AcceptedMessage> all = journal.held();
-        legacy.ifPresent(this::recall);
-        Map<AttemptId, Long> outBefore = new HashMap<>();
-        legacy.filter(l -> succession.hasPredecessor()).ifPresent(l ->
-                l.out().forEach(o -> outBefore.put(new AttemptId(o.message(), o.attempt()), o.call())));
-        legacy = Optional.empty();
+    private void restoreFromJournal() {
+        int restored = 0;
+        Collection<AcceptedMessage> messages = journal.held();
+        receivedState.ifPresent(this::restoreHandoverState);
+        Map<AttemptId, Long> callsBefore = new HashMap<>();
+        receivedState.filter(state -> handover.hasPredecessor()).ifPresent(state ->
+                state.out().forEach(attempt -> callsBefore.put(new AttemptId(attempt.message(), attempt.attempt()), attempt.call())));
+        receivedState = Optional.empty();
         journal.health().forEach((id, health) -> {
-            double now = openTurn();
-            double since = now - health.ageMs(machine);
-            relay.restoreEndpointHealth(now, endpointNumber(id),
-                    new Relay.EndpointHealth(health.state(), since, health.carriedPerMs()));
+            double nowMs = openTurn();
+            double sinceMs = nowMs - health.ageMs(machineClock);
+            relay.restoreEndpointHealth(nowMs, endpointNumber(id),
+                    new Relay.EndpointHealth(health.state(), sinceMs, health.carriedPerMs()));
         });
-        for (AcceptedMessage held : all) {
-            int messageClass = config.classes().indexOf(held.messageClass);
-            if (held.over) {
-                trace.step("owed", held.id);
-                notices.owe(held);
+        for (AcceptedMessage message : messages) {
+            int messageClass = config.classes().indexOf(message.messageClass);
+            if (message.over) {
+                trace.step("owed", message.id);
+                noticeClient.owe(message);
                 continue;
             }
             if (messageClass < 0) {
-                Log.write("message class " + held.messageClass + " is no longer configured; a restored message fails");
-                end(held, new AcceptedMessage.Notice(false, 0));
+                Log.write("message class " + message.messageClass + " is no longer configured; a restored message fails");
+                completeWithNotice(message, new AcceptedMessage.Notice(false, 0));
                 continue;
             }
-            double now = openTurn();
-            List<Relay.EarlierAttempt> earlier = new ArrayList<>();
-            for (AcceptedMessage.Attempt a : held.attempts) {
-                double sentAt = Math.min(now, (a.sentNanos - startNanos) / 1e6);
-                AttemptId out = new AttemptId(held.number, earlier.size());
-                OptionalLong call = outBefore.containsKey(out) ? OptionalLong.of(outBefore.get(out))
+            double nowMs = openTurn();
+            List<Relay.EarlierAttempt> earlierAttempts = new ArrayList<>();
+            for (AcceptedMessage.Attempt attempt : message.attempts) {
+                double sentAtMs = Math.min(nowMs, (attempt.sentNanos - startNanos) / 1e6);
+                AttemptId attemptId = new AttemptId(message.number, earlierAttempts.size());
+                OptionalLong callId = callsBefore.containsKey(attemptId) ? OptionalLong.of(callsBefore.get(attemptId))
                         : OptionalLong.empty();
-                call.ifPresent(c -> elsewhere.put(out, held));
-                earlier.add(new Relay.EarlierAttempt(endpointNumber(a.endpoint), sentAt, !a.neverRan, call));
+                callId.ifPresent(id -> predecessorAttempts.put(attemptId, message));
+                earlierAttempts.add(new Relay.EarlierAttempt(endpointNumber(attempt.endpoint), sentAtMs, !attempt.neverRan, callId));
             }
-            open.put(held.number, held);
-            byId.put(held.id, held);
-            held.told = true;
-            resumed++;
-            trace.step("resumed", held.id, (long) held.leftMs(machine), held.attempts.size());
-            relay.messageRestored(now, message(held, messageClass, held.leftMs(machine)), earlier);
+            openMessages.put(message.number, message);
+            openMessagesById.put(message.id, message);
+            message.told = true;
+            restored++;
+            trace.step("resumed", message.id, (long) message.leftMs(machineClock), message.attempts.size());
+            relay.messageRestored(nowMs, toRelayMessage(message, messageClass, message.leftMs(machineClock)), earlierAttempts);
         }
-        all.stream().filter(held -> !held.over && !open.containsKey(held.number)).forEach(held ->
-                invariants.breached(Invariants.Rule.HELD_TAKEN_UP, held.id, "not restored from the journal"));
-        Log.write(config.name() + " is ready; restored " + resumed + " messages from its journal");
+        messages.stream().filter(message -> !message.over && !openMessages.containsKey(message.number)).forEach(message ->
+                invariants.reportBreach(Invariants.Rule.HELD_TAKEN_UP, message.id, "not restored from the journal"));
+        Log.write(config.name() + " is ready; restored " + restored + " messages from its journal");
     }
 
-    private void recall(ProcessHandover.HandoverState told) {
-        told.ended().forEach(journal::markEnded);
-        List<Relay.LearnedEndpointState> known = new ArrayList<>();
-        for (Relay.LearnedEndpointState k : told.memory().endpoints()) {
-            known.add(k.withEndpointId(endpointNumber(told.endpoints().get(known.size()))));
+    private void restoreHandoverState(ProcessHandover.HandoverState state) {
+        state.ended().forEach(journal::markEnded);
+        List<Relay.LearnedEndpointState> learned = new ArrayList<>();
+        for (Relay.LearnedEndpointState endpoint : state.memory().endpoints()) {
+            learned.add(endpoint.withEndpointId(endpointNumber(state.endpoints().get(learned.size()))));
         }
-        relay.restoreLearnedState(openTurn(), new Relay.LearnedState(known, told.memory().firstSendsAgo(),
-                told.memory().copiesAgo(), told.memory().retriesAgo()));
+        relay.restoreLearnedState(openTurn(), new Relay.LearnedState(learned, state.memory().firstSendsAgo(),
+                state.memory().copiesAgo(), state.memory().retriesAgo()));
     }
 
-    private Relay.Message message(AcceptedMessage held, int messageClass, double leftMs) {
-        double left = Math.min(leftMs, config.settings().classes().get(messageClass).deadlineMs());
-        return new Relay.Message(held.number, messageClass, Math.max(0, config.tenants().indexOf(held.tenant)),
-                held.key, left, held.destination);
+    private Relay.Message toRelayMessage(AcceptedMessage message, int messageClass, double leftMs) {
+        double boundedLeftMs = Math.min(leftMs, config.settings().classes().get(messageClass).deadlineMs());
+        return new Relay.Message(message.number, messageClass, Math.max(0, config.tenants().indexOf(message.tenant)),
+                message.key, boundedLeftMs, message.destination);
     }
 
     // ---- the clock and turns ----
@@ -332,95 +332,95 @@
     private double openTurn() {
         if (!turnOpen) {
             turnOpen = true;
-            clock = now();
+            turnTimeMs = nowMs();
             loop.execute(this::endTurn);
         }
-        return clock;
+        return turnTimeMs;
     }
 
     /** Milliseconds since the start of this process. */
-    private double now() {
+    private double nowMs() {
         return (System.nanoTime() - startNanos) / 1e6;
     }
 
     private void endTurn() {
-        event(() -> relay.endTurn(clock));
+        runEvent(() -> relay.endTurn(turnTimeMs));
         turnOpen = false;
     }
 
     /** Logs an internal error. An error in handling one message must not end the process and with it all others. */
-    private static void fault(RuntimeException e) {
-        Log.write("fault in the module: " + e + " at " + List.of(e.getStackTrace()).stream().limit(5).toList());
+    private static void logModuleFault(RuntimeException fault) {
+        Log.write("fault in the module: " + fault + " at " + List.of(fault.getStackTrace()).stream().limit(5).toList());
     }
 
-    private void event(Runnable told) {
+    private void runEvent(Runnable moduleCall) {
         if (handedOver) {
             return;
         }
         try {
-            told.run();
-        } catch (RuntimeException e) {
-            fault(e);
+            moduleCall.run();
+        } catch (RuntimeException fault) {
+            logModuleFault(fault);
         }
     }
 
     // ---- actions that the decision module asks for ----
 
     @Override
-    public void send(long message, long endpoint, double timeoutMs) {
-        AcceptedMessage held = open.get(message);
-        int number = held.attempts.size();
-        Optional<Invariants.Rule> breach = guard.breach(held, directory.destination(endpoint).orElse(-1));
+    public void send(long messageNumber, long endpoint, double timeoutMs) {
+        AcceptedMessage message = openMessages.get(messageNumber);
+        int attemptNumber = message.attempts.size();
+        Optional<Invariants.Rule> breach = sendGuard.breach(message, registry.destination(endpoint).orElse(-1));
         if (breach.isPresent()) {
-            invariants.breached(breach.get(), held.id, "an attempt at " + directory.id(endpoint) + " was prevented");
-            held.attempts.add(AcceptedMessage.Attempt.neverMade(directory.id(endpoint), machine));
-            loop.execute(() -> attemptEnded(held, number, Relay.Outcome.NOT_SENT, false, 0, Relay.LoadReport.NONE, 0));
+            invariants.reportBreach(breach.get(), message.id, "an attempt at " + registry.id(endpoint) + " was prevented");
+            message.attempts.add(AcceptedMessage.Attempt.neverMade(registry.id(endpoint), machineClock));
+            loop.execute(() -> attemptCompleted(message, attemptNumber, Relay.Outcome.NOT_SENT, false, 0, Relay.LoadReport.NONE, 0));
             return;
         }
-        AcceptedMessage.Attempt attempt = AcceptedMessage.Attempt.sentAgo(directory.id(endpoint), 0, machine);
+        AcceptedMessage.Attempt attempt = AcceptedMessage.Attempt.sentAgo(registry.id(endpoint), 0, machineClock);
         try {
-            journal.attempt(held, attempt);
+            journal.attempt(message, attempt);
         } catch (IOException e) {
             // Without a record in the journal the message could run twice after a restart, so the attempt is not made.
-            loop.execute(() -> attemptEnded(held, number, Relay.Outcome.NOT_SENT, false, 0, Relay.LoadReport.NONE, 0));
+            loop.execute(() -> attemptCompleted(message, attemptNumber, Relay.Outcome.NOT_SENT, false, 0, Relay.LoadReport.NONE, 0));
             return;
         }
-        trace.step("attempt", held.id, number, attempt.endpoint);
-        calls.put(new AttemptId(message, number),
-                endpoints.call(held, number, endpoint, timeoutMs, startNanos + (long) (clock * 1e6)));
+        trace.step("attempt", message.id, attemptNumber, attempt.endpoint);
+        callsInFlight.put(new AttemptId(messageNumber, attemptNumber),
+                endpointClient.call(message, attemptNumber, endpoint, timeoutMs, startNanos + (long) (turnTimeMs * 1e6)));
     }
 
     @Override
-    public void cancel(long message, int attempt) {
-        EndpointClient.Call call = calls.get(new AttemptId(message, attempt));
+    public void cancel(long messageNumber, int attempt) {
+        EndpointClient.Call call = callsInFlight.get(new AttemptId(messageNumber, attempt));
         if (call != null) {
-            endpoints.cancel(call);
-        } else if (elsewhere.containsKey(new AttemptId(message, attempt))) {
-            succession.callOff(message, attempt);
+            endpointClient.cancel(call);
+        } else if (predecessorAttempts.containsKey(new AttemptId(messageNumber, attempt))) {
+            handover.callOff(messageNumber, attempt);
         }
     }
 
     @Override
     public void closeIdleConnections(long endpoint) {
-        endpoints.closeIdleConnections(endpoint);
+        endpointClient.closeIdleConnections(endpoint);
     }
 
     @Override
-    public void reject(long message, double waitMs) {
-        figures.ended(open.get(message).messageClass, Metrics.Completion.REJECTED);
-        end(open.get(message), new AcceptedMessage.Notice(true, waitMs));
+    public void reject(long messageNumber, double retryAfterMs) {
+        metrics.messageCompleted(openMessages.get(messageNumber).messageClass, Metrics.Completion.REJECTED);
+        completeWithNotice(openMessages.get(messageNumber), new AcceptedMessage.Notice(true, retryAfterMs));
     }
 
     @Override
-    public void fail(long message) {
-        figures.ended(open.get(message).messageClass, Metrics.Completion.FAILED);
-        end(open.get(message), new AcceptedMessage.Notice(false, 0));
+    public void fail(long messageNumber) {
+        metrics.messageCompleted(openMessages.get(messageNumber).messageClass, Metrics.Completion.FAILED);
+        completeWithNotice(openMessages.get(messageNumber), new AcceptedMessage.Notice(false, 0));
     }
 
     @Override
-    public void wakeAt(double time) {
-        long nanos = (long) (time * 1e6) - (System.nanoTime() - startNanos);
-        loop.schedule(() -> event(() -> relay.wake(openTurn())), Math.max(0, nanos), TimeUnit.NANOSECONDS);
+    public void wakeAt(double timeMs) {
+        long delayNanos = (long) (timeMs * 1e6) - (System.nanoTime() - startNanos);
+        loop.schedule(() -> runEvent(() -> relay.wake(openTurn())), Math.max(0, delayNanos), TimeUnit.NANOSECONDS);
     }
 
     @Override
@@ -430,25 +430,25 @@
 
     @Override
     public void saveEndpointHealth(long endpoint, Relay.EndpointHealth health) {
-        remember(directory.id(endpoint), Journal.Health.since(clock - health.sinceMs(), health.state(),
-                health.sustainedPerMs(), machine));
+        saveHealth(registry.id(endpoint), Journal.Health.since(turnTimeMs - health.sinceMs(), health.state(),
+                health.sustainedPerMs(), machineClock));
     }
 
-    private void remember(String endpoint, Journal.Health health) {
+    private void saveHealth(String endpoint, Journal.Health health) {
         if (journal != null) {
             journal.health(endpoint, health);
         }
     }
 
-    private void end(AcceptedMessage held, AcceptedMessage.Notice notice) {
-        if (held.over) {
-            invariants.breached(Invariants.Rule.ONE_END, held.id, "a second final result: " + notice);
+    private void completeWithNotice(AcceptedMessage message, AcceptedMessage.Notice notice) {
+        if (message.over) {
+            invariants.reportBreach(Invariants.Rule.ONE_END, message.id, "a second final result: " + notice);
             return;
         }
-        trace.step(notice.bounced() ? "refused" : "failed", held.id, held.attempts.size());
-        over(held);
-        journal.owed(held, notice);
-        notices.owe(held);
+        trace.step(notice.bounced() ? "refused" : "failed", message.id, message.attempts.size());
+        finishMessage(message);
+        journal.owed(message, notice);
+        noticeClient.owe(message);
     }
 
     // ---- events for the decision module ----
@@ -456,30 +456,30 @@
     /** Passes results of calls to the decision module, or to the next process after a handover. */
     private final class CallResults implements EndpointClient.CallListener {
         @Override
-        public void ended(EndpointClient.Call call, Relay.Outcome outcome, boolean gone, double waitMs,
+        public void ended(EndpointClient.Call call, Relay.Outcome outcome, boolean messageOver, double retryAfterMs,
                 Relay.LoadReport report) {
-            calls.remove(new AttemptId(call.held.number, call.attempt));
-            double took = (System.nanoTime() - call.startedNanos) / 1e6;
+            callsInFlight.remove(new AttemptId(call.held.number, call.attempt));
+            double durationMs = (System.nanoTime() - call.startedNanos) / 1e6;
             if (handedOver) {
-                succession.tellEnd(new ProcessHandover.InFlightResult(call.held.number, call.attempt, outcome, gone,
-                        waitMs, report, took));
+                handover.tellEnd(new ProcessHandover.InFlightResult(call.held.number, call.attempt, outcome, messageOver,
+                        retryAfterMs, report, durationMs));
                 return;
             }
-            attemptEnded(call.held, call.attempt, outcome, gone, waitMs, report, took);
+            attemptCompleted(call.held, call.attempt, outcome, messageOver, retryAfterMs, report, durationMs);
         }
 
         @Override
-        public void waitTold(long endpoint, double waitMs) {
+        public void waitTold(long endpoint, double retryAfterMs) {
             if (handedOver) {
-                succession.tellWait(directory.id(endpoint), waitMs);
+                handover.tellWait(registry.id(endpoint), retryAfterMs);
             } else {
-                Sender.this.waitTold(endpoint, waitMs);
+                Sender.this.retryAfterReceived(endpoint, retryAfterMs);
             }
         }
 
         @Override
         public void written(int messages) {
-            figures.written(messages);
+            metrics.messagesWritten(messages);
         }
 
         /**
@@ -492,45 +492,45 @@
         public boolean mayStillGo(EndpointClient.Call call) {
             Optional<SendGuard.SuppressionReason> reason = handedOver
                     ? Optional.of(SendGuard.SuppressionReason.HANDED_OVER)
-                    : guard.heldBack(call.held, call.attempt, relay.sendAllowed(now(), call.endpoint()),
-                            machine.nanos());
-            reason.ifPresent(figures::heldBack);
+                    : sendGuard.heldBack(call.held, call.attempt, relay.sendAllowed(nowMs(), call.endpoint()),
+                            machineClock.nanos());
+            reason.ifPresent(metrics::callSuppressed);
             trace.step(reason.map(r -> "heldback:" + r).orElse("write"), call.held.id, call.attempt);
             return reason.isEmpty();
         }
     }
 
     /** The wait counts from now, but the turn's time may be older, so the difference is added. */
-    private void waitTold(long endpoint, double waitMs) {
-        event(() -> relay.retryAfterReceived(openTurn(), endpoint, waitMs + now() - clock));
+    private void retryAfterReceived(long endpoint, double retryAfterMs) {
+        runEvent(() -> relay.retryAfterReceived(openTurn(), endpoint, retryAfterMs + nowMs() - turnTimeMs));
     }
 
-    private void attemptEnded(AcceptedMessage held, int attempt, Relay.Outcome outcome, boolean gone, double waitMs,
-            Relay.LoadReport report, double took) {
-        trace.step("ended", held.id, attempt, outcome, (long) took, (long) waitMs);
-        if (!held.over && (gone || outcome == Relay.Outcome.DELIVERED)) {
-            over(held);
+    private void attemptCompleted(AcceptedMessage message, int attempt, Relay.Outcome outcome, boolean messageOver, double retryAfterMs,
+            Relay.LoadReport report, double durationMs) {
+        trace.step("ended", message.id, attempt, outcome, (long) durationMs, (long) retryAfterMs);
+        if (!message.over && (messageOver || outcome == Relay.Outcome.DELIVERED)) {
+            finishMessage(message);
             if (outcome == Relay.Outcome.DELIVERED) {
-                figures.ended(held.messageClass, Metrics.Completion.COMPLETED);
+                metrics.messageCompleted(message.messageClass, Metrics.Completion.COMPLETED);
             }
-            journal.ended(held);
-        } else if (!held.over && !outcome.mayHaveRun()) {
-            journal.neverRan(held, attempt);
+            journal.ended(message);
+        } else if (!message.over && !outcome.mayHaveRun()) {
+            journal.neverRan(message, attempt);
         }
-        boolean finished = held.over;
-        event(() -> relay.attemptCompleted(openTurn(), new Relay.AttemptResult(held.number, attempt, outcome, took,
-                finished, waitMs, report)));
+        boolean finished = message.over;
+        runEvent(() -> relay.attemptCompleted(openTurn(), new Relay.AttemptResult(message.number, attempt, outcome, durationMs,
+                finished, retryAfterMs, report)));
     }
 
-    private void over(AcceptedMessage held) {
-        held.over = true;
-        open.remove(held.number);
-        byId.remove(held.id);
+    private void finishMessage(AcceptedMessage message) {
+        message.over = true;
+        openMessages.remove(message.number);
+        openMessagesById.remove(message.id);
     }
 
-    private void heard(AcceptedMessage held) {
-        trace.step("heard", held.id);
-        journal.ended(held);
+    private void closeInJournal(AcceptedMessage message) {
+        trace.step("heard", message.id);
+        journal.ended(message);
     }
 
     private void catchUpJournal() {
@@ -543,32 +543,32 @@
     private final class EndpointListUpdates implements Discovery.UpdateListener {
         @Override
         public void begins() {
-            directory.begin();
+            registry.begin();
         }
 
         @Override
         public void named(List<Discovery.Entry> entries) {
-            Sender.this.named(entries);
+            Sender.this.applyListEntries(entries);
         }
 
         @Override
-        public void ends(boolean whole) {
-            if (whole) {
-                leave();
+        public void ends(boolean fullList) {
+            if (fullList) {
+                removeUnlisted();
             }
-            forgetGone();
-            if (directory.passedOver() > 0) {
-                Log.write("the endpoint list is too long: ignoring " + directory.passedOver()
-                        + " endpoints beyond the " + MOST_ENDPOINTS + " that fit into the heap");
+            forgetRemoved();
+            if (registry.passedOver() > 0) {
+                Log.write("the endpoint list is too long: ignoring " + registry.passedOver()
+                        + " endpoints beyond the " + MAX_ENDPOINTS + " that fit into the heap");
             }
-            listed = true;
-            begin();
+            listKnown = true;
+            restoreWhenReady();
         }
 
         @Override
         public void asked() {
-            asked = true;
-            begin();
+            listQueryDone = true;
+            restoreWhenReady();
         }
     }
 
@@ -576,64 +576,64 @@
      * Applies entries as soon as they are read. They are passed to the decision module as changes rather than as a full
      * list, since a list may arrive in portions.
      */
-    private void named(List<Discovery.Entry> entries) {
-        List<Relay.Endpoint> list = new ArrayList<>(entries.size());
-        long now = System.nanoTime();
-        for (Discovery.Entry e : entries) {
-            if (e.address().isEmpty() && directory.known(e.id()).isEmpty()) {
+    private void applyListEntries(List<Discovery.Entry> entries) {
+        List<Relay.Endpoint> changes = new ArrayList<>(entries.size());
+        long nowNanos = System.nanoTime();
+        for (Discovery.Entry entry : entries) {
+            if (entry.address().isEmpty() && registry.known(entry.id()).isEmpty()) {
                 continue;
             }
-            directory.displaced(e, now).ifPresent(other -> {
-                endpoints.closeIdleConnections(other.number());
-                list.add(goneEndpoint(other));
+            registry.displaced(entry, nowNanos).ifPresent(displaced -> {
+                endpointClient.closeIdleConnections(displaced.number());
+                changes.add(removedEndpoint(displaced));
             });
-            OptionalLong room = directory.name(e, now);
-            if (room.isEmpty()) {
+            OptionalLong assigned = registry.name(entry, nowNanos);
+            if (assigned.isEmpty()) {
                 continue;
             }
-            long number = room.getAsLong();
-            int kind = Math.max(0, config.kinds().indexOf(e.kind()));
-            e.address().ifPresent(address -> endpoints.at(number, address, e.serving(),
-                    config.settings().kinds().get(kind).maxBatchSize()));
-            list.add(new Relay.Endpoint(number, e.destination(), kind,
-                    Math.max(0, config.zones().indexOf(e.zone())), e.serving(), e.weight(), e.gone()));
+            long endpointNumber = assigned.getAsLong();
+            int kindIndex = Math.max(0, config.kinds().indexOf(entry.kind()));
+            entry.address().ifPresent(address -> endpointClient.at(endpointNumber, address, entry.serving(),
+                    config.settings().kinds().get(kindIndex).maxBatchSize()));
+            changes.add(new Relay.Endpoint(endpointNumber, entry.destination(), kindIndex,
+                    Math.max(0, config.zones().indexOf(entry.zone())), entry.serving(), entry.weight(), entry.gone()));
         }
-        event(() -> relay.endpointsChanged(openTurn(), false, list));
+        runEvent(() -> relay.endpointsChanged(openTurn(), false, changes));
     }
 
     /**
      * Removes the endpoints that a full list did not name, once it has been read. Each is reported with the rate that
      * the list gave last for an endpoint of its destination.
      */
-    private void leave() {
-        List<Relay.Endpoint> left = directory.leave(System.nanoTime()).stream().map(Sender::goneEndpoint).toList();
-        event(() -> relay.endpointsChanged(openTurn(), false, left));
+    private void removeUnlisted() {
+        List<Relay.Endpoint> removed = registry.leave(System.nanoTime()).stream().map(Sender::removedEndpoint).toList();
+        runEvent(() -> relay.endpointsChanged(openTurn(), false, removed));
     }
 
-    private static Relay.Endpoint goneEndpoint(EndpointRegistry.RegisteredEndpoint gone) {
-        return new Relay.Endpoint(gone.number(), gone.destination(), 0, 0, false, gone.rate(), true);
+    private static Relay.Endpoint removedEndpoint(EndpointRegistry.RegisteredEndpoint endpoint) {
+        return new Relay.Endpoint(endpoint.number(), endpoint.destination(), 0, 0, false, endpoint.rate(), true);
     }
 
     /** Forgets removed endpoints, later than the decision module does, which must not name one unknown here. */
-    private void forgetGone() {
-        for (EndpointRegistry.RegisteredEndpoint gone
-                : directory.forget(System.nanoTime(), TimeUnit.MILLISECONDS.toNanos(GONE_MS))) {
-            endpoints.forget(gone.number());
-            if (directory.known(gone.id()).isEmpty()) {
-                remember(gone.id(), new Journal.Health(Relay.EndpointState.UP, 0, 0));
+    private void forgetRemoved() {
+        for (EndpointRegistry.RegisteredEndpoint endpoint
+                : registry.forget(System.nanoTime(), TimeUnit.MILLISECONDS.toNanos(REMOVED_ENDPOINT_RETENTION_MS))) {
+            endpointClient.forget(endpoint.number());
+            if (registry.known(endpoint.id()).isEmpty()) {
+                saveHealth(endpoint.id(), new Journal.Health(Relay.EndpointState.UP, 0, 0));
             }
         }
     }
 
     private long endpointNumber(String id) {
-        return directory.number(id, System.nanoTime());
+        return registry.number(id, System.nanoTime());
     }
 
     /** Accepts or rejects what clients submit. */
     private final class SubmissionService implements ClientServer.SubmissionHandler {
         @Override
         public boolean ready() {
-            return ready && !closing || handedOver;
+            return ready && !shuttingDown || handedOver;
         }
 
         @Override
@@ -654,42 +654,42 @@
 
         @Override
         public boolean knowsDestination(long destination) {
-            boolean known = directory.knowsDestination(destination);
+            boolean known = registry.knowsDestination(destination);
             if (!known) {
-                figures.refused(Metrics.RejectionReason.UNKNOWN_DESTINATION);
+                metrics.messageRejected(Metrics.RejectionReason.UNKNOWN_DESTINATION);
             }
             return known;
         }
 
         @Override
-        public boolean handsOn() {
+        public boolean forwardsSubmissions() {
             return handedOver;
         }
 
         @Override
-        public void handOn(ClientServer.Submission submission, Consumer<HttpResponseStatus> answer) {
-            succession.handOn(submission, answer);
+        public void forward(ClientServer.Submission submission, Consumer<HttpResponseStatus> answer) {
+            handover.handOn(submission, answer);
         }
 
         @Override
-        public void closes(ClientServer.CloseReason reason) {
-            figures.closed(reason);
+        public void connectionClosing(ClientServer.CloseReason reason) {
+            metrics.clientClosed(reason);
         }
 
         @Override
-        public void leavesUnanswered(ClientServer.CloseReason reason) {
-            invariants.breached(Invariants.Rule.REQUEST_ANSWERED, "-", "a request got no answer; closed by " + reason);
+        public void requestLeftUnanswered(ClientServer.CloseReason reason) {
+            invariants.reportBreach(Invariants.Rule.REQUEST_ANSWERED, "-", "a request got no answer; closed by " + reason);
         }
 
         @Override
-        public void turnedAway(String messageClass) {
-            figures.ended(messageClass, Metrics.Completion.REJECTED);
+        public void submissionRejected(String messageClass) {
+            metrics.messageCompleted(messageClass, Metrics.Completion.REJECTED);
         }
 
         /** A message that ended with a notice is not accepted again under its id, and needs no further notice. */
         @Override
-        public Optional<HttpResponseStatus> answeredBefore(String id) {
-            if (byId.containsKey(id)) {
+        public Optional<HttpResponseStatus> previousAnswer(String id) {
+            if (openMessagesById.containsKey(id)) {
                 return Optional.of(HttpResponseStatus.ACCEPTED);
             }
             return journal.deliveredBefore(id).map(delivered ->
@@ -697,99 +697,99 @@
         }
 
         @Override
-        public Optional<AcceptedMessage> take(ClientServer.Submission s) {
-            if (!ready || open.size() >= config.maxOpen()) {
-                return refuse(s, ready ? Metrics.RejectionReason.NO_ROOM : Metrics.RejectionReason.NOT_READY);
+        public Optional<AcceptedMessage> accept(ClientServer.Submission submission) {
+            if (!ready || openMessages.size() >= config.maxOpen()) {
+                return reject(submission, ready ? Metrics.RejectionReason.NO_ROOM : Metrics.RejectionReason.NOT_READY);
             }
-            double mostMs = config.settings().classes().get(config.classes().indexOf(s.messageClass()))
+            double classDeadlineMs = config.settings().classes().get(config.classes().indexOf(submission.messageClass()))
                     .deadlineMs();
-            if (s.budgetMs() < AcceptedMessage.unreadMs(mostMs)) {
+            if (submission.budgetMs() < AcceptedMessage.unreadMs(classDeadlineMs)) {
                 // The deadline may have passed already, and a result would be too late; a rejection does no harm.
-                return refuse(s, Metrics.RejectionReason.TOO_LITTLE_TIME);
+                return reject(submission, Metrics.RejectionReason.TOO_LITTLE_TIME);
             }
-            AcceptedMessage held = AcceptedMessage.taken(journal.nextNumber(), s, mostMs, machine);
+            AcceptedMessage message = AcceptedMessage.taken(journal.nextNumber(), submission, classDeadlineMs, machineClock);
             try {
-                journal.taken(held);
+                journal.taken(message);
             } catch (Journal.JournalFullException e) {
-                return refuse(s, Metrics.RejectionReason.NO_ROOM);
+                return reject(submission, Metrics.RejectionReason.NO_ROOM);
             } catch (IOException e) {
-                return refuse(s, Metrics.RejectionReason.JOURNAL);
+                return reject(submission, Metrics.RejectionReason.JOURNAL);
             }
-            open.put(held.number, held);
-            byId.put(held.id, held);
-            trace.step("taken", held.id, held.messageClass, held.destination, s.budgetMs());
-            return Optional.of(held);
+            openMessages.put(message.number, message);
+            openMessagesById.put(message.id, message);
+            trace.step("taken", message.id, message.messageClass, message.destination, submission.budgetMs());
+            return Optional.of(message);
         }
 
-        private Optional<AcceptedMessage> refuse(ClientServer.Submission s, Metrics.RejectionReason reason) {
-            figures.refused(reason);
-            trace.step("turnedaway", s.id(), reason);
+        private Optional<AcceptedMessage> reject(ClientServer.Submission submission, Metrics.RejectionReason reason) {
+            metrics.messageRejected(reason);
+            trace.step("turnedaway", submission.id(), reason);
             return Optional.empty();
         }
 
         @Override
-        public void answered(AcceptedMessage held, boolean heard) {
-            if (held.told || held.over || handedOver) {
+        public void responseWritten(AcceptedMessage message, boolean written) {
+            if (message.told || message.over || handedOver) {
                 return;
             }
-            held.told = heard;
-            trace.step(heard ? "answered" : "unheard", held.id);
-            if (!heard) {
+            message.told = written;
+            trace.step(written ? "answered" : "unheard", message.id);
+            if (!written) {
                 // The client did not get the answer: it submits the message again, and this one needs no result.
-                over(held);
-                Sender.this.heard(held);
+                finishMessage(message);
+                Sender.this.closeInJournal(message);
                 return;
             }
-            int messageClass = config.classes().indexOf(held.messageClass);
-            event(() -> relay.messageAccepted(openTurn(), message(held, messageClass, held.leftMs(machine))));
+            int messageClass = config.classes().indexOf(message.messageClass);
+            runEvent(() -> relay.messageAccepted(openTurn(), toRelayMessage(message, messageClass, message.leftMs(machineClock))));
         }
     }
 
     /** Carries out the operators' commands. */
     private final class OperatorCommands implements OperatorServer.CommandHandler {
         @Override
-        public boolean serves() {
-            return !closing && (ready || listed && succession.follows());
+        public boolean canServe() {
+            return !shuttingDown && (ready || listKnown && handover.follows());
         }
 
         @Override
-        public String figures() {
-            Relay.EndpointCounts standing = relay.endpointCounts();
-            return figures.text(open.size(), standing.listed(), standing.unavailable(),
+        public String metrics() {
+            Relay.EndpointCounts counts = relay.endpointCounts();
+            return metrics.toPrometheusText(openMessages.size(), counts.listed(), counts.unavailable(),
                     Optional.ofNullable(journal).map(Journal::failures).orElse(0L),
                     Optional.ofNullable(journal).filter(Journal::isBehind).isPresent(), invariants);
         }
 
         @Override
-        public void evacuate(boolean away) {
-            Log.write(away ? "operator command: evacuating clients" : "operator command: accepting clients again");
-            intake.evacuate(away);
+        public void evacuate(boolean start) {
+            Log.write(start ? "operator command: evacuating clients" : "operator command: accepting clients again");
+            clientServer.evacuate(start);
         }
     }
 
     /** Reacts to the process before and the process after this one. */
     private final class HandoverEvents implements ProcessHandover.Callbacks {
         @Override
-        public void lead(Optional<ProcessHandover.HandoverState> told) throws IOException {
-            journal = new Journal(config.state(), config.diskBytes(), config.settings().maxAttempts(), machine,
+        public void lead(Optional<ProcessHandover.HandoverState> state) throws IOException {
+            journal = new Journal(config.state(), config.diskBytes(), config.settings().maxAttempts(), machineClock,
                     FileChannel::open);
             journal.onFailure(afterMs -> loop.schedule(Sender.this::catchUpJournal, afterMs, TimeUnit.MILLISECONDS));
-            legacy = told;
-            if (succession.hasPredecessor()) {
-                intake.bound(mostClients / 2);
+            receivedState = state;
+            if (handover.hasPredecessor()) {
+                clientServer.setConnectionLimit(maxClients / 2);
             }
-            begin();
+            restoreWhenReady();
             clientListener.start();
         }
 
         @Override
         public ProcessHandover.HandoverState legacy() {
-            Relay.LearnedState memory = relay.learnedState(openTurn());
-            List<ProcessHandover.InFlightAttempt> out = new ArrayList<>();
-            calls.forEach((o, call) ->
-                    out.add(new ProcessHandover.InFlightAttempt(o.message(), o.attempt(), call.post())));
-            return new ProcessHandover.HandoverState(journal.over(), out,
-                    memory.endpoints().stream().map(known -> directory.id(known.endpoint())).toList(), memory);
+            Relay.LearnedState learnedState = relay.learnedState(openTurn());
+            List<ProcessHandover.InFlightAttempt> inFlight = new ArrayList<>();
+            callsInFlight.forEach((id, call) ->
+                    inFlight.add(new ProcessHandover.InFlightAttempt(id.messageNumber(), id.attempt(), call.post())));
+            return new ProcessHandover.HandoverState(journal.over(), inFlight,
+                    learnedState.endpoints().stream().map(endpoint -> registry.id(endpoint.endpoint())).toList(), learnedState);
         }
 
         @Override
@@ -800,45 +800,45 @@
 
         /** Accepts a message that a client submitted to the previous process, which passes on the answer. */
         @Override
-        public HttpResponseStatus handedIn(ClientServer.Submission s) {
-            Optional<HttpResponseStatus> before = clients.answeredBefore(s.id());
-            if (before.isPresent()) {
-                return before.get();
+        public HttpResponseStatus handedIn(ClientServer.Submission submission) {
+            Optional<HttpResponseStatus> previousAnswer = submissionService.previousAnswer(submission.id());
+            if (previousAnswer.isPresent()) {
+                return previousAnswer.get();
             }
-            Optional<AcceptedMessage> taken = clients.knowsDestination(s.destination()) ? clients.take(s)
+            Optional<AcceptedMessage> accepted = submissionService.knowsDestination(submission.destination()) ? submissionService.accept(submission)
                     : Optional.empty();
-            taken.ifPresentOrElse(held -> clients.answered(held, true), () -> clients.turnedAway(s.messageClass()));
-            return taken.isPresent() ? HttpResponseStatus.ACCEPTED : HttpResponseStatus.SERVICE_UNAVAILABLE;
+            accepted.ifPresentOrElse(message -> submissionService.responseWritten(message, true), () -> submissionService.submissionRejected(submission.messageClass()));
+            return accepted.isPresent() ? HttpResponseStatus.ACCEPTED : HttpResponseStatus.SERVICE_UNAVAILABLE;
         }
 
         @Override
-        public void ended(ProcessHandover.InFlightResult end) {
-            AcceptedMessage held = elsewhere.remove(new AttemptId(end.message(), end.attempt()));
-            if (held != null) {
-                attemptEnded(held, end.attempt(), end.outcome(), end.gone(), end.waitMs(), end.report(),
-                        end.tookMs());
+        public void ended(ProcessHandover.InFlightResult result) {
+            AcceptedMessage message = predecessorAttempts.remove(new AttemptId(result.message(), result.attempt()));
+            if (message != null) {
+                attemptCompleted(message, result.attempt(), result.outcome(), result.gone(), result.waitMs(), result.report(),
+                        result.tookMs());
             }
         }
 
         @Override
-        public void waitTold(String endpoint, double waitMs) {
-            directory.known(endpoint).ifPresent(n -> Sender.this.waitTold(n, waitMs));
+        public void waitTold(String endpoint, double retryAfterMs) {
+            registry.known(endpoint).ifPresent(number -> Sender.this.retryAfterReceived(number, retryAfterMs));
         }
 
         @Override
-        public void calledOff(long message, int attempt) {
-            cancel(message, attempt);
+        public void calledOff(long messageNumber, int attempt) {
+            cancel(messageNumber, attempt);
         }
 
         /** The attempts that the previous process had in flight may have run; its journal was taken over before. */
         @Override
         public void left() {
-            Log.write("the previous process has exited; " + elsewhere.size() + " attempts were in flight");
-            Map<AttemptId, AcceptedMessage> lost = new HashMap<>(elsewhere);
-            elsewhere.clear();
-            lost.forEach((out, held) -> attemptEnded(held, out.attempt(), Relay.Outcome.BROKEN, false, 0,
+            Log.write("the previous process has exited; " + predecessorAttempts.size() + " attempts were in flight");
+            Map<AttemptId, AcceptedMessage> lost = new HashMap<>(predecessorAttempts);
+            predecessorAttempts.clear();
+            lost.forEach((id, message) -> attemptCompleted(message, id.attempt(), Relay.Outcome.BROKEN, false, 0,
                     Relay.LoadReport.NONE, 0));
-            intake.bound(mostClients);
+            clientServer.setConnectionLimit(maxClients);
         }
     }
 
@@ -847,18 +847,18 @@
      * awaits the results of its calls in flight, and forwards the requests on its remaining client connections.
      */
     private void handOver() {
-        ProcessHandover.HandoverState told = new HandoverEvents().legacy();
+        ProcessHandover.HandoverState state = new HandoverEvents().legacy();
         handedOver = true;
-        closing = true;
-        notices.stop();
+        shuttingDown = true;
+        noticeClient.stop();
         journal.handOver();
-        succession.handOver(told);
-        intake.handOver();
-        endpoints.closeIdle();
-        Log.write(config.name() + " has handed over " + open.size() + " messages to the next process, with "
-                + told.out().size() + " attempts in flight");
-        open.clear();
-        byId.clear();
+        handover.handOver(state);
+        clientServer.handOver();
+        endpointClient.closeIdle();
+        Log.write(config.name() + " has handed over " + openMessages.size() + " messages to the next process, with "
+                + state.out().size() + " attempts in flight");
+        openMessages.clear();
+        openMessagesById.clear();
     }
 
     // ---- shutdown ----
@@ -869,25 +869,25 @@
      * If another process follows, everything is handed over to it instead.
      */
     void drain() {
-        long begun = System.nanoTime();
+        long drainStartNanos = System.nanoTime();
         loop.execute(() -> {
-            if (succession != null && succession.hasFollower()) {
+            if (handover != null && handover.hasFollower()) {
                 handOver();
-                awaitIdle(begun);
+                awaitIdle(drainStartNanos);
                 return;
             }
-            closing = true;
+            shuttingDown = true;
             if (journal == null) {
                 // This process never led, so it has no messages.
                 stopped.countDown();
                 return;
             }
-            event(() -> relay.shutdownScheduled(openTurn(), clock + closingMs));
+            runEvent(() -> relay.shutdownScheduled(openTurn(), turnTimeMs + drainTimeoutMs));
             loop.schedule(() -> {
                 clientListener.close();
-                intake.close();
-                awaitIdle(begun);
-            }, takingMs, TimeUnit.MILLISECONDS);
+                clientServer.closeAfterNextResponse();
+                awaitIdle(drainStartNanos);
+            }, drainAcceptMs, TimeUnit.MILLISECONDS);
         });
         try {
             stopped.await();
@@ -896,31 +896,31 @@
         }
     }
 
-    private void awaitIdle(long begun) {
-        boolean idle = open.isEmpty() && notices.owed() == 0 && intake.clients() == 0
-                && (!handedOver || calls.isEmpty());
-        if (idle || System.nanoTime() - begun >= TimeUnit.MILLISECONDS.toNanos(closingMs)) {
-            Log.write(config.name() + " is stopping; " + (handedOver ? calls.size() + " attempts are in flight"
-                    : "its journal keeps " + open.size() + " messages and " + notices.owed() + " notices"));
-            intake.shut();
-            awaitClientsGone(System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(PARTING_MS));
+    private void awaitIdle(long drainStartNanos) {
+        boolean idle = openMessages.isEmpty() && noticeClient.owed() == 0 && clientServer.connectionCount() == 0
+                && (!handedOver || callsInFlight.isEmpty());
+        if (idle || System.nanoTime() - drainStartNanos >= TimeUnit.MILLISECONDS.toNanos(drainTimeoutMs)) {
+            Log.write(config.name() + " is stopping; " + (handedOver ? callsInFlight.size() + " attempts are in flight"
+                    : "its journal keeps " + openMessages.size() + " messages and " + noticeClient.owed() + " notices"));
+            clientServer.shutDown();
+            awaitClientsClosed(System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(CLIENT_CLOSE_TIMEOUT_MS));
             return;
         }
-        loop.schedule(() -> awaitIdle(begun), DRAIN_POLL_MS, TimeUnit.MILLISECONDS);
+        loop.schedule(() -> awaitIdle(drainStartNanos), DRAIN_POLL_INTERVAL_MS, TimeUnit.MILLISECONDS);
     }
 
-    private void awaitClientsGone(long untilNanos) {
-        if (intake.clients() == 0 || System.nanoTime() >= untilNanos) {
+    private void awaitClientsClosed(long untilNanos) {
+        if (clientServer.connectionCount() == 0 || System.nanoTime() >= untilNanos) {
             stopped.countDown();
         } else {
-            loop.schedule(() -> awaitClientsGone(untilNanos), DRAIN_POLL_MS, TimeUnit.MILLISECONDS);
+            loop.schedule(() -> awaitClientsClosed(untilNanos), DRAIN_POLL_INTERVAL_MS, TimeUnit.MILLISECONDS);
         }
     }
 
     /** Releases everything at once, as if the process were killed; for tests. */
     void kill() {
         loop.submit(() -> {
-            succession.close();
+            handover.close();
             operatorListener.ifPresent(RetryingListener::close);
             clientListener.close();
             if (journal != null) {
--- a/src/main/java/kestreldeal/net/Trace.java
+++ b/src/main/java/kestreldeal/net/Trace.java
@@ -16,27 +16,27 @@
  */
 final class Trace {
     /** The environment variable that names the file; further runs of a sender append to it. */
-    static final String FILE = "GW_TRACE";
+    static final String FILE_VARIABLE = "GW_TRACE";
     static final Trace OFF = new Trace(Optional.empty());
 
-    private final Optional<PrintWriter> out;
+    private final Optional<PrintWriter> output;
 
-    private Trace(Optional<PrintWriter> out) {
-        this.out = out;
+    private Trace(Optional<PrintWriter> output) {
+        this.output = output;
     }
 
     /** The trace that the environment asks for, which may be {@link #OFF}. */
-    static Trace of(Map<String, String> env) throws IOException {
-        if (!env.containsKey(FILE)) {
+    static Trace fromEnvironment(Map<String, String> environment) throws IOException {
+        if (!environment.containsKey(FILE_VARIABLE)) {
             return OFF;
         }
-        return new Trace(Optional.of(new PrintWriter(Files.newBufferedWriter(Path.of(env.get(FILE)),
+        return new Trace(Optional.of(new PrintWriter(Files.newBufferedWriter(Path.of(environment.get(FILE_VARIABLE)),
                 StandardCharsets.UTF_8, StandardOpenOption.CREATE, StandardOpenOption.APPEND), true)));
     }
 
     /** Writes a step of the message with this id. */
     void step(String step, String id, Object... details) {
-        out.ifPresent(writer -> {
+        output.ifPresent(writer -> {
             StringBuilder line = new StringBuilder().append(System.nanoTime() / 1_000_000).append(' ').append(step)
                     .append(' ').append(id);
             for (Object detail : details) {
--- a/src/test/java/kestreldeal/net/AcceptingSubmissionHandler.java
+++ b/src/test/java/kestreldeal/net/AcceptingSubmissionHandler.java
@@ -31,16 +31,16 @@
     }
 
     @Override
-    public Optional<HttpResponseStatus> answeredBefore(String id) {
+    public Optional<HttpResponseStatus> previousAnswer(String id) {
         return Optional.empty();
     }
 
     @Override
-    public Optional<AcceptedMessage> take(ClientServer.Submission submission) {
+    public Optional<AcceptedMessage> accept(ClientServer.Submission submission) {
         return Optional.empty();
     }
 
     @Override
-    public void answered(AcceptedMessage held, boolean heard) {
+    public void responseWritten(AcceptedMessage held, boolean heard) {
     }
 }
--- a/src/test/java/kestreldeal/net/ClientConnectionLimitTest.java
+++ b/src/test/java/kestreldeal/net/ClientConnectionLimitTest.java
@@ -11,7 +11,7 @@
     private final ClientConnectionLimit bound = new ClientConnectionLimit(CONFIGURED);
 
     private int mostAfter(long seconds) {
-        return bound.most(TimeUnit.SECONDS.toNanos(seconds));
+        return bound.current(TimeUnit.SECONDS.toNanos(seconds));
     }
 
     @Test
@@ -27,17 +27,17 @@
     @Test
     void someMayAlwaysStayAndNeverMoreThanAreAllowed() {
         bound.lower(10, 0);
-        assertEquals(ClientConnectionLimit.SPARE, mostAfter(0));
+        assertEquals(ClientConnectionLimit.SPARE_DESCRIPTORS, mostAfter(0));
         bound.lower(1000, 0);
         assertEquals(CONFIGURED, mostAfter(0));
     }
 
     @Test
     void anotherProcessOnTheSameDescriptorsHalvesIt() {
-        bound.set(CONFIGURED / 2);
+        bound.setConfigured(CONFIGURED / 2);
         bound.lower(90, 0);
         assertEquals(CONFIGURED / 2, mostAfter(3600));
-        bound.set(CONFIGURED);
+        bound.setConfigured(CONFIGURED);
         assertEquals(CONFIGURED, mostAfter(3600));
     }
 }
--- a/src/test/java/kestreldeal/net/ClientServerTest.java
+++ b/src/test/java/kestreldeal/net/ClientServerTest.java
@@ -53,7 +53,7 @@
         }
 
         @Override
-        public Optional<AcceptedMessage> take(ClientServer.Submission submission) {
+        public Optional<AcceptedMessage> accept(ClientServer.Submission submission) {
             taking.run();
             asked.add(submission.id());
             return Optional.empty();
@@ -129,7 +129,7 @@
             Socket last = sockets.get(199);
             StubServer.write(last, "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n");
             assertEquals("HTTP/1.1 200 OK", StubServer.read(new BufferedInputStream(last.getInputStream()), 0).line());
-            int clients = loop.submit(intake::clients).get();
+            int clients = loop.submit(intake::connectionCount).get();
             assertTrue(clients <= MOST, "connections: " + clients);
         } finally {
             group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS).syncUninterruptibly();
@@ -171,7 +171,7 @@
             slow.connect(address);
             StubServer.write(slow, HEALTH.substring(0, 10));
             StubServer.await("the first bytes are read",
-                    () -> loop.submit(intake::begun).syncUninterruptibly().getNow() == 1);
+                    () -> loop.submit(intake::partialRequests).syncUninterruptibly().getNow() == 1);
             newcomer.connect(address);
             assertEquals("HTTP/1.1 200 OK", ask(newcomer, HEALTH).line());
             assertEquals("HTTP/1.1 503 Service Unavailable",
@@ -239,7 +239,7 @@
     /** Closes all connections, and blocks the event loop after it has read its sockets once more. */
     private static void endAndHold(EventLoop loop, ClientServer intake, CountDownLatch held, CountDownLatch until) {
         loop.execute(() -> {
-            intake.shut();
+            intake.shutDown();
             loop.schedule(() -> {
                 held.countDown();
                 awaitUnchecked(until);
@@ -325,7 +325,7 @@
             CountDownLatch written = new CountDownLatch(1);
             keepBusy(loop, written);
             // Both are read in one turn; handling the first one shuts the server down before the second is handled.
-            desk.asking = intake::shut;
+            desk.asking = intake::shutDown;
             StubServer.write(first, HEALTH);
             StubServer.write(second, HEALTH);
             written.countDown();
--- a/src/test/java/kestreldeal/net/OperatorServerTest.java
+++ b/src/test/java/kestreldeal/net/OperatorServerTest.java
@@ -31,12 +31,12 @@
     void open() {
         OperatorServer ops = new OperatorServer(group.next(), new OperatorServer.CommandHandler() {
             @Override
-            public boolean serves() {
+            public boolean canServe() {
                 return serves;
             }
 
             @Override
-            public String figures() {
+            public String metrics() {
                 return "edge_gw_pending 14\n";
             }
 
@@ -125,7 +125,7 @@
     @Test
     void callersThatSayNothingAreEndedAndKeepNobodyOut() throws Exception {
         List<Socket> silent = new ArrayList<>();
-        for (int i = 0; i < 3 * OperatorServer.MOST; i++) {
+        for (int i = 0; i < 3 * OperatorServer.MAX_CONNECTIONS; i++) {
             silent.add(caller());
         }
         assertEquals("YES\n", call("readyz\n"));
--- a/src/test/java/kestreldeal/net/SenderTest.java
+++ b/src/test/java/kestreldeal/net/SenderTest.java
@@ -154,7 +154,7 @@
     }
 
     private void start() throws Exception {
-        start(Sender.CLOSING_MS);
+        start(Sender.DRAIN_TIMEOUT_MS);
     }
 
     /** Starts a sender and waits until it is ready, if a list is available and no other process leads. */
@@ -166,7 +166,7 @@
     }
 
     private void startOnly(long closingMs) throws Exception {
-        sender = new Sender(config(), links, Sender.TAKING_MS, closingMs);
+        sender = new Sender(config(), links, Sender.DRAIN_ACCEPT_MS, closingMs);
         address = sender.start();
     }
 
@@ -278,7 +278,7 @@
     }
 
     private String operator(String call) throws IOException {
-        try (Socket socket = new Socket(sender.operators().getAddress(), sender.operators().getPort())) {
+        try (Socket socket = new Socket(sender.operatorAddress().getAddress(), sender.operatorAddress().getPort())) {
             StubServer.write(socket, call + "\n");
             return new String(socket.getInputStream().readAllBytes(), StandardCharsets.US_ASCII);
         }
@@ -565,7 +565,7 @@
     }
 
     private void startBesideAgain() throws Exception {
-        sender = new Sender(config(), links, Sender.TAKING_MS, Sender.CLOSING_MS);
+        sender = new Sender(config(), links, Sender.DRAIN_ACCEPT_MS, Sender.DRAIN_TIMEOUT_MS);
         sender.start();
         StubServer.await("the new process can take over", () -> unchecked(() -> operator("readyz").equals("YES\n")));
     }
@@ -803,7 +803,7 @@
             go.await();
             agent(request, socket);
         });
-        startOnly(Sender.CLOSING_MS);
+        startOnly(Sender.DRAIN_TIMEOUT_MS);
         assertEquals("503", ask(client(), message("early", "order", "hello")).line().split(" ")[1]);
         states = "DRAINING DRAINING";
         go.countDown();
@@ -1384,7 +1384,7 @@
         handIn("one", "order");
         StubServer.await("the call", () -> calls().size() == 1);
         sender.kill();
-        sender = new Sender(config(), links, Sender.TAKING_MS, Sender.CLOSING_MS);
+        sender = new Sender(config(), links, Sender.DRAIN_ACCEPT_MS, Sender.DRAIN_TIMEOUT_MS);
         states = "DRAINING DRAINING";
         address = sender.start();
         StubServer.await("the list is applied", () -> unchecked(() -> figure("members_unavailable") == 2));
--- a/src/test/java/kestreldeal/net/SenderTestEnvironment.java
+++ b/src/test/java/kestreldeal/net/SenderTestEnvironment.java
@@ -114,7 +114,7 @@
 
     /** Creates a sender with these clocks. */
     Sender createSender(MachineClock clock) throws Exception {
-        return new Sender(Config.read(environment()), false, Sender.TAKING_MS, Sender.CLOSING_MS, clock);
+        return new Sender(Config.read(environment()), false, Sender.DRAIN_ACCEPT_MS, Sender.DRAIN_TIMEOUT_MS, clock);
     }
 
     /** Starts the program as a process with a limit on file descriptors; its output goes to the log file. */
