--- a/src/test/java/kestreldeal/net/AcceptFailureTest.java
+++ b/src/test/java/kestreldeal/net/AcceptFailureTest.java
@@ -21,24 +21,24 @@
 
 /** Tests accepts that fail because the machine or this process has no file descriptor left. */
 class AcceptFailureTest {
-    private static final int MOST = 100;
-    private static final int BEFORE = 10;
+    private static final int MAX_CLIENTS = 100;
+    private static final int CLIENTS_BEFORE_FAILURE = 10;
     /** More clients than the minimum that the connection limit falls to when descriptors run out. */
-    private static final int BEHIND = 40;
+    private static final int CLIENTS_AFTER_FAILURE = 40;
     private static final int FAILURES = 3;
     private static final String HEALTH = "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n";
 
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-    private final AtomicInteger failures = new AtomicInteger();
+    private final AtomicInteger remainingFailures = new AtomicInteger();
     private final List<Socket> clients = new ArrayList<>();
-    private volatile boolean descriptorsLeft = true;
+    private volatile boolean descriptorsAvailable = true;
     private InetSocketAddress address;
 
     /** A listening channel whose next accepts fail as if the whole machine had no file descriptor left. */
     private final class FailingListener extends NioServerSocketChannel {
         @Override
         protected int doReadMessages(List<Object> accepted) throws Exception {
-            if (failures.getAndUpdate(left -> Math.max(0, left - 1)) > 0) {
+            if (remainingFailures.getAndUpdate(left -> Math.max(0, left - 1)) > 0) {
                 throw new IOException("Too many open files in system");
             }
             return super.doReadMessages(accepted);
@@ -47,9 +47,9 @@
 
     @BeforeEach
     void open() {
-        ClientServer intake = new ClientServer(group.next(), MOST, new AcceptingSubmissionHandler(),
-                FailingListener::new, () -> descriptorsLeft);
-        address = (InetSocketAddress) intake.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))
+        ClientServer server = new ClientServer(group.next(), MAX_CLIENTS, new AcceptingSubmissionHandler(),
+                FailingListener::new, () -> descriptorsAvailable);
+        address = (InetSocketAddress) server.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))
                 .syncUninterruptibly().channel().localAddress();
     }
 
@@ -67,8 +67,8 @@
         assertEquals("HTTP/1.1 200 OK", answer == null ? "closed" : answer.line());
     }
 
-    private void connect(int many) throws IOException {
-        for (int i = 0; i < many; i++) {
+    private void connect(int count) throws IOException {
+        for (int i = 0; i < count; i++) {
             Socket client = new Socket(address.getAddress(), address.getPort());
             clients.add(client);
             assertServed(client);
@@ -76,11 +76,11 @@
     }
 
     @Test
-    void theyCostNobodyTheConnectionAndLowerNoBound() throws Exception {
-        connect(BEFORE);
-        failures.set(FAILURES);
-        connect(BEHIND);
-        assertEquals(0, failures.get());
+    void failedAcceptsCloseNoConnectionAndLowerNoLimit() throws Exception {
+        connect(CLIENTS_BEFORE_FAILURE);
+        remainingFailures.set(FAILURES);
+        connect(CLIENTS_AFTER_FAILURE);
+        assertEquals(0, remainingFailures.get());
         for (Socket client : clients) {
             assertServed(client);
         }
@@ -88,13 +88,13 @@
 
     /** Idle clients are disconnected to free descriptors for calls, the agent and the journal. */
     @Test
-    void whereThisProcessHasNoneLeftTheIdleOnesMakeRoom() throws Exception {
-        connect(BEFORE);
-        descriptorsLeft = false;
-        failures.set(1);
+    void idleClientsAreClosedWhenThisProcessIsOutOfDescriptors() throws Exception {
+        connect(CLIENTS_BEFORE_FAILURE);
+        descriptorsAvailable = false;
+        remainingFailures.set(1);
         clients.add(new Socket(address.getAddress(), address.getPort()));
-        assertServed(clients.get(BEFORE));
-        for (Socket idle : clients.subList(0, BEFORE)) {
+        assertServed(clients.get(CLIENTS_BEFORE_FAILURE));
+        for (Socket idle : clients.subList(0, CLIENTS_BEFORE_FAILURE)) {
             assertEquals(-1, idle.getInputStream().read(), "the idle client is disconnected");
         }
     }
--- a/src/test/java/kestreldeal/net/ClientConnectionLimitTest.java
+++ b/src/test/java/kestreldeal/net/ClientConnectionLimitTest.java
@@ -8,36 +8,36 @@
 class ClientConnectionLimitTest {
     private static final int CONFIGURED = 100;
 
-    private final ClientConnectionLimit bound = new ClientConnectionLimit(CONFIGURED);
+    private final ClientConnectionLimit limit = new ClientConnectionLimit(CONFIGURED);
 
-    private int mostAfter(long seconds) {
-        return bound.current(TimeUnit.SECONDS.toNanos(seconds));
+    private int limitAfter(long seconds) {
+        return limit.current(TimeUnit.SECONDS.toNanos(seconds));
     }
 
     @Test
-    void aShortageLowersItForAWhile() {
-        assertEquals(CONFIGURED, mostAfter(0));
-        bound.lower(90, 0);
-        assertEquals(58, mostAfter(9));
-        assertEquals(66, mostAfter(10));
-        assertEquals(74, mostAfter(20));
-        assertEquals(CONFIGURED, mostAfter(3600));
+    void shortageLowersTheLimitForAWhile() {
+        assertEquals(CONFIGURED, limitAfter(0));
+        limit.lower(90, 0);
+        assertEquals(58, limitAfter(9));
+        assertEquals(66, limitAfter(10));
+        assertEquals(74, limitAfter(20));
+        assertEquals(CONFIGURED, limitAfter(3600));
     }
 
     @Test
-    void someMayAlwaysStayAndNeverMoreThanAreAllowed() {
-        bound.lower(10, 0);
-        assertEquals(ClientConnectionLimit.SPARE_DESCRIPTORS, mostAfter(0));
-        bound.lower(1000, 0);
-        assertEquals(CONFIGURED, mostAfter(0));
+    void limitStaysBetweenItsMinimumAndTheConfiguredValue() {
+        limit.lower(10, 0);
+        assertEquals(ClientConnectionLimit.SPARE_DESCRIPTORS, limitAfter(0));
+        limit.lower(1000, 0);
+        assertEquals(CONFIGURED, limitAfter(0));
     }
 
     @Test
-    void anotherProcessOnTheSameDescriptorsHalvesIt() {
-        bound.setConfigured(CONFIGURED / 2);
-        bound.lower(90, 0);
-        assertEquals(CONFIGURED / 2, mostAfter(3600));
-        bound.setConfigured(CONFIGURED);
-        assertEquals(CONFIGURED, mostAfter(3600));
+    void anotherProcessSharingTheDescriptorsHalvesTheLimit() {
+        limit.setConfigured(CONFIGURED / 2);
+        limit.lower(90, 0);
+        assertEquals(CONFIGURED / 2, limitAfter(3600));
+        limit.setConfigured(CONFIGURED);
+        assertEquals(CONFIGURED, limitAfter(3600));
     }
 }
--- a/src/test/java/kestreldeal/net/ClientServerTest.java
+++ b/src/test/java/kestreldeal/net/ClientServerTest.java
@@ -21,19 +21,19 @@
 
 /** Tests the client server without a sender: connection limit, fairness between clients, and shutdown. */
 class ClientServerTest {
-    private static final int MOST = 10;
+    private static final int MAX_CLIENTS = 10;
 
     /** Knows every class and destination, rejects every submission, and records the ids submitted. */
-    private static final class NotingDesk extends AcceptingSubmissionHandler {
-        private final List<String> asked = new CopyOnWriteArrayList<>();
+    private static final class RecordingHandler extends AcceptingSubmissionHandler {
+        private final List<String> submittedIds = new CopyOnWriteArrayList<>();
         /** Runs when the server asks whether the sender is ready. */
-        private volatile Runnable asking = () -> { };
+        private volatile Runnable onReady = () -> { };
         /** Runs when a message is submitted. */
-        private volatile Runnable taking = () -> { };
+        private volatile Runnable onSubmission = () -> { };
 
         @Override
         public boolean ready() {
-            asking.run();
+            onReady.run();
             return true;
         }
 
@@ -54,8 +54,8 @@
 
         @Override
         public Optional<AcceptedMessage> accept(ClientServer.Submission submission) {
-            taking.run();
-            asked.add(submission.id());
+            onSubmission.run();
+            submittedIds.add(submission.id());
             return Optional.empty();
         }
     }
@@ -67,16 +67,16 @@
 
     /** When CPU time is scarce, the clients of most requests have disconnected before their request is read. */
     @Test
-    void aClientThatLeftBeforeItsRequestWasReadIsNotTakenOn() throws Exception {
+    void requestOfADisconnectedClientIsNotAccepted() throws Exception {
         EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         List<Socket> sockets = new ArrayList<>();
         try {
             EventLoop loop = group.next();
-            NotingDesk desk = new NotingDesk();
-            ClientServer intake = new ClientServer(loop, MOST, desk);
-            InetSocketAddress address = listen(intake);
+            RecordingHandler handler = new RecordingHandler();
+            ClientServer server = new ClientServer(loop, MAX_CLIENTS, handler);
+            InetSocketAddress address = listen(server);
             CountDownLatch written = new CountDownLatch(1);
-            keepBusy(loop, written);
+            blockLoop(loop, written);
             for (int i = 0; i < 5; i++) {
                 sockets.add(new Socket(address.getAddress(), address.getPort()));
                 submit(sockets.get(i), "id-" + i);
@@ -87,7 +87,7 @@
             written.countDown();
             StubServer.Message answer = StubServer.read(new BufferedInputStream(sockets.get(4).getInputStream()), 0);
             assertEquals("HTTP/1.1 503 Service Unavailable", answer.line());
-            assertEquals(List.of("id-4"), desk.asked);
+            assertEquals(List.of("id-4"), handler.submittedIds);
         } finally {
             group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS).syncUninterruptibly();
             for (Socket socket : sockets) {
@@ -96,32 +96,32 @@
         }
     }
 
-    private static InetSocketAddress listen(ClientServer intake) {
-        return (InetSocketAddress) intake.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))
+    private static InetSocketAddress listen(ClientServer server) {
+        return (InetSocketAddress) server.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))
                 .syncUninterruptibly().channel().localAddress();
     }
 
     /** Blocks the event loop until the latch opens; the loop is blocked when this returns. */
-    private static void keepBusy(EventLoop loop, CountDownLatch until) throws Exception {
-        CountDownLatch held = new CountDownLatch(1);
+    private static void blockLoop(EventLoop loop, CountDownLatch release) throws Exception {
+        CountDownLatch blocked = new CountDownLatch(1);
         loop.execute(() -> {
-            held.countDown();
-            awaitUnchecked(until);
+            blocked.countDown();
+            awaitUnchecked(release);
         });
-        held.await();
+        blocked.await();
     }
 
     /** Incident r0b62c9: hundreds of clients that connected in one turn all replaced the same connection. */
     @Test
-    void aCrowdThatConnectsAtOnceStaysWithinTheBound() throws Exception {
+    void manyClientsConnectingAtOnceStayWithinTheLimit() throws Exception {
         EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         List<Socket> sockets = new ArrayList<>();
         try {
             EventLoop loop = group.next();
-            ClientServer intake = new ClientServer(loop, MOST, new AcceptingSubmissionHandler());
-            InetSocketAddress address = listen(intake);
+            ClientServer server = new ClientServer(loop, MAX_CLIENTS, new AcceptingSubmissionHandler());
+            InetSocketAddress address = listen(server);
             CountDownLatch connected = new CountDownLatch(1);
-            keepBusy(loop, connected);
+            blockLoop(loop, connected);
             for (int i = 0; i < 200; i++) {
                 sockets.add(new Socket(address.getAddress(), address.getPort()));
             }
@@ -129,8 +129,8 @@
             Socket last = sockets.get(199);
             StubServer.write(last, "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n");
             assertEquals("HTTP/1.1 200 OK", StubServer.read(new BufferedInputStream(last.getInputStream()), 0).line());
-            int clients = loop.submit(intake::connectionCount).get();
-            assertTrue(clients <= MOST, "connections: " + clients);
+            int connectionCount = loop.submit(server::connectionCount).get();
+            assertTrue(connectionCount <= MAX_CLIENTS, "connections: " + connectionCount);
         } finally {
             group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS).syncUninterruptibly();
             for (Socket socket : sockets) {
@@ -141,19 +141,19 @@
 
     /** A connection whose request has been read in part must not be closed without an answer. */
     @Test
-    void nobodyInTheMiddleOfARequestMakesRoomForANewcomer() throws Exception {
+    void connectionWithAPartialRequestIsNotClosedForANewClient() throws Exception {
         EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-        try (Socket first = new Socket(); Socket second = new Socket(); Socket newcomer = new Socket()) {
+        try (Socket first = new Socket(); Socket second = new Socket(); Socket newClient = new Socket()) {
             InetSocketAddress address = listen(new ClientServer(group.next(), 2, new AcceptingSubmissionHandler()));
-            for (Socket asking : List.of(first, second)) {
-                asking.connect(address);
+            for (Socket client : List.of(first, second)) {
+                client.connect(address);
                 // The partial request is read together with the one before it, so it is known once that is answered.
-                assertEquals("HTTP/1.1 200 OK", ask(asking, HEALTH + HEALTH.substring(0, 10)).line());
+                assertEquals("HTTP/1.1 200 OK", exchange(client, HEALTH + HEALTH.substring(0, 10)).line());
             }
-            newcomer.connect(address);
-            assertEquals(-1, newcomer.getInputStream().read());
-            for (Socket asking : List.of(first, second)) {
-                assertEquals("HTTP/1.1 200 OK", ask(asking, HEALTH.substring(10)).line());
+            newClient.connect(address);
+            assertEquals(-1, newClient.getInputStream().read());
+            for (Socket client : List.of(first, second)) {
+                assertEquals("HTTP/1.1 200 OK", exchange(client, HEALTH.substring(10)).line());
             }
         } finally {
             group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS).syncUninterruptibly();
@@ -162,18 +162,18 @@
 
     /** A partial first request is answered with 503 before its connection is closed. */
     @Test
-    void whoMakesRoomInTheMiddleOfAFirstRequestGetsAnAnswer() throws Exception {
+    void partialFirstRequestIsAnsweredWhenItsConnectionIsClosed() throws Exception {
         EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-        try (Socket slow = new Socket(); Socket newcomer = new Socket()) {
+        try (Socket slow = new Socket(); Socket newClient = new Socket()) {
             EventLoop loop = group.next();
-            ClientServer intake = new ClientServer(loop, 1, new AcceptingSubmissionHandler());
-            InetSocketAddress address = listen(intake);
+            ClientServer server = new ClientServer(loop, 1, new AcceptingSubmissionHandler());
+            InetSocketAddress address = listen(server);
             slow.connect(address);
             StubServer.write(slow, HEALTH.substring(0, 10));
             StubServer.await("the first bytes are read",
-                    () -> loop.submit(intake::partialRequests).syncUninterruptibly().getNow() == 1);
-            newcomer.connect(address);
-            assertEquals("HTTP/1.1 200 OK", ask(newcomer, HEALTH).line());
+                    () -> loop.submit(server::partialRequests).syncUninterruptibly().getNow() == 1);
+            newClient.connect(address);
+            assertEquals("HTTP/1.1 200 OK", exchange(newClient, HEALTH).line());
             assertEquals("HTTP/1.1 503 Service Unavailable",
                     StubServer.read(new BufferedInputStream(slow.getInputStream()), 0).line());
         } finally {
@@ -183,39 +183,39 @@
 
     /** Decoding all requests that one client sent at once in one go delayed everything else by 0.4 s. */
     @Test
-    void aClientThatSendsMuchAtOnceHasOneTurnAtATime() throws Exception {
+    void clientThatSendsManyRequestsAtOnceDoesNotStarveOthers() throws Exception {
         EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         try (Socket flood = new Socket(); Socket other = new Socket()) {
             EventLoop loop = group.next();
-            NotingDesk desk = new NotingDesk();
-            ClientServer intake = new ClientServer(loop, MOST, desk);
-            InetSocketAddress address = listen(intake);
+            RecordingHandler handler = new RecordingHandler();
+            ClientServer server = new ClientServer(loop, MAX_CLIENTS, handler);
+            InetSocketAddress address = listen(server);
             flood.connect(address);
             other.connect(address);
-            assertEquals("HTTP/1.1 200 OK", ask(other, HEALTH).line());
+            assertEquals("HTTP/1.1 200 OK", exchange(other, HEALTH).line());
             CountDownLatch written = new CountDownLatch(1);
-            keepBusy(loop, written);
+            blockLoop(loop, written);
             for (int i = 0; i < 300; i++) {
                 submit(flood, "flood-" + i);
             }
-            CountDownLatch begun = new CountDownLatch(1);
-            CountDownLatch asked = new CountDownLatch(1);
-            desk.taking = () -> {
-                begun.countDown();
-                awaitUnchecked(asked);
+            CountDownLatch firstSubmission = new CountDownLatch(1);
+            CountDownLatch otherSubmitted = new CountDownLatch(1);
+            handler.onSubmission = () -> {
+                firstSubmission.countDown();
+                awaitUnchecked(otherSubmitted);
             };
             written.countDown();
-            begun.await();
+            firstSubmission.await();
             submit(other, "other");
-            asked.countDown();
+            otherSubmitted.countDown();
             StubServer.read(new BufferedInputStream(other.getInputStream()), 0);
-            int ahead = desk.asked.indexOf("other");
-            assertTrue(ahead >= 1 && ahead <= 3, "requests answered before: " + ahead);
+            int requestsBefore = handler.submittedIds.indexOf("other");
+            assertTrue(requestsBefore >= 1 && requestsBefore <= 3, "requests answered before: " + requestsBefore);
             BufferedInputStream in = new BufferedInputStream(flood.getInputStream());
             for (int i = 0; i < 300; i++) {
                 assertEquals("HTTP/1.1 503 Service Unavailable", StubServer.read(in, 0).line());
             }
-            assertEquals(301, desk.asked.size());
+            assertEquals(301, handler.submittedIds.size());
         } finally {
             group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS).syncUninterruptibly();
         }
@@ -231,108 +231,108 @@
 
     private static final String HEALTH = "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n";
 
-    private static StubServer.Message ask(Socket socket, String request) throws Exception {
+    private static StubServer.Message exchange(Socket socket, String request) throws Exception {
         StubServer.write(socket, request);
         return StubServer.read(new BufferedInputStream(socket.getInputStream()), 0);
     }
 
     /** Closes all connections, and blocks the event loop after it has read its sockets once more. */
-    private static void endAndHold(EventLoop loop, ClientServer intake, CountDownLatch held, CountDownLatch until) {
+    private static void shutDownAndBlock(EventLoop loop, ClientServer server, CountDownLatch blocked, CountDownLatch release) {
         loop.execute(() -> {
-            intake.shutDown();
+            server.shutDown();
             loop.schedule(() -> {
-                held.countDown();
-                awaitUnchecked(until);
+                blocked.countDown();
+                awaitUnchecked(release);
             }, 0, TimeUnit.NANOSECONDS);
         });
     }
 
     /** A request may arrive while its connection is being closed: the connection must not be reset then. */
     @Test
-    void aRequestThatCrossesTheEndIsNotTakenNorIsItsConnectionReset() throws Exception {
+    void requestThatCrossesTheShutdownIsNeitherAcceptedNorReset() throws Exception {
         EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-        CountDownLatch until = new CountDownLatch(1);
-        try (Socket resting = new Socket()) {
+        CountDownLatch release = new CountDownLatch(1);
+        try (Socket idle = new Socket()) {
             EventLoop loop = group.next();
-            NotingDesk desk = new NotingDesk();
-            ClientServer intake = new ClientServer(loop, MOST, desk);
-            resting.connect(listen(intake));
-            assertEquals("HTTP/1.1 200 OK", ask(resting, HEALTH).line());
+            RecordingHandler handler = new RecordingHandler();
+            ClientServer server = new ClientServer(loop, MAX_CLIENTS, handler);
+            idle.connect(listen(server));
+            assertEquals("HTTP/1.1 200 OK", exchange(idle, HEALTH).line());
             CountDownLatch written = new CountDownLatch(1);
-            CountDownLatch held = new CountDownLatch(1);
-            keepBusy(loop, written);
-            endAndHold(loop, intake, held, until);
-            submit(resting, "crossing");
+            CountDownLatch blocked = new CountDownLatch(1);
+            blockLoop(loop, written);
+            shutDownAndBlock(loop, server, blocked, release);
+            submit(idle, "crossing");
             written.countDown();
-            held.await();
+            blocked.await();
             for (int i = 0; i < 5; i++) {
                 // If the connection is reset, one of the first two writes fails.
-                submit(resting, "later-" + i);
+                submit(idle, "later-" + i);
             }
-            assertEquals(-1, resting.getInputStream().read());
-            until.countDown();
+            assertEquals(-1, idle.getInputStream().read());
+            release.countDown();
             loop.submit(() -> { }).syncUninterruptibly();
-            assertEquals(List.of(), desk.asked);
+            assertEquals(List.of(), handler.submittedIds);
         } finally {
-            until.countDown();
+            release.countDown();
             group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS).syncUninterruptibly();
         }
     }
 
     /** The rest of a request that is answered before it is complete must not cause a reset either. */
     @Test
-    void theLastAnswerIsFollowedByAnEndHoweverMuchStillComes() throws Exception {
+    void lastResponseIsFollowedByTheEndDespiteFurtherInput() throws Exception {
         EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-        CountDownLatch until = new CountDownLatch(1);
+        CountDownLatch release = new CountDownLatch(1);
         try (Socket client = new Socket(); Socket other = new Socket()) {
             EventLoop loop = group.next();
-            NotingDesk desk = new NotingDesk();
-            ClientServer intake = new ClientServer(loop, MOST, desk);
-            InetSocketAddress address = listen(intake);
+            RecordingHandler handler = new RecordingHandler();
+            ClientServer server = new ClientServer(loop, MAX_CLIENTS, handler);
+            InetSocketAddress address = listen(server);
             client.connect(address);
             other.connect(address);
             StubServer.write(client, "POST /order HTTP/1.1\r\nContent-Length: 50000\r\n");
-            assertEquals("HTTP/1.1 200 OK", ask(other, HEALTH).line(), "earlier input is read");
-            CountDownLatch held = new CountDownLatch(1);
-            endAndHold(loop, intake, held, until);
-            held.await();
+            assertEquals("HTTP/1.1 200 OK", exchange(other, HEALTH).line(), "earlier input is read");
+            CountDownLatch blocked = new CountDownLatch(1);
+            shutDownAndBlock(loop, server, blocked, release);
+            blocked.await();
             for (int i = 0; i < 5; i++) {
                 StubServer.write(client, "\r\n" + "x".repeat(1000));
             }
             BufferedInputStream in = new BufferedInputStream(client.getInputStream());
             assertEquals("HTTP/1.1 503 Service Unavailable", StubServer.read(in, 0).line());
             assertEquals(-1, in.read());
-            assertEquals(List.of(), desk.asked);
+            assertEquals(List.of(), handler.submittedIds);
         } finally {
-            until.countDown();
+            release.countDown();
             group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS).syncUninterruptibly();
         }
     }
 
     /** A request that was read completely is answered even if the sender stops before handling it. */
     @Test
-    void aRequestThatWasReadAsTheSenderEndsIsAnswered() throws Exception {
+    void requestReadDuringShutdownIsAnswered() throws Exception {
         EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         try (Socket first = new Socket(); Socket second = new Socket()) {
             EventLoop loop = group.next();
-            NotingDesk desk = new NotingDesk();
-            ClientServer intake = new ClientServer(loop, MOST, desk);
-            InetSocketAddress address = listen(intake);
-            for (Socket each : List.of(first, second)) {
-                each.connect(address);
-                assertEquals("HTTP/1.1 200 OK", ask(each, HEALTH).line());
+            RecordingHandler handler = new RecordingHandler();
+            ClientServer server = new ClientServer(loop, MAX_CLIENTS, handler);
+            InetSocketAddress address = listen(server);
+            for (Socket socket : List.of(first, second)) {
+                socket.connect(address);
+                assertEquals("HTTP/1.1 200 OK", exchange(socket, HEALTH).line());
             }
             CountDownLatch written = new CountDownLatch(1);
-            keepBusy(loop, written);
+            blockLoop(loop, written);
             // Both are read in one turn; handling the first one shuts the server down before the second is handled.
-            desk.asking = intake::shutDown;
+            handler.onReady = server::shutDown;
             StubServer.write(first, HEALTH);
             StubServer.write(second, HEALTH);
             written.countDown();
             List<String> answers = new ArrayList<>();
-            for (Socket each : List.of(first, second)) {
-                each.setSoTimeout(30_000);
-                StubServer.Message answer = StubServer.read(new BufferedInputStream(each.getInputStream()), 0);
+            for (Socket socket : List.of(first, second)) {
+                socket.setSoTimeout(30_000);
+                StubServer.Message answer = StubServer.read(new BufferedInputStream(socket.getInputStream()), 0);
                 answers.add(answer == null ? "none" : answer.line());
             }
             assertTrue(answers.contains("HTTP/1.1 503 Service Unavailable"), answers.toString());
--- a/src/test/java/kestreldeal/net/FileDescriptorsTest.java
+++ b/src/test/java/kestreldeal/net/FileDescriptorsTest.java
@@ -31,77 +31,77 @@
 
 /** Runs the program as a process with a limit on file descriptors, and many idle clients that use up all they get. */
 class FileDescriptorsTest {
-    private static final int CROWD = 300;
+    private static final int IDLE_CLIENTS = 300;
     private static final int MESSAGES = 150;
     /** Large enough that the journal has to be compacted, which opens a file. */
     private static final String BODY = "x".repeat(30_000);
 
     @TempDir
     private Path folder;
-    private final List<SocketChannel> crowd = new ArrayList<>();
+    private final List<SocketChannel> idleClients = new ArrayList<>();
     private StubServer endpoint;
-    private SenderTestEnvironment world;
+    private SenderTestEnvironment environment;
     private Process process;
     private InetSocketAddress address;
-    private Thread crowding;
-    private volatile boolean crowded;
-    private volatile long mostOpen;
+    private Thread idleClientThread;
+    private volatile boolean idleClientsConnected;
+    private volatile long maxOpenDescriptors;
 
     @AfterEach
     void close() throws Exception {
-        if (crowding != null) {
-            crowding.interrupt();
-            crowding.join();
+        if (idleClientThread != null) {
+            idleClientThread.interrupt();
+            idleClientThread.join();
         }
-        for (SocketChannel client : crowd) {
+        for (SocketChannel client : idleClients) {
             client.close();
         }
         if (process != null) {
             process.destroyForcibly().waitFor();
         }
-        if (world != null) {
-            world.close();
+        if (environment != null) {
+            environment.close();
             endpoint.close();
         }
     }
 
-    private void start(int sockets, int limit, int endpoints) throws Exception {
+    private void start(int socketLimit, int descriptorLimit, int endpointCount) throws Exception {
         endpoint = new StubServer((request, socket) -> StubServer.status(
                 "unlucky".equals(request.header("X-Call-Id")) ? 500 : 200, "").handle(request, socket));
-        world = new SenderTestEnvironment(folder, endpoint);
-        world.endpointCount = endpoints;
-        world.socketLimit = sockets;
-        world.slots = 40;
-        process = world.startProcess(limit);
+        environment = new SenderTestEnvironment(folder, endpoint);
+        environment.endpointCount = endpointCount;
+        environment.socketLimit = socketLimit;
+        environment.slots = 40;
+        process = environment.startProcess(descriptorLimit);
         StubServer.await("the sender is ready", () -> {
-            address = world.listeningAddress().orElse(null);
+            address = environment.listeningAddress().orElse(null);
             return address != null && SenderTestEnvironment.requestStatus(address, SenderTestEnvironment.HEALTH) == 200;
         });
     }
 
     /** Keeps opening idle connections up to the number of the crowd, and replaces each one that the sender closes. */
-    private void startCrowd() throws InterruptedException {
-        crowding = new Thread(() -> {
+    private void startIdleClients() throws InterruptedException {
+        idleClientThread = new Thread(() -> {
             try {
                 while (!Thread.interrupted()) {
-                    crowd.removeIf(FileDescriptorsTest::isClosed);
-                    while (crowd.size() < CROWD) {
+                    idleClients.removeIf(FileDescriptorsTest::isClosed);
+                    while (idleClients.size() < IDLE_CLIENTS) {
                         SocketChannel client = SocketChannel.open(address);
                         client.configureBlocking(false);
-                        crowd.add(client);
+                        idleClients.add(client);
                     }
-                    crowded = true;
+                    idleClientsConnected = true;
                     try (Stream<Path> open = Files.list(Path.of("/proc/" + process.pid() + "/fd"))) {
-                        mostOpen = Math.max(mostOpen, open.count());
+                        maxOpenDescriptors = Math.max(maxOpenDescriptors, open.count());
                     }
                     Thread.sleep(100);
                 }
-            } catch (IOException | InterruptedException over) {
+            } catch (IOException | InterruptedException ended) {
                 // The process or the test has ended.
             }
         });
-        crowding.start();
-        StubServer.await("the idle clients are connected", () -> crowded);
+        idleClientThread.start();
+        StubServer.await("the idle clients are connected", () -> idleClientsConnected);
     }
 
     private static boolean isClosed(SocketChannel client) {
@@ -117,13 +117,13 @@
     }
 
     /** Submits a message as an ordinary client does, which retries if its connection is closed without an answer. */
-    private void handIn(String id, String messageClass, long destination, String body) throws Exception {
+    private void submit(String id, String messageClass, long destination, String body) throws Exception {
         StubServer.await(id + " is accepted", () -> {
             try (Socket socket = new Socket(address.getAddress(), address.getPort())) {
                 socket.setSoTimeout(400);
                 return SenderTestEnvironment.requestStatus(socket,
                         SenderTestEnvironment.submitRequest(id, messageClass, destination, body)) == 202;
-            } catch (SocketTimeoutException | SocketException shutUnread) {
+            } catch (SocketTimeoutException | SocketException closedUnanswered) {
                 return false;
             } catch (IOException e) {
                 throw new AssertionError(e);
@@ -131,46 +131,46 @@
         });
     }
 
-    private void allGetTheirs(int limit) throws Exception {
-        world.agent.setScript(StubServer.silent());
-        startCrowd();
-        handIn("unlucky", "once", 1, "");
+    private void deliverDespiteIdleClients(int descriptorLimit) throws Exception {
+        environment.agent.setScript(StubServer.silent());
+        startIdleClients();
+        submit("unlucky", "once", 1, "");
         for (int i = 0; i < MESSAGES; i++) {
-            handIn("m-" + i, "order", i % world.endpointCount, BODY);
+            submit("m-" + i, "order", i % environment.endpointCount, BODY);
         }
         StubServer.await("all messages are delivered",
                 () -> endpoint.requests.stream().map(r -> r.header("X-Call-Id")).distinct()
                 .count() == MESSAGES + 1);
-        assertTrue(Files.size(world.stateFolder().resolve("journal")) < (long) MESSAGES * BODY.length(),
+        assertTrue(Files.size(environment.stateFolder().resolve("journal")) < (long) MESSAGES * BODY.length(),
                 "the journal was compacted");
-        world.firstLifecycle = "DRAINING";
-        world.agent.setScript(world::answerAsAgent);
-        StubServer.await("the list change is applied", () -> world.agent.requests.stream()
-                .anyMatch(r -> r.line().contains("after=" + world.generation())));
-        StubServer.await("the notice is delivered", () -> !world.notices.isEmpty());
-        handIn("last", "order", 2, BODY);
+        environment.firstLifecycle = "DRAINING";
+        environment.agent.setScript(environment::answerAsAgent);
+        StubServer.await("the list change is applied", () -> environment.agent.requests.stream()
+                .anyMatch(r -> r.line().contains("after=" + environment.generation())));
+        StubServer.await("the notice is delivered", () -> !environment.notices.isEmpty());
+        submit("last", "order", 2, BODY);
         StubServer.await("the last message is delivered", () -> endpoint.requests.stream()
                 .anyMatch(r -> r.header("X-Call-Id").equals("last")));
-        String log = Files.readString(world.logFile());
+        String log = Files.readString(environment.logFile());
         assertFalse(log.contains("journal:"), log);
         assertFalse(log.contains("journal can't"), log);
-        System.out.println("at most " + mostOpen + " of " + limit + " file descriptors were in use");
+        System.out.println("at most " + maxOpenDescriptors + " of " + descriptorLimit + " file descriptors were in use");
     }
 
     @Test
-    void aCrowdOfIdleClientsLeavesAllElseItsDescriptors() throws Exception {
+    void idleClientsLeaveDescriptorsForEverythingElse() throws Exception {
         start(256, 256, MESSAGES);
-        allGetTheirs(256);
-        String log = Files.readString(world.logFile());
+        deliverDespiteIdleClients(256);
+        String log = Files.readString(environment.logFile());
         assertFalse(log.contains("out of file descriptors"), log);
     }
 
     /** The configuration allows more descriptors than the system, so that the idle clients do get the last one. */
     @Test
-    void whoeverTakesTheLastDescriptorHasToLeaveSome() throws Exception {
+    void idleClientsAreClosedWhenTheyTakeTheLastDescriptor() throws Exception {
         start(1024, 150, 5);
-        allGetTheirs(150);
-        assertTrue(Files.readString(world.logFile()).contains("out of file descriptors"));
+        deliverDespiteIdleClients(150);
+        assertTrue(Files.readString(environment.logFile()).contains("out of file descriptors"));
     }
 
     /**
@@ -178,23 +178,23 @@
      * considered down for a long time.
      */
     @Test
-    void aCallWithoutADescriptorWasNotSent() throws Exception {
+    void callWithoutADescriptorCountsAsNotSent() throws Exception {
         EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         EventLoop loop = group.next();
-        CompletableFuture<Relay.Outcome> end = new CompletableFuture<>();
+        CompletableFuture<Relay.Outcome> result = new CompletableFuture<>();
         try {
-            AcceptedMessage held = new AcceptedMessage(1, "id", "order", "", Optional.of("key"), 7, Long.MAX_VALUE,
+            AcceptedMessage message = new AcceptedMessage(1, "id", "order", "", Optional.of("key"), 7, Long.MAX_VALUE,
                     new byte[0]);
-            held.attempts.add(AcceptedMessage.Attempt.sentAgo("e", 0, MachineClock.system()));
+            message.attempts.add(AcceptedMessage.Attempt.sentAgo("e", 0, MachineClock.system()));
             loop.execute(() -> {
                 EndpointClient endpoints = new EndpointClient(loop, 1000, 15_000, 10,
-                        (call, outcome, gone, waitMs, report) -> end.complete(outcome), () -> {
+                        (call, outcome, messageOver, retryAfterMs, report) -> result.complete(outcome), () -> {
                     throw new ChannelException("too many open files");
                 }, MachineClock.system());
                 endpoints.at(1, new InetSocketAddress("127.0.0.1", 1), true, 1);
-                endpoints.call(held, 0, 1, 20_000, System.nanoTime());
+                endpoints.call(message, 0, 1, 20_000, System.nanoTime());
             });
-            assertEquals(Relay.Outcome.NOT_SENT, end.get(30, TimeUnit.SECONDS));
+            assertEquals(Relay.Outcome.NOT_SENT, result.get(30, TimeUnit.SECONDS));
         } finally {
             group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS).syncUninterruptibly();
         }
--- a/src/test/java/kestreldeal/net/OperatorServerTest.java
+++ b/src/test/java/kestreldeal/net/OperatorServerTest.java
@@ -23,16 +23,16 @@
 class OperatorServerTest {
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final List<Socket> sockets = new ArrayList<>();
-    private volatile boolean serves = true;
-    private volatile boolean away;
+    private volatile boolean canServe = true;
+    private volatile boolean evacuating;
     private InetSocketAddress address;
 
     @BeforeEach
     void open() {
-        OperatorServer ops = new OperatorServer(group.next(), new OperatorServer.CommandHandler() {
+        OperatorServer server = new OperatorServer(group.next(), new OperatorServer.CommandHandler() {
             @Override
             public boolean canServe() {
-                return serves;
+                return canServe;
             }
 
             @Override
@@ -41,11 +41,11 @@
             }
 
             @Override
-            public void evacuate(boolean clientsAway) {
-                away = clientsAway;
+            public void evacuate(boolean start) {
+                evacuating = start;
             }
         });
-        address = (InetSocketAddress) ops.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))
+        address = (InetSocketAddress) server.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))
                 .syncUninterruptibly().channel().localAddress();
     }
 
@@ -57,80 +57,80 @@
         group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS).syncUninterruptibly();
     }
 
-    private Socket caller() throws IOException {
+    private Socket connect() throws IOException {
         Socket socket = new Socket(address.getAddress(), address.getPort());
         sockets.add(socket);
         return socket;
     }
 
-    private static String rest(Socket socket) throws IOException {
+    private static String readToEnd(Socket socket) throws IOException {
         return new String(socket.getInputStream().readAllBytes(), StandardCharsets.US_ASCII);
     }
 
-    private String call(String bytes) throws IOException {
-        Socket socket = caller();
-        StubServer.write(socket, bytes);
-        return rest(socket);
+    private String command(String text) throws IOException {
+        Socket socket = connect();
+        StubServer.write(socket, text);
+        return readToEnd(socket);
     }
 
     @Test
-    void eachCallIsAnsweredAndClosed() throws Exception {
-        assertEquals("YES\n", call("readyz\n"));
-        assertEquals("edge_gw_pending 14\nEND\n", call("telemetry\r\n"));
-        serves = false;
-        assertTrue(call("readyz\n").startsWith("NO"));
+    void eachCommandIsAnsweredAndItsConnectionClosed() throws Exception {
+        assertEquals("YES\n", command("readyz\n"));
+        assertEquals("edge_gw_pending 14\nEND\n", command("telemetry\r\n"));
+        canServe = false;
+        assertTrue(command("readyz\n").startsWith("NO"));
     }
 
     @Test
-    void aDrainMayBeToldTwiceAndEnded() throws Exception {
+    void evacuationCommandsMayBeRepeated() throws Exception {
         for (int i = 0; i < 2; i++) {
-            assertEquals("YES\n", call("evacuate\n"));
-            assertTrue(away);
+            assertEquals("YES\n", command("evacuate\n"));
+            assertTrue(evacuating);
         }
         for (int i = 0; i < 2; i++) {
-            assertEquals("YES\n", call("activate\n"));
-            assertFalse(away);
+            assertEquals("YES\n", command("activate\n"));
+            assertFalse(evacuating);
         }
     }
 
     @Test
-    void whatIsNoCallIsAnsweredNo() throws Exception {
+    void unknownCommandsAreAnsweredNo() throws Exception {
         for (String noise : List.of("\n", "reboot\n", "GET / HTTP/1.1\r\n\r\n", "x".repeat(5000), "\0\u0001\n")) {
-            assertTrue(call(noise).startsWith("NO"), noise);
+            assertTrue(command(noise).startsWith("NO"), noise);
         }
     }
 
     @Test
-    void aLineMayComeInPieces() throws Exception {
-        Socket socket = caller();
+    void commandMayArriveInPieces() throws Exception {
+        Socket socket = connect();
         for (String piece : "readyz\n".split("")) {
             StubServer.write(socket, piece);
             Thread.sleep(1);
         }
-        assertEquals("YES\n", rest(socket));
+        assertEquals("YES\n", readToEnd(socket));
     }
 
     @Test
-    void aCallerMayEndItsSendingBeforeTheAnswer() throws Exception {
-        Socket whole = caller();
+    void operatorMayShutDownOutputBeforeTheAnswer() throws Exception {
+        Socket whole = connect();
         StubServer.write(whole, "readyz\n");
         whole.shutdownOutput();
-        assertEquals("YES\n", rest(whole));
-        Socket half = caller();
+        assertEquals("YES\n", readToEnd(whole));
+        Socket half = connect();
         StubServer.write(half, "ready");
         half.shutdownOutput();
-        assertTrue(rest(half).startsWith("NO"));
+        assertTrue(readToEnd(half).startsWith("NO"));
     }
 
     @Test
-    void callersThatSayNothingAreEndedAndKeepNobodyOut() throws Exception {
+    void silentConnectionsAreClosedAndKeepNobodyOut() throws Exception {
         List<Socket> silent = new ArrayList<>();
         for (int i = 0; i < 3 * OperatorServer.MAX_CONNECTIONS; i++) {
-            silent.add(caller());
+            silent.add(connect());
         }
-        assertEquals("YES\n", call("readyz\n"));
+        assertEquals("YES\n", command("readyz\n"));
         // The first was closed to make room; the last one times out.
-        assertEquals("", rest(silent.get(0)));
-        assertTrue(rest(silent.get(silent.size() - 1)).startsWith("NO"));
+        assertEquals("", readToEnd(silent.get(0)));
+        assertTrue(readToEnd(silent.get(silent.size() - 1)).startsWith("NO"));
     }
 }
--- a/src/test/java/kestreldeal/net/SenderTest.java
+++ b/src/test/java/kestreldeal/net/SenderTest.java
@@ -41,38 +41,38 @@
     private final List<String> notices = new CopyOnWriteArrayList<>();
     private final List<Socket> clients = new ArrayList<>();
     private StubServer agent;
-    private volatile String states = "SERVING SERVING";
-    private volatile boolean agentUp = true;
+    private volatile String lifecycles = "SERVING SERVING";
+    private volatile boolean agentResponds = true;
     private volatile int reportStatus = 204;
-    private boolean known = true;
-    private int batch = 1;
-    private int dialMs = 1000;
-    private boolean copies;
-    private boolean cancels = true;
-    private int senders = 1;
+    private boolean listInConfig = true;
+    private int maxBatchSize = 1;
+    private int dialTimeoutMs = 1000;
+    private boolean hedging;
+    private boolean cancellation = true;
+    private int fleetSize = 1;
     /** Number of further endpoints on the list; each has its own destination, and all share one stub server. */
-    private int others;
-    private boolean indented;
-    private boolean links = true;
-    private String listen = "127.0.0.1:0";
+    private int extraEndpoints;
+    private boolean indentedList;
+    private boolean handoverAllowed = true;
+    private String listenAddress = "127.0.0.1:0";
     private Sender sender;
     /** In tests of two processes, the one that was started first. */
-    private Sender before;
+    private Sender predecessor;
     private InetSocketAddress address;
 
     @BeforeEach
     void open() throws Exception {
         endpoints.add(new StubServer(StubServer.status(200, "")));
         endpoints.add(new StubServer(StubServer.status(200, "")));
-        agent = new StubServer(this::agent);
+        agent = new StubServer(this::answerAsAgent);
         Files.createDirectory(folder.resolve("state"));
     }
 
     @AfterEach
     void close() throws Exception {
-        for (Sender each : Arrays.asList(before, sender)) {
-            if (each != null) {
-                each.kill();
+        for (Sender process : Arrays.asList(predecessor, sender)) {
+            if (process != null) {
+                process.kill();
             }
         }
         for (Socket client : clients) {
@@ -86,8 +86,8 @@
 
     // ---- test environment ----
 
-    private void agent(StubServer.Message request, Socket socket) throws Exception {
-        if (!agentUp) {
+    private void answerAsAgent(StubServer.Message request, Socket socket) throws Exception {
+        if (!agentResponds) {
             return;
         }
         if (request.line().startsWith("POST /reports")) {
@@ -99,34 +99,34 @@
                     + (status == 204 ? "\r\n" : "Content-Length: 0\r\n\r\n"));
             return;
         }
-        String known = request.line().contains("after=") ? request.line().replaceAll(".*after=(\\d+).*", "$1")
+        String generation = request.line().contains("after=") ? request.line().replaceAll(".*after=(\\d+).*", "$1")
                 : "";
         if (!request.line().contains("wait_ms=0 ")) {
-            StubServer.await("a change of the list", () -> !known.equals(generation()));
+            StubServer.await("a change of the list", () -> !generation.equals(generation()));
         }
-        String list = list();
+        String list = listJson();
         StubServer.write(socket, "HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + "\r\n\r\n" + list);
     }
 
     private String generation() {
-        return Integer.toString(1000 + states.hashCode() % 1000);
+        return Integer.toString(1000 + lifecycles.hashCode() % 1000);
     }
 
-    private String list() {
-        String[] state = states.split(" ");
-        List<String> entries = new ArrayList<>(List.of(entry(0, state[0]), entry(1, state[1])));
-        for (int i = 0; i < others; i++) {
-            entries.add(entry(0, "SERVING").replace("s-0", "other-" + i).replace("\"cell\":7", "\"cell\":" + (100 + i)));
+    private String listJson() {
+        String[] lifecycle = lifecycles.split(" ");
+        List<String> entries = new ArrayList<>(List.of(entryJson(0, lifecycle[0]), entryJson(1, lifecycle[1])));
+        for (int i = 0; i < extraEndpoints; i++) {
+            entries.add(entryJson(0, "SERVING").replace("s-0", "other-" + i).replace("\"cell\":7", "\"cell\":" + (100 + i)));
         }
         String list = "{\"generation\":" + generation() + ",\"reset\":true,\"instances\":["
                 + String.join(",", entries) + "]}";
-        return indented ? list.replace(",", ",\n        ").replace(":", " : ").replace("127.0.0.1 : ", "127.0.0.1:")
+        return indentedList ? list.replace(",", ",\n        ").replace(":", " : ").replace("127.0.0.1 : ", "127.0.0.1:")
                 : list;
     }
 
-    private String entry(int number, String state) {
+    private String entryJson(int number, String lifecycle) {
         return "{\"instanceId\":\"s-" + number + "\",\"hostPort\":\"" + endpoints.get(number).hostPort()
-                + "\",\"zone\":\"a\",\"machineType\":\"m\",\"cell\":7,\"lifecycle\":\"" + state
+                + "\",\"zone\":\"a\",\"machineType\":\"m\",\"cell\":7,\"lifecycle\":\"" + lifecycle
                 + "\",\"weight\":1.0,\"startedAtMs\":0}";
     }
 
@@ -143,8 +143,8 @@
                   "fleet_size":%d,"limits":{"most_tries":12,"second_copies":%b,"cancel":%b,"max_open":%d,
                    "dial_timeout_ms":%d,"keepalive_ms":15000},
                   "rules":{"start_capacity":0.2,"warm_after_ms":12000,"fall_multiple":2,"fall_ms":1500}}}
-                """.formatted(listen, agent.hostPort(), known ? list() : "null", classes, batch,
-                        senders, copies, cancels, MAX_OPEN, dialMs));
+                """.formatted(listenAddress, agent.hostPort(), listInConfig ? listJson() : "null", classes, maxBatchSize,
+                        fleetSize, hedging, cancellation, MAX_OPEN, dialTimeoutMs));
         return Config.read(environment());
     }
 
@@ -159,18 +159,18 @@
 
     /** Starts a sender and waits until it is ready, if a list is available and no other process leads. */
     private void start(long closingMs) throws Exception {
-        startOnly(closingMs);
-        if ((known || agentUp) && before == null) {
+        startWithoutWaiting(closingMs);
+        if ((listInConfig || agentResponds) && predecessor == null) {
             awaitReady();
         }
     }
 
-    private void startOnly(long closingMs) throws Exception {
-        sender = new Sender(config(), links, Sender.DRAIN_ACCEPT_MS, closingMs);
+    private void startWithoutWaiting(long closingMs) throws Exception {
+        sender = new Sender(config(), handoverAllowed, Sender.DRAIN_ACCEPT_MS, closingMs);
         address = sender.start();
     }
 
-    private void killAndStart() throws Exception {
+    private void killAndRestart() throws Exception {
         sender.kill();
         start();
         awaitReady();
@@ -178,54 +178,54 @@
 
     private void awaitReady() throws InterruptedException {
         StubServer.await("the sender is ready", () -> unchecked(() ->
-                ask(client(), "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n").line().contains(" 200 ")));
+                exchange(connect(), "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n").line().contains(" 200 ")));
     }
 
-    private Socket client() throws IOException {
+    private Socket connect() throws IOException {
         Socket socket = new Socket(address.getAddress(), address.getPort());
         clients.add(socket);
         return socket;
     }
 
-    private static StubServer.Message ask(Socket socket, String text) throws IOException {
+    private static StubServer.Message exchange(Socket socket, String text) throws IOException {
         StubServer.write(socket, text);
         return StubServer.read(new BufferedInputStream(socket.getInputStream()), 0);
     }
 
-    private static String message(String id, String type, String body) {
-        return "POST /" + type + " HTTP/1.1\r\nHost: x\r\nX-Call-Id: " + id + "\r\nX-Call-Class: " + type
+    private static String submission(String id, String messageClass, String body) {
+        return "POST /" + messageClass + " HTTP/1.1\r\nHost: x\r\nX-Call-Id: " + id + "\r\nX-Call-Class: " + messageClass
                 + "\r\nX-Caller: acme\r\nX-Budget-Ms: 24000\r\nIdempotency-Key: key-" + id
                 + "\r\nX-Envelope: dest=7\r\nContent-Length: " + body.length() + "\r\n\r\n" + body;
     }
 
-    private void handIn(String id, String type) throws Exception {
-        assertEquals("HTTP/1.1 202 Accepted", ask(client(), message(id, type, "hello")).line());
+    private void submit(String id, String messageClass) throws Exception {
+        assertEquals("HTTP/1.1 202 Accepted", exchange(connect(), submission(id, messageClass, "hello")).line());
     }
 
-    private List<StubServer.Message> calls() {
+    private List<StubServer.Message> receivedCalls() {
         return endpoints.stream().flatMap(e -> e.requests.stream()).toList();
     }
 
-    private void script(StubServer.Script script) {
+    private void scriptEndpoints(StubServer.Script script) {
         endpoints.forEach(e -> e.setScript(script));
     }
 
     /** The messages in the journal, read from a copy. */
-    private List<AcceptedMessage> journalled() {
-        return journalled(journal -> List.copyOf(journal.held()));
+    private List<AcceptedMessage> journalMessages() {
+        return readJournal(journal -> List.copyOf(journal.held()));
     }
 
-    private Map<String, Journal.Health> journalledHealth() {
-        return journalled(Journal::health);
+    private Map<String, Journal.Health> journalHealth() {
+        return readJournal(Journal::health);
     }
 
-    private <T> T journalled(Function<Journal, T> of) {
+    private <T> T readJournal(Function<Journal, T> query) {
         try {
             Path copy = Files.createTempDirectory(folder, "copy");
             Files.copy(folder.resolve("state/journal"), copy.resolve("journal"),
                     StandardCopyOption.REPLACE_EXISTING);
             try (Journal journal = new Journal(copy, 3_000_000, 12)) {
-                return of.apply(journal);
+                return query.apply(journal);
             }
         } catch (IOException e) {
             throw new AssertionError(e);
@@ -233,127 +233,127 @@
     }
 
     /** Writes a journal as a previous process would leave it: one message with one attempt in flight, or none. */
-    private AcceptedMessage earlierLife(String type, long attemptAgoMs, long leftMs, boolean notice) throws Exception {
+    private AcceptedMessage writeJournalWithOneMessage(String messageClass, long attemptAgoMs, long leftMs, boolean withNotice) throws Exception {
         try (Journal journal = new Journal(folder.resolve("state"), 3_000_000, 12)) {
-            AcceptedMessage held = AcceptedMessage.withTimeLeft(journal.nextNumber(), "old", type, "acme",
+            AcceptedMessage message = AcceptedMessage.withTimeLeft(journal.nextNumber(), "old", messageClass, "acme",
                     Optional.of("key-old"), 7,
                     leftMs, "hello".getBytes(StandardCharsets.ISO_8859_1), MachineClock.system());
-            journal.taken(held);
+            journal.taken(message);
             if (attemptAgoMs > 0) {
-                journal.attempt(held, AcceptedMessage.Attempt.sentAgo("s-0", attemptAgoMs, MachineClock.system()));
+                journal.attempt(message, AcceptedMessage.Attempt.sentAgo("s-0", attemptAgoMs, MachineClock.system()));
             }
-            if (notice) {
-                journal.owed(held, new AcceptedMessage.Notice(true, 700));
+            if (withNotice) {
+                journal.owed(message, new AcceptedMessage.Notice(true, 700));
             }
-            return held;
+            return message;
         }
     }
 
     /** Writes a journal with late messages without any attempt, and with the health of endpoints. */
-    private void earlierBacklog(int many, Map<String, Relay.EndpointState> states) throws Exception {
+    private void writeJournalWithBacklog(int count, Map<String, Relay.EndpointState> health) throws Exception {
         try (Journal journal = new Journal(folder.resolve("state"), 3_000_000, 12)) {
-            for (int i = 0; i < many; i++) {
+            for (int i = 0; i < count; i++) {
                 journal.taken(AcceptedMessage.withTimeLeft(journal.nextNumber(), "old-" + i, "order", "acme",
                         Optional.of("key-" + i), 7, 15_000, new byte[0], MachineClock.system()));
             }
-            for (Map.Entry<String, Relay.EndpointState> known : states.entrySet()) {
-                journal.health(known.getKey(), Journal.Health.since(0, known.getValue(), 0, MachineClock.system()));
+            for (Map.Entry<String, Relay.EndpointState> entry : health.entrySet()) {
+                journal.health(entry.getKey(), Journal.Health.since(0, entry.getValue(), 0, MachineClock.system()));
             }
         }
     }
 
-    private int ended() {
+    private int endedConnections() {
         return endpoints.stream().mapToInt(StubServer::endedConnections).sum();
     }
 
-    private void awaitNothingHeld() throws InterruptedException {
-        StubServer.await("the journal is empty", () -> journalled().isEmpty());
+    private void awaitEmptyJournal() throws InterruptedException {
+        StubServer.await("the journal is empty", () -> journalMessages().isEmpty());
     }
 
     private void awaitNotice(String result) throws Exception {
         StubServer.await("a notice", () -> !notices.isEmpty());
         assertTrue(notices.get(0).contains(result), notices.get(0));
-        awaitNothingHeld();
+        awaitEmptyJournal();
         assertEquals(1, notices.size());
     }
 
-    private String operator(String call) throws IOException {
+    private String operatorCommand(String command) throws IOException {
         try (Socket socket = new Socket(sender.operatorAddress().getAddress(), sender.operatorAddress().getPort())) {
-            StubServer.write(socket, call + "\n");
+            StubServer.write(socket, command + "\n");
             return new String(socket.getInputStream().readAllBytes(), StandardCharsets.US_ASCII);
         }
     }
 
-    private int figure(String name) throws IOException {
-        return operator("telemetry").lines().filter(line -> line.startsWith("edge_gw_" + name + " "))
+    private int metric(String name) throws IOException {
+        return operatorCommand("telemetry").lines().filter(line -> line.startsWith("edge_gw_" + name + " "))
                 .mapToInt(line -> Integer.parseInt(line.split(" ")[1])).findFirst().orElseThrow();
     }
 
     // ---- operators' commands ----
 
     @Test
-    void figuresTellHowMessagesEnded() throws Exception {
+    void metricsCountMessageResults() throws Exception {
         start();
-        handIn("one", "order");
-        awaitNothingHeld();
-        script(StubServer.status(500, ""));
-        handIn("two", "once");
+        submit("one", "order");
+        awaitEmptyJournal();
+        scriptEndpoints(StubServer.status(500, ""));
+        submit("two", "once");
         awaitNotice("dead");
-        script(StubServer.silent());
+        scriptEndpoints(StubServer.silent());
         for (int i = 0; i < MAX_OPEN; i++) {
-            handIn("held-" + i, "order");
+            submit("held-" + i, "order");
         }
-        assertEquals("HTTP/1.1 503 Service Unavailable", ask(client(), message("more", "order", "x")).line());
-        StubServer.await("all calls are in flight", () -> calls().size() == 2 + MAX_OPEN);
-        assertEquals(1, figure("completed_total{lane=\"order\"}"));
-        assertEquals(0, figure("completed_total{lane=\"once\"}"));
-        assertEquals(1, figure("failed_total{lane=\"once\"}"));
-        assertEquals(1, figure("rejected_total{lane=\"order\"}"));
-        assertEquals(2 + MAX_OPEN, figure("upstream_requests_total"));
-        assertEquals(MAX_OPEN, figure("pending"));
-        assertEquals(2, figure("members"));
-        assertEquals(0, figure("members_unavailable"));
-        killAndStart();
-        assertEquals(0, figure("completed_total{lane=\"order\"}"), "each process starts its counters at 0");
-    }
-
-    @Test
-    void figuresTellWhichEndpointsAreAvoided() throws Exception {
+        assertEquals("HTTP/1.1 503 Service Unavailable", exchange(connect(), submission("more", "order", "x")).line());
+        StubServer.await("all calls are in flight", () -> receivedCalls().size() == 2 + MAX_OPEN);
+        assertEquals(1, metric("completed_total{lane=\"order\"}"));
+        assertEquals(0, metric("completed_total{lane=\"once\"}"));
+        assertEquals(1, metric("failed_total{lane=\"once\"}"));
+        assertEquals(1, metric("rejected_total{lane=\"order\"}"));
+        assertEquals(2 + MAX_OPEN, metric("upstream_requests_total"));
+        assertEquals(MAX_OPEN, metric("pending"));
+        assertEquals(2, metric("members"));
+        assertEquals(0, metric("members_unavailable"));
+        killAndRestart();
+        assertEquals(0, metric("completed_total{lane=\"order\"}"), "each process starts its counters at 0");
+    }
+
+    @Test
+    void metricsCountUnavailableEndpoints() throws Exception {
         start();
-        states = "DRAINING SERVING";
-        StubServer.await("one endpoint is draining", () -> unchecked(() -> figure("members_unavailable") == 1));
-        assertEquals(2, figure("members"));
-        states = "DELETED SERVING";
-        StubServer.await("one endpoint is removed", () -> unchecked(() -> figure("members") == 1));
-        assertEquals(0, figure("members_unavailable"));
+        lifecycles = "DRAINING SERVING";
+        StubServer.await("one endpoint is draining", () -> unchecked(() -> metric("members_unavailable") == 1));
+        assertEquals(2, metric("members"));
+        lifecycles = "DELETED SERVING";
+        StubServer.await("one endpoint is removed", () -> unchecked(() -> metric("members") == 1));
+        assertEquals(0, metric("members_unavailable"));
         endpoints.get(1).close();
-        handIn("one", "order");
-        StubServer.await("the other endpoint is down", () -> unchecked(() -> figure("members_unavailable") == 1));
+        submit("one", "order");
+        StubServer.await("the other endpoint is down", () -> unchecked(() -> metric("members_unavailable") == 1));
     }
 
     @Test
-    void clientsAreSentAwayAndTakenBack() throws Exception {
+    void clientsAreEvacuatedAndAcceptedAgain() throws Exception {
         start();
-        Socket used = client();
-        Socket idle = client();
+        Socket used = connect();
+        Socket idle = connect();
         String health = "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n";
-        assertEquals("HTTP/1.1 200 OK", ask(used, health).line());
-        assertEquals("HTTP/1.1 200 OK", ask(idle, health).line());
-        assertEquals("YES\n", operator("evacuate"));
-        assertEquals("YES\n", operator("evacuate"), "the command may be repeated");
-        assertEquals("YES\n", operator("readyz"), "the process can still serve");
-        StubServer.Message taken = ask(used, message("one", "order", "hello"));
-        assertEquals("HTTP/1.1 202 Accepted", taken.line(), "messages are accepted nevertheless");
-        assertEquals("close", taken.header("Connection"));
+        assertEquals("HTTP/1.1 200 OK", exchange(used, health).line());
+        assertEquals("HTTP/1.1 200 OK", exchange(idle, health).line());
+        assertEquals("YES\n", operatorCommand("evacuate"));
+        assertEquals("YES\n", operatorCommand("evacuate"), "the command may be repeated");
+        assertEquals("YES\n", operatorCommand("readyz"), "the process can still serve");
+        StubServer.Message accepted = exchange(used, submission("one", "order", "hello"));
+        assertEquals("HTTP/1.1 202 Accepted", accepted.line(), "messages are accepted nevertheless");
+        assertEquals("close", accepted.header("Connection"));
         assertEquals(-1, used.getInputStream().read());
         assertEquals(-1, idle.getInputStream().read(), "an idle connection is closed");
-        assertEquals("HTTP/1.1 503 Service Unavailable", ask(client(), health).line());
-        awaitNothingHeld();
-        assertEquals("YES\n", operator("activate"));
-        Socket back = client();
-        assertEquals("HTTP/1.1 200 OK", ask(back, health).line());
-        assertEquals("HTTP/1.1 202 Accepted", ask(back, message("two", "order", "hello")).line());
-        assertEquals("HTTP/1.1 200 OK", ask(back, health).line(), "connections are kept open again");
+        assertEquals("HTTP/1.1 503 Service Unavailable", exchange(connect(), health).line());
+        awaitEmptyJournal();
+        assertEquals("YES\n", operatorCommand("activate"));
+        Socket client = connect();
+        assertEquals("HTTP/1.1 200 OK", exchange(client, health).line());
+        assertEquals("HTTP/1.1 202 Accepted", exchange(client, submission("two", "order", "hello")).line());
+        assertEquals("HTTP/1.1 200 OK", exchange(client, health).line(), "connections are kept open again");
     }
 
     private static boolean unchecked(Callable<Boolean> condition) {
@@ -365,32 +365,32 @@
     }
 
     @Test
-    void aSenderIsNotReadyBeforeItHasAListNorOnceItEnds() throws Exception {
-        known = false;
-        agentUp = false;
+    void senderIsNotReadyBeforeItHasAListNorDuringShutdown() throws Exception {
+        listInConfig = false;
+        agentResponds = false;
         start();
-        assertTrue(operator("readyz").startsWith("NO"));
-        agentUp = true;
-        StubServer.await("ready", () -> unchecked(() -> operator("readyz").equals("YES\n")));
-        script(StubServer.silent());
-        handIn("one", "order");
+        assertTrue(operatorCommand("readyz").startsWith("NO"));
+        agentResponds = true;
+        StubServer.await("ready", () -> unchecked(() -> operatorCommand("readyz").equals("YES\n")));
+        scriptEndpoints(StubServer.silent());
+        submit("one", "order");
         Thread end = new Thread(sender::drain);
         end.start();
-        StubServer.await("the sender stops", () -> unchecked(() -> operator("readyz").startsWith("NO")));
+        StubServer.await("the sender stops", () -> unchecked(() -> operatorCommand("readyz").startsWith("NO")));
         end.join();
     }
 
     /** A request read just before the process exits would be accepted and never answered. */
     @Test
-    void nothingIsReadOnceASenderEnds() throws Exception {
-        script(StubServer.silent());
+    void noRequestIsReadOnceTheSenderStops() throws Exception {
+        scriptEndpoints(StubServer.silent());
         start(700);
-        handIn("one", "order");
-        Socket idle = client();
-        Socket inPart = client();
+        submit("one", "order");
+        Socket idle = connect();
+        Socket inPart = connect();
         String health = "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n";
-        assertEquals("HTTP/1.1 200 OK", ask(idle, health).line());
-        assertEquals("HTTP/1.1 200 OK", ask(inPart, health).line());
+        assertEquals("HTTP/1.1 200 OK", exchange(idle, health).line());
+        assertEquals("HTTP/1.1 200 OK", exchange(inPart, health).line());
         StubServer.write(inPart, "POST /order HTTP/1.1\r\n");
         sender.drain();
         idle.setSoTimeout(30_000);
@@ -398,32 +398,32 @@
         inPart.setSoTimeout(30_000);
         assertEquals("HTTP/1.1 503 Service Unavailable",
                 StubServer.read(new BufferedInputStream(inPart.getInputStream()), 0).line());
-        assertEquals(1, journalled().size());
+        assertEquals(1, journalMessages().size());
     }
 
     // ---- two processes ----
 
     /** Starts a second process that follows the first. */
-    private void startBeside() throws Exception {
-        before = sender;
-        listen = address.getHostString() + ":" + address.getPort();
+    private void startFollower() throws Exception {
+        predecessor = sender;
+        listenAddress = address.getHostString() + ":" + address.getPort();
         start();
-        StubServer.await("the second process can take over", () -> unchecked(() -> operator("readyz").equals("YES\n")));
+        StubServer.await("the second process can take over", () -> unchecked(() -> operatorCommand("readyz").equals("YES\n")));
     }
 
     /** Stops the first process and waits until the second one serves; the thread returned ends with the first. */
-    private Thread replace() throws Exception {
-        Thread end = new Thread(before::drain);
+    private Thread replaceLeader() throws Exception {
+        Thread end = new Thread(predecessor::drain);
         end.setDaemon(true);
         end.start();
         StubServer.await("the second process accepts clients", () -> unchecked(() -> {
             try (Socket socket = new Socket(address.getAddress(), address.getPort())) {
-                ask(socket, message("one", "order", "hello"));
+                exchange(socket, submission("one", "order", "hello"));
             } catch (SocketException refused) {
                 // The connection arrived just as the first process stopped listening.
                 return false;
             }
-            return figure("pending") + figure("completed_total{lane=\"order\"}") > 0;
+            return metric("pending") + metric("completed_total{lane=\"order\"}") > 0;
         }));
         return end;
     }
@@ -433,114 +433,114 @@
      * process that sends from then on.
      */
     @Test
-    void aWaitToldToTheProcessBeforeIsKeptByTheNext() throws Exception {
-        script(StubServer.silent());
+    void retryAfterReceivedByThePreviousProcessIsRespectedByTheNext() throws Exception {
+        scriptEndpoints(StubServer.silent());
         start(60_000);
-        handIn("early", "order");
-        StubServer.await("the call", () -> calls().size() == 1);
-        startBeside();
-        Thread end = new Thread(before::drain);
+        submit("early", "order");
+        StubServer.await("the call", () -> receivedCalls().size() == 1);
+        startFollower();
+        Thread end = new Thread(predecessor::drain);
         end.setDaemon(true);
         end.start();
-        StubServer.await("the next process leads", () -> unchecked(() -> figure("pending") == 1));
+        StubServer.await("the next process leads", () -> unchecked(() -> metric("pending") == 1));
         for (StubServer endpoint : endpoints) {
             endpoint.writeToAll("HTTP/1.1 200 OK\r\nRetry-After: 2\r\nContent-Length: 0\r\n\r\n");
         }
-        StubServer.await("the result is handed on", () -> unchecked(() -> figure("pending") == 0));
-        long told = System.nanoTime();
-        script(StubServer.status(200, ""));
-        StubServer.await("the next process accepts clients", () -> unchecked(() -> operator("readyz").equals("YES\n")));
+        StubServer.await("the result is handed on", () -> unchecked(() -> metric("pending") == 0));
+        long reportedNanos = System.nanoTime();
+        scriptEndpoints(StubServer.status(200, ""));
+        StubServer.await("the next process accepts clients", () -> unchecked(() -> operatorCommand("readyz").equals("YES\n")));
         awaitReady();
-        handIn("two", "order");
-        awaitNothingHeld();
-        assertEquals(2, calls().size());
-        assertTrue(calls().stream().anyMatch(c -> c.receivedNanos() - told >= 1_500_000_000L), "sent during the wait");
+        submit("two", "order");
+        awaitEmptyJournal();
+        assertEquals(2, receivedCalls().size());
+        assertTrue(receivedCalls().stream().anyMatch(c -> c.receivedNanos() - reportedNanos >= 1_500_000_000L), "sent during the wait");
         end.join();
     }
 
-    private void killBefore() {
-        before.kill();
-        before = null;
+    private void killPredecessor() {
+        predecessor.kill();
+        predecessor = null;
     }
 
-    private void answerCallsOut() throws IOException {
+    private void answerCallsInFlight() throws IOException {
         for (StubServer endpoint : endpoints) {
             endpoint.writeToAll("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
         }
     }
 
     @Test
-    void theNextProcessTakesOverWithCallsOut() throws Exception {
-        script(StubServer.silent());
+    void nextProcessTakesOverWithCallsInFlight() throws Exception {
+        scriptEndpoints(StubServer.silent());
         start(60_000);
-        Socket kept = client();
-        assertEquals("202", ask(kept, message("one", "order", "hello")).line().split(" ")[1]);
-        handIn("two", "once");
-        StubServer.await("both calls", () -> calls().size() == 2);
-        startBeside();
-        assertEquals(2, journalled().size(), "a follower changes nothing");
-        Thread end = replace();
-        assertEquals(2, figure("pending"), "pending messages go to the next process");
-        assertEquals("202", ask(kept, message("three", "once", "hello")).line().split(" ")[1],
+        Socket kept = connect();
+        assertEquals("202", exchange(kept, submission("one", "order", "hello")).line().split(" ")[1]);
+        submit("two", "once");
+        StubServer.await("both calls", () -> receivedCalls().size() == 2);
+        startFollower();
+        assertEquals(2, journalMessages().size(), "a follower changes nothing");
+        Thread end = replaceLeader();
+        assertEquals(2, metric("pending"), "pending messages go to the next process");
+        assertEquals("202", exchange(kept, submission("three", "once", "hello")).line().split(" ")[1],
                 "a request on a connection of the old process is forwarded");
-        StubServer.await("the forwarded message is sent", () -> calls().size() == 3);
-        answerCallsOut();
-        awaitNothingHeld();
+        StubServer.await("the forwarded message is sent", () -> receivedCalls().size() == 3);
+        answerCallsInFlight();
+        awaitEmptyJournal();
         end.join();
-        assertEquals(3, calls().size(), "no message was sent twice");
+        assertEquals(3, receivedCalls().size(), "no message was sent twice");
         assertTrue(notices.isEmpty(), notices.toString());
-        assertEquals(1, figure("completed_total{lane=\"order\"}"));
-        assertEquals(2, figure("completed_total{lane=\"once\"}"));
-        assertEquals(1, figure("upstream_requests_total"), "each process counts the messages that it wrote");
+        assertEquals(1, metric("completed_total{lane=\"order\"}"));
+        assertEquals(2, metric("completed_total{lane=\"once\"}"));
+        assertEquals(1, metric("upstream_requests_total"), "each process counts the messages that it wrote");
     }
 
     @Test
-    void aCallThatEndsUndeliveredInTheOldProcessIsRepeatedByTheNext() throws Exception {
-        script(StubServer.silent());
+    void callThatFailsInTheOldProcessIsRetriedByTheNext() throws Exception {
+        scriptEndpoints(StubServer.silent());
         start(60_000);
-        handIn("one", "order");
-        StubServer.await("the call", () -> calls().size() == 1);
-        startBeside();
-        Thread end = replace();
-        script(StubServer.status(200, ""));
+        submit("one", "order");
+        StubServer.await("the call", () -> receivedCalls().size() == 1);
+        startFollower();
+        Thread end = replaceLeader();
+        scriptEndpoints(StubServer.status(200, ""));
         for (StubServer endpoint : endpoints) {
             endpoint.writeToAll("HTTP/1.1 500 x\r\nContent-Length: 0\r\n\r\n");
         }
-        awaitNothingHeld();
+        awaitEmptyJournal();
         end.join();
-        assertEquals(2, calls().size());
+        assertEquals(2, receivedCalls().size());
     }
 
     @Test
-    void anOldProcessThatIsKilledInMidHandoverTakesNothingWithIt() throws Exception {
-        script(StubServer.silent());
+    void killingTheOldProcessDuringHandoverLosesNothing() throws Exception {
+        scriptEndpoints(StubServer.silent());
         start(60_000);
-        handIn("one", "order");
-        handIn("two", "once");
-        StubServer.await("both calls", () -> calls().size() == 2);
-        startBeside();
-        replace();
-        script(StubServer.status(200, ""));
-        killBefore();
-        StubServer.await("the repeatable message is retried", () -> calls().size() == 3);
+        submit("one", "order");
+        submit("two", "once");
+        StubServer.await("both calls", () -> receivedCalls().size() == 2);
+        startFollower();
+        replaceLeader();
+        scriptEndpoints(StubServer.status(200, ""));
+        killPredecessor();
+        StubServer.await("the repeatable message is retried", () -> receivedCalls().size() == 3);
         awaitNotice("{\"ref\":\"two\",\"result\":\"dead\"}");
-        assertEquals(2, calls().stream().filter(c -> c.header("X-Call-Id").equals("one")).count());
+        assertEquals(2, receivedCalls().stream().filter(c -> c.header("X-Call-Id").equals("one")).count());
     }
 
     @Test
-    void aProcessThatDiesWithoutAWordIsReplacedByTheOneBeside() throws Exception {
-        script(StubServer.silent());
+    void killedLeaderIsReplacedByItsFollower() throws Exception {
+        scriptEndpoints(StubServer.silent());
         start();
-        handIn("one", "order");
-        StubServer.await("the call", () -> calls().size() == 1);
-        startBeside();
-        script(StubServer.status(200, ""));
-        killBefore();
-        awaitNothingHeld();
-        assertEquals(2, calls().size(), "the messages of its journal are restored");
+        submit("one", "order");
+        StubServer.await("the call", () -> receivedCalls().size() == 1);
+        startFollower();
+        scriptEndpoints(StubServer.status(200, ""));
+        killPredecessor();
+        awaitEmptyJournal();
+        assertEquals(2, receivedCalls().size(), "the messages of its journal are restored");
         StubServer.await("clients are accepted", () -> unchecked(() -> {
             try (Socket socket = new Socket(address.getAddress(), address.getPort())) {
-                return ask(socket, message("two", "order", "hello")).line().contains("202");
+                return exchange(socket, submission("two", "order", "hello")).line().contains("202");
             } catch (SocketException notYet) {
                 return false;
             }
@@ -548,525 +548,525 @@
     }
 
     @Test
-    void aProcessThatOnlyFollowsEndsWithoutATrace() throws Exception {
-        script(StubServer.silent());
+    void stoppingAFollowerAffectsNothing() throws Exception {
+        scriptEndpoints(StubServer.silent());
         start(60_000);
-        handIn("one", "order");
-        startBeside();
+        submit("one", "order");
+        startFollower();
         sender.drain();
         sender.kill();
-        handIn("two", "order");
-        assertEquals(2, journalled().size(), "the first process continues");
-        startBesideAgain();
-        Thread end = replace();
-        answerCallsOut();
-        awaitNothingHeld();
+        submit("two", "order");
+        assertEquals(2, journalMessages().size(), "the first process continues");
+        startFollowerAgain();
+        Thread end = replaceLeader();
+        answerCallsInFlight();
+        awaitEmptyJournal();
         end.join();
     }
 
-    private void startBesideAgain() throws Exception {
-        sender = new Sender(config(), links, Sender.DRAIN_ACCEPT_MS, Sender.DRAIN_TIMEOUT_MS);
+    private void startFollowerAgain() throws Exception {
+        sender = new Sender(config(), handoverAllowed, Sender.DRAIN_ACCEPT_MS, Sender.DRAIN_TIMEOUT_MS);
         sender.start();
-        StubServer.await("the new process can take over", () -> unchecked(() -> operator("readyz").equals("YES\n")));
+        StubServer.await("the new process can take over", () -> unchecked(() -> operatorCommand("readyz").equals("YES\n")));
     }
 
     @Test
-    void whatIsOverStaysKnownToTheNextProcess() throws Exception {
+    void finishedIdsAreKnownToTheNextProcess() throws Exception {
         start();
-        handIn("over", "order");
-        awaitNothingHeld();
-        startBeside();
-        replace().join();
-        handIn("over", "order");
-        awaitNothingHeld();
-        assertEquals(1, calls().stream().filter(c -> "over".equals(c.header("X-Call-Id"))).count());
+        submit("over", "order");
+        awaitEmptyJournal();
+        startFollower();
+        replaceLeader().join();
+        submit("over", "order");
+        awaitEmptyJournal();
+        assertEquals(1, receivedCalls().stream().filter(c -> "over".equals(c.header("X-Call-Id"))).count());
     }
 
     // ---- delivery ----
 
     @Test
-    void aMessageIsTakenDeliveredAndForgotten() throws Exception {
+    void messageIsAcceptedDeliveredAndForgotten() throws Exception {
         start();
-        handIn("one", "order");
-        awaitNothingHeld();
-        assertEquals(1, calls().size());
-        assertEquals("one", calls().get(0).header("X-Call-Id"));
-        assertEquals("key-one", calls().get(0).header("Idempotency-Key"));
-        assertEquals("hello", calls().get(0).body());
+        submit("one", "order");
+        awaitEmptyJournal();
+        assertEquals(1, receivedCalls().size());
+        assertEquals("one", receivedCalls().get(0).header("X-Call-Id"));
+        assertEquals("key-one", receivedCalls().get(0).header("Idempotency-Key"));
+        assertEquals("hello", receivedCalls().get(0).body());
         assertTrue(notices.isEmpty());
-        killAndStart();
-        handIn("two", "order");
-        awaitNothingHeld();
-        assertEquals(2, calls().size(), "delivered messages are not sent again after a restart");
+        killAndRestart();
+        submit("two", "order");
+        awaitEmptyJournal();
+        assertEquals(2, receivedCalls().size(), "delivered messages are not sent again after a restart");
     }
 
     @Test
-    void whatGoesToAnEndpointInOneTurnTravelsAsOneCall() throws Exception {
-        batch = 4;
-        earlierBacklog(8, Map.of());
-        script((request, socket) -> {
+    void messagesForOneEndpointInOneTurnShareACall() throws Exception {
+        maxBatchSize = 4;
+        writeJournalWithBacklog(8, Map.of());
+        scriptEndpoints((request, socket) -> {
             // A call with one message is answered by the status code alone; its body is ignored.
-            String ends = request.body().lines().filter(line -> line.startsWith("old-"))
+            String results = request.body().lines().filter(line -> line.startsWith("old-"))
                     .map(line -> line.split(" ")[0] + " accepted\r\n").collect(Collectors.joining());
-            StubServer.write(socket, "HTTP/1.1 200 x\r\nContent-Length: " + ends.length() + "\r\n\r\n" + ends);
+            StubServer.write(socket, "HTTP/1.1 200 x\r\nContent-Length: " + results.length() + "\r\n\r\n" + results);
         });
         start();
-        awaitNothingHeld();
-        assertTrue(calls().size() < 8, calls().size() + " calls for 8 messages");
-        assertTrue(calls().stream().anyMatch(m -> m.line().equals("POST /v1/messages:batch HTTP/1.1")));
+        awaitEmptyJournal();
+        assertTrue(receivedCalls().size() < 8, receivedCalls().size() + " calls for 8 messages");
+        assertTrue(receivedCalls().stream().anyMatch(m -> m.line().equals("POST /v1/messages:batch HTTP/1.1")));
         assertTrue(notices.isEmpty());
     }
 
     @Test
-    void aMessageThatIsOverIsOwedNothing() throws Exception {
-        script(StubServer.status(410, ""));
+    void messageThatTheEndpointReportsAsGoneGetsNoNotice() throws Exception {
+        scriptEndpoints(StubServer.status(410, ""));
         start();
-        handIn("one", "order");
-        awaitNothingHeld();
+        submit("one", "order");
+        awaitEmptyJournal();
         assertTrue(notices.isEmpty());
     }
 
     @Test
-    void aMessageThatMayNotBeRepeatedEndsByANotice() throws Exception {
-        script(StubServer.status(500, ""));
+    void unsafeMessageThatFailsEndsWithANotice() throws Exception {
+        scriptEndpoints(StubServer.status(500, ""));
         start();
-        handIn("one", "once");
+        submit("one", "once");
         awaitNotice("{\"ref\":\"one\",\"result\":\"dead\"}");
-        assertEquals(1, calls().size());
+        assertEquals(1, receivedCalls().size());
     }
 
     @Test
-    void aNoticeIsRepeatedUntilItIsHeard() throws Exception {
-        script(StubServer.status(500, ""));
+    void noticeIsRepeatedUntilItIsAcknowledged() throws Exception {
+        scriptEndpoints(StubServer.status(500, ""));
         reportStatus = 500;
         start();
-        handIn("one", "once");
+        submit("one", "once");
         StubServer.await("several attempts", () -> agent.requests.stream().filter(r -> r.line().startsWith("POST"))
                 .count() > 2);
-        assertEquals(1, journalled().size());
+        assertEquals(1, journalMessages().size());
         reportStatus = 204;
         awaitNotice("dead");
     }
 
     @Test
-    void aToldWaitIsKept() throws Exception {
+    void retryAfterIsRespected() throws Exception {
         start();
-        script(StubServer.status(429, "Retry-After: 0.6\r\n"));
-        handIn("one", "order");
+        scriptEndpoints(StubServer.status(429, "Retry-After: 0.6\r\n"));
+        submit("one", "order");
         StubServer.await("the Retry-After is received",
-                () -> journalled().get(0).attempts.stream().anyMatch(a -> a.neverRan));
-        script(StubServer.status(200, ""));
-        handIn("two", "order");
-        StubServer.await("both messages are delivered", () -> calls().size() == 3);
-        long first = calls().stream().mapToLong(StubServer.Message::receivedNanos).min().orElseThrow();
-        for (StubServer.Message later : calls()) {
+                () -> journalMessages().get(0).attempts.stream().anyMatch(a -> a.neverRan));
+        scriptEndpoints(StubServer.status(200, ""));
+        submit("two", "order");
+        StubServer.await("both messages are delivered", () -> receivedCalls().size() == 3);
+        long first = receivedCalls().stream().mapToLong(StubServer.Message::receivedNanos).min().orElseThrow();
+        for (StubServer.Message later : receivedCalls()) {
             assertTrue(later.receivedNanos() == first || later.receivedNanos() - first >= 600_000_000, "sent during the wait");
         }
     }
 
     /** Delays connections to the first endpoint, and has one message sent to each of the two endpoints. */
-    private void startWithALateConnect(StubServer.Script first, StubServer.Script other) throws Exception {
-        dialMs = 20_000;
+    private void startWithDelayedConnect(StubServer.Script firstScript, StubServer.Script otherScript) throws Exception {
+        dialTimeoutMs = 20_000;
         endpoints.get(0).close();
-        endpoints.set(0, StubServer.withFullAcceptQueue(first));
-        endpoints.get(1).setScript(other);
+        endpoints.set(0, StubServer.withFullAcceptQueue(firstScript));
+        endpoints.get(1).setScript(otherScript);
         start();
-        handIn("late", "order");
-        handIn("two", "order");
+        submit("late", "order");
+        submit("two", "order");
         StubServer.await("the call to the other endpoint", () -> endpoints.get(1).requests.size() == 1);
     }
 
     /** A connect took 0.35 s, and meanwhile the destination asked to back off for 0.62 s. */
     @Test
-    void aToldWaitIsKeptByACallThatConnectsLate() throws Exception {
-        StubServer.Script taken = StubServer.status(200, "");
-        startWithALateConnect(taken, (request, socket) -> {
-            endpoints.get(1).setScript(taken);
+    void retryAfterIsRespectedByACallThatConnectsLate() throws Exception {
+        StubServer.Script accepted = StubServer.status(200, "");
+        startWithDelayedConnect(accepted, (request, socket) -> {
+            endpoints.get(1).setScript(accepted);
             StubServer.status(429, "Retry-After: 2\r\n").handle(request, socket);
         });
         endpoints.get(0).startAccepting();
-        awaitNothingHeld();
-        assertEquals(3, calls().size());
-        long told = endpoints.get(1).requests.get(0).receivedNanos();
-        assertEquals(2, calls().stream().filter(c -> c.receivedNanos() - told >= 2_000_000_000L).count());
+        awaitEmptyJournal();
+        assertEquals(3, receivedCalls().size());
+        long reportedNanos = endpoints.get(1).requests.get(0).receivedNanos();
+        assertEquals(2, receivedCalls().stream().filter(c -> c.receivedNanos() - reportedNanos >= 2_000_000_000L).count());
     }
 
     @Test
-    void aWaitToldByAnAnswerThatNeverEndsIsKept() throws Exception {
-        script((request, socket) -> {
-            script(StubServer.status(200, ""));
+    void retryAfterInAnIncompleteResponseIsRespected() throws Exception {
+        scriptEndpoints((request, socket) -> {
+            scriptEndpoints(StubServer.status(200, ""));
             StubServer.write(socket, "HTTP/1.1 429 x\r\nRetry-After: 2\r\nX-Endless: ");
         });
         start();
-        handIn("one", "order");
-        StubServer.await("the response with Retry-After", () -> calls().size() == 1);
-        long told = System.nanoTime();
-        awaitNothingHeld();
-        assertEquals(2, calls().size());
-        assertEquals(1, calls().stream().filter(c -> c.receivedNanos() - told >= 1_900_000_000L).count());
+        submit("one", "order");
+        StubServer.await("the response with Retry-After", () -> receivedCalls().size() == 1);
+        long reportedNanos = System.nanoTime();
+        awaitEmptyJournal();
+        assertEquals(2, receivedCalls().size());
+        assertEquals(1, receivedCalls().stream().filter(c -> c.receivedNanos() - reportedNanos >= 1_900_000_000L).count());
     }
 
     /** If calls can't be cancelled, the first attempt may still be connecting when the hedged one has delivered. */
     @Test
-    void nothingIsWrittenLateForAMessageThatIsOver() throws Exception {
-        copies = true;
-        cancels = false;
-        StubServer.Script taken = StubServer.status(200, "");
-        startWithALateConnect(taken, taken);
-        awaitNothingHeld();
+    void noCallIsWrittenLateForAFinishedMessage() throws Exception {
+        hedging = true;
+        cancellation = false;
+        StubServer.Script accepted = StubServer.status(200, "");
+        startWithDelayedConnect(accepted, accepted);
+        awaitEmptyJournal();
         assertEquals(2, endpoints.get(1).requests.size());
-        int others = 2;
+        int otherConnections = 2;
         endpoints.get(0).startAccepting();
-        StubServer.await("the delayed connection", () -> endpoints.get(0).acceptedConnections() > others);
-        handIn("three", "order");
-        awaitNothingHeld();
+        StubServer.await("the delayed connection", () -> endpoints.get(0).acceptedConnections() > otherConnections);
+        submit("three", "order");
+        awaitEmptyJournal();
         assertEquals(List.of(), endpoints.get(0).requests.stream().map(c -> c.header("X-Call-Id"))
                 .filter(id -> !id.equals("three")).toList());
     }
 
     @Test
-    void nothingIsWrittenLateToAnEndpointThatDrains() throws Exception {
-        StubServer.Script taken = StubServer.status(200, "");
-        startWithALateConnect(taken, taken);
-        states = "DRAINING SERVING";
+    void noCallIsWrittenLateToADrainingEndpoint() throws Exception {
+        StubServer.Script accepted = StubServer.status(200, "");
+        startWithDelayedConnect(accepted, accepted);
+        lifecycles = "DRAINING SERVING";
         String generation = generation();
         StubServer.await("the list is read", () -> agent.requests.stream()
                 .anyMatch(r -> r.line().contains("after=" + generation)));
         endpoints.get(0).startAccepting();
-        awaitNothingHeld();
+        awaitEmptyJournal();
         assertTrue(endpoints.get(0).requests.isEmpty());
         assertEquals(2, endpoints.get(1).requests.size());
     }
 
     @Test
-    void nothingNewGoesToADrainingEndpoint() throws Exception {
+    void noNewCallGoesToADrainingEndpoint() throws Exception {
         start();
         for (int round = 0; round < 2; round++) {
-            states = round == 0 ? "DRAINING SERVING" : "SERVING DELETED";
+            lifecycles = round == 0 ? "DRAINING SERVING" : "SERVING DELETED";
             String generation = generation();
             StubServer.await("the list is read", () -> agent.requests.stream()
                     .anyMatch(r -> r.line().contains("after=" + generation)));
             int before = endpoints.get(round).requests.size();
             for (int i = 0; i < 4; i++) {
-                handIn("m" + round + i, "order");
-                awaitNothingHeld();
+                submit("m" + round + i, "order");
+                awaitEmptyJournal();
             }
             assertEquals(before, endpoints.get(round).requests.size());
         }
-        assertEquals(8, calls().size());
+        assertEquals(8, receivedCalls().size());
     }
 
     /** The sender has 256 descriptors, fewer than there are endpoints. */
     @Test
-    void aLargeFleetAndAListOfAThousandServersAreServed() throws Exception {
-        senders = 1024;
-        others = 1022;
+    void largeFleetAndListOfAThousandEndpointsAreServed() throws Exception {
+        fleetSize = 1024;
+        extraEndpoints = 1022;
         for (boolean spread : List.of(false, true)) {
             if (spread) {
                 sender.kill();
             }
-            indented = spread;
-            known = !spread;
+            indentedList = spread;
+            listInConfig = !spread;
             start();
             awaitReady();
-            StubServer.await("the full list", () -> unchecked(() -> figure("members") == 1024));
-            Socket client = client();
+            StubServer.await("the full list", () -> unchecked(() -> metric("members") == 1024));
+            Socket client = connect();
             for (int i = 0; i < 300; i++) {
-                String message = message((spread ? "b-" : "a-") + i, "order", "hello");
+                String message = submission((spread ? "b-" : "a-") + i, "order", "hello");
                 int cell = 100 + i * 3;
                 StubServer.await("the message is accepted", () -> unchecked(() ->
-                        ask(client, message.replace("dest=7", "dest=" + cell)).line().contains(" 202 ")));
+                        exchange(client, message.replace("dest=7", "dest=" + cell)).line().contains(" 202 ")));
             }
-            awaitNothingHeld();
+            awaitEmptyJournal();
             assertTrue(notices.isEmpty(), notices.toString());
         }
-        assertEquals(600, calls().stream().map(c -> c.header("X-Call-Id")).distinct().count());
+        assertEquals(600, receivedCalls().stream().map(c -> c.header("X-Call-Id")).distinct().count());
     }
 
     @Test
-    void aSilentAgentHoldsNothingUp() throws Exception {
-        agentUp = false;
+    void unresponsiveAgentDelaysNothing() throws Exception {
+        agentResponds = false;
         start();
-        assertEquals("HTTP/1.1 200 OK", ask(client(), "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n").line());
-        handIn("one", "order");
-        awaitNothingHeld();
-        agentUp = true;
+        assertEquals("HTTP/1.1 200 OK", exchange(connect(), "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n").line());
+        submit("one", "order");
+        awaitEmptyJournal();
+        agentResponds = true;
         StubServer.await("the list is requested again", () -> agent.requests.stream()
                 .anyMatch(r -> r.line().contains("after=")));
     }
 
     /** A process must respect the agent's list from its start; the list in the configuration may be outdated. */
     @Test
-    void theFirstLifeAsksTheAgentBeforeItSendsByTheConfigurationsList() throws Exception {
+    void firstProcessAsksTheAgentBeforeUsingTheConfiguredList() throws Exception {
         CountDownLatch go = new CountDownLatch(1);
         agent.setScript((request, socket) -> {
             go.await();
-            agent(request, socket);
+            answerAsAgent(request, socket);
         });
-        startOnly(Sender.DRAIN_TIMEOUT_MS);
-        assertEquals("503", ask(client(), message("early", "order", "hello")).line().split(" ")[1]);
-        states = "DRAINING DRAINING";
+        startWithoutWaiting(Sender.DRAIN_TIMEOUT_MS);
+        assertEquals("503", exchange(connect(), submission("early", "order", "hello")).line().split(" ")[1]);
+        lifecycles = "DRAINING DRAINING";
         go.countDown();
         awaitReady();
-        handIn("one", "order");
-        assertEquals(2, figure("members_unavailable"));
-        assertEquals(List.of(), calls());
+        submit("one", "order");
+        assertEquals(2, metric("members_unavailable"));
+        assertEquals(List.of(), receivedCalls());
     }
 
     /** A long poll that starts during an outage of discovery keeps waiting when the outage is over. */
     @Test
-    void anAgentThatWasSilentIsAskedForWhatItHasNow() throws Exception {
+    void unresponsiveAgentIsAskedForItsCurrentListWithoutAWait() throws Exception {
         agent.setScript((request, socket) -> {
             if (!request.line().contains("after=")) {
-                agent(request, socket);
+                answerAsAgent(request, socket);
             }
         });
         start();
-        StubServer.await("a request without a wait", () -> asked().contains("&wait_ms=0 "));
-        agent.setScript(this::agent);
+        StubServer.await("a request without a wait", () -> agentRequests().contains("&wait_ms=0 "));
+        agent.setScript(this::answerAsAgent);
         StubServer.await("the long poll continues",
-                () -> asked().lastIndexOf("&wait_ms=3000 ") > asked().indexOf("&wait_ms=0 "));
+                () -> agentRequests().lastIndexOf("&wait_ms=3000 ") > agentRequests().indexOf("&wait_ms=0 "));
     }
 
     @Test
-    void aChangeThatBreaksOffIsAskedForAgain() throws Exception {
+    void truncatedChangeIsRequestedAgain() throws Exception {
         String before = generation();
         agent.setScript((request, socket) -> {
             if (request.line().contains("after=")) {
-                states = "DRAINING SERVING";
-                agent.setScript(this::agent);
-                String list = list();
+                lifecycles = "DRAINING SERVING";
+                agent.setScript(this::answerAsAgent);
+                String list = listJson();
                 StubServer.write(socket, "HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + "\r\n\r\n"
                         + list.substring(0, list.length() - 2));
                 socket.close();
             } else {
-                agent(request, socket);
+                answerAsAgent(request, socket);
             }
         });
         start();
-        StubServer.await("the change is applied", () -> unchecked(() -> figure("members_unavailable") == 1));
-        List<String> watches = asked().lines().filter(line -> line.contains("after=" + before + "&")).toList();
+        StubServer.await("the change is applied", () -> unchecked(() -> metric("members_unavailable") == 1));
+        List<String> watches = agentRequests().lines().filter(line -> line.contains("after=" + before + "&")).toList();
         assertEquals(2, watches.size(), watches.toString());
     }
 
     /** The lifecycle of an entry must be respected even if the rest of the entry is malformed. */
     @Test
-    void anEntryWithoutAnAddressGetsNothingNew() throws Exception {
+    void endpointWithoutAnAddressGetsNoNewCall() throws Exception {
         start();
-        String spoilt = list().replace(endpoints.get(0).hostPort(), "").replace("\"reset\":true", "\"reset\":false")
+        String malformed = listJson().replace(endpoints.get(0).hostPort(), "").replace("\"reset\":true", "\"reset\":false")
                 .replace("\"generation\":" + generation(), "\"generation\":7");
         agent.setScript((request, socket) -> {
             if (!request.line().contains("after=7&")) {
-                StubServer.write(socket, "HTTP/1.1 200 OK\r\nContent-Length: " + spoilt.length() + "\r\n\r\n" + spoilt);
+                StubServer.write(socket, "HTTP/1.1 200 OK\r\nContent-Length: " + malformed.length() + "\r\n\r\n" + malformed);
             }
         });
-        states = "SERVING DRAINING";
-        StubServer.await("the list is applied", () -> asked().contains("after=7&"));
+        lifecycles = "SERVING DRAINING";
+        StubServer.await("the list is applied", () -> agentRequests().contains("after=7&"));
         for (int i = 0; i < 4; i++) {
-            handIn("m" + i, "order");
-            awaitNothingHeld();
+            submit("m" + i, "order");
+            awaitEmptyJournal();
         }
         assertEquals(List.of(), endpoints.get(0).requests);
     }
 
     /** The request lines that the agent received. */
-    private String asked() {
+    private String agentRequests() {
         return agent.requests.stream().map(StubServer.Message::line).collect(Collectors.joining("\n"));
     }
 
     @Test
-    void nothingIsTakenOrGivenUpBeforeAListIsKnown() throws Exception {
-        AcceptedMessage old = earlierLife("order", 1000, 20_000, false);
-        known = false;
-        agentUp = false;
+    void nothingIsAcceptedOrFailedBeforeAListIsKnown() throws Exception {
+        AcceptedMessage restored = writeJournalWithOneMessage("order", 1000, 20_000, false);
+        listInConfig = false;
+        agentResponds = false;
         start();
-        assertEquals("503", ask(client(), "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n").line().split(" ")[1]);
-        assertEquals("503", ask(client(), message("one", "order", "hello")).line().split(" ")[1]);
-        agentUp = true;
-        awaitNothingHeld();
-        assertEquals(List.of(old.id), calls().stream().map(c -> c.header("X-Call-Id")).toList());
-        assertEquals("200", ask(client(), "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n").line().split(" ")[1]);
+        assertEquals("503", exchange(connect(), "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n").line().split(" ")[1]);
+        assertEquals("503", exchange(connect(), submission("one", "order", "hello")).line().split(" ")[1]);
+        agentResponds = true;
+        awaitEmptyJournal();
+        assertEquals(List.of(restored.id), receivedCalls().stream().map(c -> c.header("X-Call-Id")).toList());
+        assertEquals("200", exchange(connect(), "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n").line().split(" ")[1]);
     }
 
     // ---- restarts ----
 
     /** As many messages as a journal has in service, a thousand endpoints on the list, and no answer of the agent. */
     @Test
-    void aFullBacklogIsTriedInTheNextLife() throws Exception {
-        others = 1022;
-        agentUp = false;
-        earlierBacklog(800, Map.of());
+    void fullBacklogIsDeliveredAfterARestart() throws Exception {
+        extraEndpoints = 1022;
+        agentResponds = false;
+        writeJournalWithBacklog(800, Map.of());
         start();
-        awaitNothingHeld();
-        assertEquals(800, calls().stream().map(c -> c.header("X-Call-Id")).distinct().count());
+        awaitEmptyJournal();
+        assertEquals(800, receivedCalls().stream().map(c -> c.header("X-Call-Id")).distinct().count());
         assertEquals(List.of(), notices);
     }
 
     /** Late messages alone don't indicate an outage: this sender's slots, rate limits or CPU may have delayed them. */
     @Test
-    void aLateBacklogGoesOutAtOnceInTheNextLife() throws Exception {
-        earlierBacklog(5, Map.of());
-        script(StubServer.silent());
+    void lateBacklogIsSentAtOnceAfterARestart() throws Exception {
+        writeJournalWithBacklog(5, Map.of());
+        scriptEndpoints(StubServer.silent());
         start();
-        StubServer.await("all calls", () -> calls().stream().map(c -> c.header("X-Call-Id")).distinct().count() == 5);
-        assertEquals(0, ended(), "no call waited for the result of another");
+        StubServer.await("all calls", () -> receivedCalls().stream().map(c -> c.header("X-Call-Id")).distinct().count() == 5);
+        assertEquals(0, endedConnections(), "no call waited for the result of another");
     }
 
     @Test
-    void anOutageThatAnEarlierLifeSawGoesOnWithTrials() throws Exception {
-        earlierBacklog(5, Map.of("s-0", Relay.EndpointState.DOWN, "s-1", Relay.EndpointState.DOWN));
-        script(StubServer.silent());
+    void outageSeenByThePreviousProcessContinuesWithProbes() throws Exception {
+        writeJournalWithBacklog(5, Map.of("s-0", Relay.EndpointState.DOWN, "s-1", Relay.EndpointState.DOWN));
+        scriptEndpoints(StubServer.silent());
         start();
-        StubServer.await("the result of a probe", () -> ended() > 0);
-        assertTrue(calls().size() <= 3, "at most one in flight per endpoint: " + calls().size());
+        StubServer.await("the result of a probe", () -> endedConnections() > 0);
+        assertTrue(receivedCalls().size() <= 3, "at most one in flight per endpoint: " + receivedCalls().size());
     }
 
     @Test
-    void anOutageIsInTheJournal() throws Exception {
+    void outageIsRecordedInTheJournal() throws Exception {
         start();
         for (StubServer endpoint : endpoints) {
             endpoint.close();
         }
-        handIn("one", "order");
-        StubServer.await("the health of both endpoints", () -> journalledHealth().values().stream()
+        submit("one", "order");
+        StubServer.await("the health of both endpoints", () -> journalHealth().values().stream()
                 .filter(h -> h.state() == Relay.EndpointState.DOWN).count() == 2);
     }
 
     @Test
-    void aKeyedAttemptThatWasOutIsRepeatedWithinItsWindow() throws Exception {
-        script(StubServer.silent());
+    void keyedAttemptInFlightIsRetriedWithinItsWindowAfterARestart() throws Exception {
+        scriptEndpoints(StubServer.silent());
         start();
-        handIn("one", "order");
-        StubServer.await("the call", () -> calls().size() == 1);
-        script(StubServer.status(200, ""));
-        killAndStart();
-        StubServer.await("the retry", () -> calls().size() == 2);
-        assertEquals(List.of("one", "one"), calls().stream().map(c -> c.header("X-Call-Id")).toList());
+        submit("one", "order");
+        StubServer.await("the call", () -> receivedCalls().size() == 1);
+        scriptEndpoints(StubServer.status(200, ""));
+        killAndRestart();
+        StubServer.await("the retry", () -> receivedCalls().size() == 2);
+        assertEquals(List.of("one", "one"), receivedCalls().stream().map(c -> c.header("X-Call-Id")).toList());
         assertEquals(List.of("key-one", "key-one"),
-                calls().stream().map(c -> c.header("Idempotency-Key")).toList());
-        awaitNothingHeld();
+                receivedCalls().stream().map(c -> c.header("Idempotency-Key")).toList());
+        awaitEmptyJournal();
     }
 
     @Test
-    void aKeyedAttemptThatWasOutIsNotRepeatedPastItsWindow() throws Exception {
-        earlierLife("order", 21_000, 10_000, false);
+    void keyedAttemptInFlightIsNotRetriedPastItsWindowAfterARestart() throws Exception {
+        writeJournalWithOneMessage("order", 21_000, 10_000, false);
         start();
         awaitNotice("bounced");
-        assertTrue(calls().isEmpty());
+        assertTrue(receivedCalls().isEmpty());
     }
 
     @Test
-    void anUnsafeAttemptThatWasOutIsGivenUp() throws Exception {
-        script(StubServer.silent());
+    void messageWithAnUnsafeAttemptInFlightFailsAfterARestart() throws Exception {
+        scriptEndpoints(StubServer.silent());
         start();
-        handIn("one", "once");
-        StubServer.await("the call", () -> calls().size() == 1);
-        killAndStart();
+        submit("one", "once");
+        StubServer.await("the call", () -> receivedCalls().size() == 1);
+        killAndRestart();
         awaitNotice("dead");
-        assertEquals(1, calls().size());
+        assertEquals(1, receivedCalls().size());
     }
 
     @Test
-    void anUnsafeMessageWhoseAttemptNeverRanIsSentAgain() throws Exception {
-        script(StubServer.status(503, ""));
+    void unsafeMessageWhoseAttemptNeverRanIsSentAgainAfterARestart() throws Exception {
+        scriptEndpoints(StubServer.status(503, ""));
         start();
-        handIn("one", "once");
-        StubServer.await("the rejection is recorded", () -> journalled().get(0).attempts.stream()
+        submit("one", "once");
+        StubServer.await("the rejection is recorded", () -> journalMessages().get(0).attempts.stream()
                 .anyMatch(a -> a.neverRan));
-        script(StubServer.status(200, ""));
-        killAndStart();
-        awaitNothingHeld();
+        scriptEndpoints(StubServer.status(200, ""));
+        killAndRestart();
+        awaitEmptyJournal();
         assertTrue(notices.isEmpty());
     }
 
     @Test
-    void anUnsentMessageGoesOutInTheNextLife() throws Exception {
-        earlierLife("once", 0, 10_000, false);
+    void unsentMessageIsSentAfterARestart() throws Exception {
+        writeJournalWithOneMessage("once", 0, 10_000, false);
         start();
-        awaitNothingHeld();
-        assertEquals(1, calls().size());
+        awaitEmptyJournal();
+        assertEquals(1, receivedCalls().size());
     }
 
     @Test
-    void anOverdueMessageGetsItsNoticeAtOnce() throws Exception {
-        earlierLife("order", 0, -5000, false);
+    void overdueMessageGetsItsNoticeAtOnceAfterARestart() throws Exception {
+        writeJournalWithOneMessage("order", 0, -5000, false);
         start();
         awaitNotice("bounced");
-        assertTrue(calls().isEmpty());
+        assertTrue(receivedCalls().isEmpty());
     }
 
     @Test
-    void anOwedNoticeGoesOutInTheNextLife() throws Exception {
-        earlierLife("order", 0, 10_000, true);
+    void pendingNoticeIsSentAfterARestart() throws Exception {
+        writeJournalWithOneMessage("order", 0, 10_000, true);
         start();
         awaitNotice("{\"ref\":\"old\",\"result\":\"bounced\",\"wait_ms\":700}");
-        assertTrue(calls().isEmpty());
+        assertTrue(receivedCalls().isEmpty());
     }
 
     // ---- configuration reload ----
 
     /** A second agent, whose generations start again at 1; it is used only after a reload. */
-    private StubServer secondAgent(List<String> told) throws IOException {
+    private StubServer secondAgent(List<String> received) throws IOException {
         return new StubServer((request, socket) -> {
             if (request.line().startsWith("POST")) {
-                told.addAll(List.of(request.body().trim().split("\n")));
+                received.addAll(List.of(request.body().trim().split("\n")));
                 StubServer.write(socket, "HTTP/1.1 204 x\r\n\r\n");
             } else if (!request.line().contains("after=")) {
-                String list = list().replace("\"generation\":" + generation(), "\"generation\":1");
+                String list = listJson().replace("\"generation\":" + generation(), "\"generation\":1");
                 StubServer.write(socket, "HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + "\r\n\r\n" + list);
             }
         });
     }
 
     @Test
-    void aNewConfigurationMovesTheWatchAndTheNoticesAtOnce() throws Exception {
-        script(StubServer.status(500, ""));
+    void reloadMovesTheListWatchAndTheNoticesAtOnce() throws Exception {
+        scriptEndpoints(StubServer.status(500, ""));
         reportStatus = 500;
         start();
-        handIn("one", "once");
+        submit("one", "once");
         StubServer.await("the long poll and a failed notice", () -> agent.requests.stream()
                 .anyMatch(r -> r.line().contains("after=")) && agent.requests.stream()
                 .anyMatch(r -> r.line().startsWith("POST")));
-        List<String> told = new CopyOnWriteArrayList<>();
-        StubServer old = agent;
-        try (StubServer fresh = secondAgent(told)) {
-            agent = fresh;
+        List<String> received = new CopyOnWriteArrayList<>();
+        StubServer oldAgent = agent;
+        try (StubServer newAgent = secondAgent(received)) {
+            agent = newAgent;
             config();
             sender.reload(environment());
-            StubServer.await("the notice at the new address", () -> told.size() == 1);
-            StubServer.await("a full list, then a long poll", () -> fresh.requests.stream()
+            StubServer.await("the notice at the new address", () -> received.size() == 1);
+            StubServer.await("a full list, then a long poll", () -> newAgent.requests.stream()
                     .filter(r -> r.line().startsWith("GET")).count() == 2);
-            List<String> asked = fresh.requests.stream().map(StubServer.Message::line)
+            List<String> requests = newAgent.requests.stream().map(StubServer.Message::line)
                     .filter(line -> line.startsWith("GET")).toList();
-            assertEquals("GET /v1/servers HTTP/1.1", asked.get(0));
-            assertTrue(asked.get(1).startsWith("GET /v1/servers?after=1&"), asked.get(1));
-            awaitNothingHeld();
-            script(StubServer.status(200, ""));
-            handIn("two", "order");
-            awaitNothingHeld();
+            assertEquals("GET /v1/servers HTTP/1.1", requests.get(0));
+            assertTrue(requests.get(1).startsWith("GET /v1/servers?after=1&"), requests.get(1));
+            awaitEmptyJournal();
+            scriptEndpoints(StubServer.status(200, ""));
+            submit("two", "order");
+            awaitEmptyJournal();
         } finally {
-            agent = old;
+            agent = oldAgent;
         }
     }
 
     @Test
-    void anUnreadableConfigurationLeavesTheOldOneStanding() throws Exception {
+    void unreadableConfigurationKeepsTheCurrentOne() throws Exception {
         start();
         Files.writeString(folder.resolve("config.json"), "{\"name\":");
         sender.reload(environment());
         Files.writeString(folder.resolve("config.json"), "{}");
         sender.reload(environment());
         String before = generation();
-        states = "SERVING DRAINING";
+        lifecycles = "SERVING DRAINING";
         StubServer.await("the old agent is still asked", () -> !before.equals(generation()) && agent.requests.stream()
                 .anyMatch(r -> r.line().contains("after=" + generation())));
-        handIn("one", "order");
-        awaitNothingHeld();
+        submit("one", "order");
+        awaitEmptyJournal();
     }
 
     /** The environment still has the address from the first start. */
     @Test
-    void theFilesDiscoveryGoesBeforeTheEnvironments() throws Exception {
+    void discoveryAddressInTheFileOverridesTheEnvironment() throws Exception {
         config();
         Map<String, String> stale = new HashMap<>(environment());
         stale.put("GW_DISCOVERY", "127.0.0.1:1");
@@ -1075,8 +1075,8 @@
 
     /** Runs the program as a process: SIGHUP reloads the configuration without ending it; SIGTERM still drains. */
     @Test
-    void theProcessMovesOnSighup() throws Exception {
-        moveOnSighup(process());
+    void processReloadsOnSighup() throws Exception {
+        checkReloadOnSighup(startProcess());
     }
 
     /**
@@ -1084,28 +1084,28 @@
      * must undo that.
      */
     @Test
-    void theProcessMovesOnSighupWhereThatWasIgnoredAtItsStart() throws Exception {
+    void processReloadsOnSighupEvenIfIgnoredAtItsStart() throws Exception {
         String run = Files.readAllLines(Path.of("deploy/balancer.toml")).stream()
                 .filter(line -> line.startsWith("run = ")).findFirst().orElseThrow();
         String java = run.substring(run.indexOf('"') + 1, run.indexOf(" java ")) + " \"$0\" \"$@\"";
-        moveOnSighup(process("sh", "-c", "trap '' HUP; " + java));
+        checkReloadOnSighup(startProcess("sh", "-c", "trap '' HUP; " + java));
     }
 
-    private void moveOnSighup(Process process) throws Exception {
-        List<String> told = new CopyOnWriteArrayList<>();
-        StubServer old = agent;
-        try (StubServer fresh = secondAgent(told)) {
-            agent = fresh;
+    private void checkReloadOnSighup(Process process) throws Exception {
+        List<String> received = new CopyOnWriteArrayList<>();
+        StubServer oldAgent = agent;
+        try (StubServer newAgent = secondAgent(received)) {
+            agent = newAgent;
             config();
             assertEquals(0, new ProcessBuilder("sh", "-c", "kill -HUP " + process.pid()).start().waitFor());
-            StubServer.await("a request to the new agent", () -> !fresh.requests.isEmpty());
-            script(StubServer.status(500, ""));
-            handIn("one", "once");
-            StubServer.await("the notice at the new address", () -> told.size() == 1);
+            StubServer.await("a request to the new agent", () -> !newAgent.requests.isEmpty());
+            scriptEndpoints(StubServer.status(500, ""));
+            submit("one", "once");
+            StubServer.await("the notice at the new address", () -> received.size() == 1);
             process.destroy();
             assertNotEquals(129, process.waitFor());
         } finally {
-            agent = old;
+            agent = oldAgent;
             process.destroyForcibly().waitFor();
         }
     }
@@ -1113,9 +1113,9 @@
     // ---- clients ----
 
     @Test
-    void badInputIsAnsweredAndHarmsNothing() throws Exception {
+    void malformedRequestsAreAnsweredAndHarmNothing() throws Exception {
         start();
-        String good = message("id", "order", "hello");
+        String good = submission("id", "order", "hello");
         Map<String, String> answers = Map.ofEntries(
                 Map.entry("GET /nowhere HTTP/1.1\r\nHost: x\r\n\r\n", "404"),
                 Map.entry("GET / HTTP/1.1\r\nHost: x\r\n\r\n", "404"),
@@ -1135,15 +1135,15 @@
                 Map.entry(good.replace("X-Call-Class: order", "X-Call-Class: once"), "400"),
                 Map.entry(good.replace("Content-Length: 5", "Content-Length: five"), "400"));
         for (Map.Entry<String, String> e : answers.entrySet()) {
-            StubServer.Message answer = ask(client(), e.getKey());
+            StubServer.Message answer = exchange(connect(), e.getKey());
             assertEquals(e.getValue(), answer.line().split(" ")[1], e.getKey());
         }
-        assertTrue(journalled().isEmpty());
-        handIn("good", "order");
+        assertTrue(journalMessages().isEmpty());
+        submit("good", "order");
     }
 
     /** Reads until the connection is closed or reset; fails if that never happens. */
-    private static String untilClosed(Socket socket) throws IOException {
+    private static String readUntilClosed(Socket socket) throws IOException {
         socket.setSoTimeout(30_000);
         try {
             return new String(socket.getInputStream().readAllBytes(), StandardCharsets.ISO_8859_1);
@@ -1153,283 +1153,283 @@
     }
 
     @Test
-    void aRequestOfTwoLengthsIsTurnedAwayWithWhatItHides() throws Exception {
+    void requestWithAnAmbiguousLengthIsRejectedWithWhatItHides() throws Exception {
         start();
-        String hidden = message("hidden", "order", "hello");
+        String hidden = submission("hidden", "order", "hello");
         for (String coding : List.of("chunked", "xchunked", "gzip, chunked", "identity")) {
-            Socket client = client();
-            StubServer.write(client, message("outer", "order", "0\r\n\r\n" + hidden).replace("Host: x\r\n",
+            Socket client = connect();
+            StubServer.write(client, submission("outer", "order", "0\r\n\r\n" + hidden).replace("Host: x\r\n",
                     "Host: x\r\nTransfer-Encoding: " + coding + "\r\n"));
-            String answers = untilClosed(client);
+            String answers = readUntilClosed(client);
             assertTrue(answers.startsWith("HTTP/1.1 400 ") && !answers.contains("202"), coding + ": " + answers);
         }
-        assertTrue(journalled().isEmpty() && calls().isEmpty());
+        assertTrue(journalMessages().isEmpty() && receivedCalls().isEmpty());
     }
 
     @Test
-    void whatNeverBecomesARequestIsClosedBeforeLong() throws Exception {
+    void connectionsWithoutACompleteRequestAreClosedSoon() throws Exception {
         start();
-        String whole = message("half", "order", "hello");
-        Socket silent = client();
-        Socket half = client();
+        String whole = submission("half", "order", "hello");
+        Socket silent = connect();
+        Socket half = connect();
         StubServer.write(half, whole.substring(0, whole.length() - 2));
-        Socket later = client();
-        ask(later, "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n");
+        Socket later = connect();
+        exchange(later, "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n");
         StubServer.write(later, whole.substring(0, 30));
-        Socket behind = client();
-        assertEquals("HTTP/1.1 200 OK", ask(behind, "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n"
+        Socket behind = connect();
+        assertEquals("HTTP/1.1 200 OK", exchange(behind, "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n"
                 + whole.substring(0, 30)).line());
-        Socket endless = client();
+        Socket endless = connect();
         StubServer.write(endless, "GET /healthz HTTP/1.1\r\n" + "X-More: more\r\n".repeat(2000));
-        Socket once = client();
-        assertEquals("HTTP/1.1 200 OK", ask(once, "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n").line());
-        assertEquals("", untilClosed(once), "a connection with one request is not kept forever");
-        assertEquals("", untilClosed(silent));
-        assertTrue(untilClosed(half).startsWith("HTTP/1.1 408 "));
-        assertTrue(untilClosed(later).startsWith("HTTP/1.1 408 "));
-        assertTrue(untilClosed(behind).startsWith("HTTP/1.1 408 "));
-        assertFalse(untilClosed(endless).contains("200"));
-        assertTrue(journalled().isEmpty());
+        Socket once = connect();
+        assertEquals("HTTP/1.1 200 OK", exchange(once, "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n").line());
+        assertEquals("", readUntilClosed(once), "a connection with one request is not kept forever");
+        assertEquals("", readUntilClosed(silent));
+        assertTrue(readUntilClosed(half).startsWith("HTTP/1.1 408 "));
+        assertTrue(readUntilClosed(later).startsWith("HTTP/1.1 408 "));
+        assertTrue(readUntilClosed(behind).startsWith("HTTP/1.1 408 "));
+        assertFalse(readUntilClosed(endless).contains("200"));
+        assertTrue(journalMessages().isEmpty());
     }
 
     @Test
-    void hundredsThatSayNothingKeepNobodyOut() throws Exception {
+    void hundredsOfSilentClientsKeepNobodyOut() throws Exception {
         start();
-        Socket usual = client();
-        assertEquals("202", ask(usual, message("one", "order", "hello")).line().split(" ")[1]);
+        Socket usual = connect();
+        assertEquals("202", exchange(usual, submission("one", "order", "hello")).line().split(" ")[1]);
         for (int i = 0; i < 300; i++) {
-            client();
+            connect();
         }
-        handIn("two", "order");
-        assertEquals("202", ask(usual, message("three", "order", "hello")).line().split(" ")[1],
+        submit("two", "order");
+        assertEquals("202", exchange(usual, submission("three", "order", "hello")).line().split(" ")[1],
                 "a client that sent a request before keeps its connection");
     }
 
     @Test
-    void aDestinationThatNoListNamedIsRefusedAndOneThatIsAwayIsTaken() throws Exception {
+    void unknownDestinationIsRejectedAndADrainingOneAccepted() throws Exception {
         start();
-        String other = message("other", "order", "hello").replace("dest=7", "dest=8");
-        assertEquals("503", ask(client(), other).line().split(" ")[1]);
-        assertTrue(journalled().isEmpty());
-        states = "DRAINING DRAINING";
+        String other = submission("other", "order", "hello").replace("dest=7", "dest=8");
+        assertEquals("503", exchange(connect(), other).line().split(" ")[1]);
+        assertTrue(journalMessages().isEmpty());
+        lifecycles = "DRAINING DRAINING";
         StubServer.await("the list is read", () -> agent.requests.stream()
                 .anyMatch(r -> r.line().contains("after=" + generation())));
-        handIn("away", "order");
-        assertEquals(1, journalled().size());
+        submit("away", "order");
+        assertEquals(1, journalMessages().size());
     }
 
     @Test
-    void aBudgetIsBoundedByItsClassAndLeavesRoomForTimeUnread() throws Exception {
-        script(StubServer.silent());
+    void budgetIsLimitedByItsClassAndReducedByTheTimeUnread() throws Exception {
+        scriptEndpoints(StubServer.silent());
         start();
         long before = System.nanoTime();
-        assertEquals("202", ask(client(), withBudget("one", Long.MAX_VALUE)).line().split(" ")[1]);
-        double leftMs = journalled().get(0).leftMs(MachineClock.system());
+        assertEquals("202", exchange(connect(), withBudget("one", Long.MAX_VALUE)).line().split(" ")[1]);
+        double leftMs = journalMessages().get(0).leftMs(MachineClock.system());
         double passedMs = (System.nanoTime() - before) / 1e6;
         assertTrue(leftMs <= 23_300 && leftMs >= 23_300 - 1 - passedMs, leftMs + " ms");
     }
 
     /** Clients submit messages again with a few milliseconds left, which pass while the request is still unread. */
     @Test
-    void whatMayBeOverByTheTimeItIsReadIsNotTakenOn() throws Exception {
-        script(StubServer.silent());
+    void messageThatMayExpireBeforeItIsReadIsRejected() throws Exception {
+        scriptEndpoints(StubServer.silent());
         start();
-        assertEquals("503", ask(client(), withBudget("late", 399)).line().split(" ")[1]);
-        assertTrue(journalled().isEmpty());
-        assertEquals("202", ask(client(), withBudget("early", 400)).line().split(" ")[1]);
-        assertEquals(List.of("early"), journalled().stream().map(held -> held.id).toList());
+        assertEquals("503", exchange(connect(), withBudget("late", 399)).line().split(" ")[1]);
+        assertTrue(journalMessages().isEmpty());
+        assertEquals("202", exchange(connect(), withBudget("early", 400)).line().split(" ")[1]);
+        assertEquals(List.of("early"), journalMessages().stream().map(held -> held.id).toList());
     }
 
     private static String withBudget(String id, long budgetMs) {
-        return message(id, "order", "hello").replace("X-Budget-Ms: 24000", "X-Budget-Ms: " + budgetMs);
+        return submission(id, "order", "hello").replace("X-Budget-Ms: 24000", "X-Budget-Ms: " + budgetMs);
     }
 
     @Test
-    void anIdThatIsOverIsNotTakenAgain() throws Exception {
+    void finishedIdIsNotAcceptedAgain() throws Exception {
         start();
-        handIn("one", "order");
-        awaitNothingHeld();
-        handIn("one", "order");
-        script(StubServer.status(500, ""));
-        handIn("two", "once");
+        submit("one", "order");
+        awaitEmptyJournal();
+        submit("one", "order");
+        scriptEndpoints(StubServer.status(500, ""));
+        submit("two", "once");
         awaitNotice("{\"ref\":\"two\",\"result\":\"dead\"}");
-        assertEquals("409", ask(client(), message("two", "order", "hello")).line().split(" ")[1]);
-        assertEquals(2, calls().size());
-        assertTrue(journalled().isEmpty());
+        assertEquals("409", exchange(connect(), submission("two", "order", "hello")).line().split(" ")[1]);
+        assertEquals(2, receivedCalls().size());
+        assertTrue(journalMessages().isEmpty());
     }
 
     /** Otherwise a message that was delivered, or may have been, could be delivered again. */
     @Test
-    void anIdThatIsOverIsNotTakenAgainInTheNextLife() throws Exception {
+    void finishedIdIsNotAcceptedAgainAfterARestart() throws Exception {
         start();
-        handIn("one", "once");
-        awaitNothingHeld();
-        script(StubServer.status(500, ""));
-        handIn("two", "once");
+        submit("one", "once");
+        awaitEmptyJournal();
+        scriptEndpoints(StubServer.status(500, ""));
+        submit("two", "once");
         awaitNotice("{\"ref\":\"two\",\"result\":\"dead\"}");
-        killAndStart();
-        handIn("one", "once");
-        assertEquals("409", ask(client(), message("two", "once", "hello")).line().split(" ")[1]);
-        assertEquals(2, calls().size());
+        killAndRestart();
+        submit("one", "once");
+        assertEquals("409", exchange(connect(), submission("two", "once", "hello")).line().split(" ")[1]);
+        assertEquals(2, receivedCalls().size());
     }
 
     @Test
-    void bodiesMayHaveSixtyFourKibAndAnyBytes() throws Exception {
+    void bodiesMayHave64KibAndAnyBytes() throws Exception {
         start();
         StringBuilder any = new StringBuilder();
         for (int i = 0; i < 64 * 1024; i++) {
             any.append((char) (i % 256));
         }
-        assertEquals("202", ask(client(), message("big", "order", any.toString())).line().split(" ")[1]);
-        awaitNothingHeld();
-        assertEquals(any.toString(), calls().get(0).body());
-        String long413 = message("long", "order", any + "x");
-        assertEquals("413", ask(client(), long413).line().split(" ")[1]);
-        assertEquals(1, calls().size());
+        assertEquals("202", exchange(connect(), submission("big", "order", any.toString())).line().split(" ")[1]);
+        awaitEmptyJournal();
+        assertEquals(any.toString(), receivedCalls().get(0).body());
+        String long413 = submission("long", "order", any + "x");
+        assertEquals("413", exchange(connect(), long413).line().split(" ")[1]);
+        assertEquals(1, receivedCalls().size());
     }
 
     @Test
-    void aChunkedBodyInPiecesIsTaken() throws Exception {
+    void chunkedBodyInPiecesIsAccepted() throws Exception {
         start();
-        Socket client = client();
-        for (char c : message("one", "order", "").replace("Content-Length: 0", "Transfer-Encoding: chunked")
+        Socket client = connect();
+        for (char c : submission("one", "order", "").replace("Content-Length: 0", "Transfer-Encoding: chunked")
                 .toCharArray()) {
             StubServer.write(client, String.valueOf(c));
         }
-        assertEquals("202", ask(client, "3\r\nhel\r\n2\r\nlo\r\n0\r\n\r\n").line().split(" ")[1]);
-        awaitNothingHeld();
-        assertEquals("hello", calls().get(0).body());
+        assertEquals("202", exchange(client, "3\r\nhel\r\n2\r\nlo\r\n0\r\n\r\n").line().split(" ")[1]);
+        awaitEmptyJournal();
+        assertEquals("hello", receivedCalls().get(0).body());
     }
 
     @Test
-    void aFullSenderRefuses() throws Exception {
-        script(StubServer.silent());
+    void fullSenderRejectsMessages() throws Exception {
+        scriptEndpoints(StubServer.silent());
         start();
         for (int i = 0; i < MAX_OPEN; i++) {
-            handIn("m" + i, "order");
+            submit("m" + i, "order");
         }
-        assertEquals("503", ask(client(), message("more", "order", "hello")).line().split(" ")[1]);
-        assertEquals(MAX_OPEN, journalled().size());
+        assertEquals("503", exchange(connect(), submission("more", "order", "hello")).line().split(" ")[1]);
+        assertEquals(MAX_OPEN, journalMessages().size());
     }
 
     @Test
-    void theSameIdIsTakenOnce() throws Exception {
-        script(StubServer.silent());
+    void sameIdIsAcceptedOnce() throws Exception {
+        scriptEndpoints(StubServer.silent());
         start();
-        handIn("one", "order");
-        handIn("one", "order");
-        assertEquals(1, journalled().size());
+        submit("one", "order");
+        submit("one", "order");
+        assertEquals(1, journalMessages().size());
     }
 
     @Test
-    void aClientThatGoesBeforeItsRequestIsWholeIsOwedNothing() throws Exception {
+    void incompleteRequestOfADisconnectedClientIsIgnored() throws Exception {
         start();
-        Socket gone = client();
-        String whole = message("gone", "order", "hello");
-        StubServer.write(gone, whole.substring(0, whole.length() - 2));
-        gone.close();
-        handIn("one", "order");
-        awaitNothingHeld();
-        assertEquals(List.of("one"), calls().stream().map(c -> c.header("X-Call-Id")).toList());
+        Socket disconnected = connect();
+        String whole = submission("gone", "order", "hello");
+        StubServer.write(disconnected, whole.substring(0, whole.length() - 2));
+        disconnected.close();
+        submit("one", "order");
+        awaitEmptyJournal();
+        assertEquals(List.of("one"), receivedCalls().stream().map(c -> c.header("X-Call-Id")).toList());
     }
 
     // ---- shutdown ----
 
     @Test
-    void aDrainTakesThenClosesAndLetsCallsOutFinish() throws Exception {
-        script(StubServer.silent());
+    void drainAcceptsThenClosesAndWaitsForCallsInFlight() throws Exception {
+        scriptEndpoints(StubServer.silent());
         start(60_000);
-        Socket kept = client();
-        assertEquals("202", ask(kept, message("one", "once", "hello")).line().split(" ")[1]);
-        StubServer.await("the call", () -> calls().size() == 1);
+        Socket kept = connect();
+        assertEquals("202", exchange(kept, submission("one", "once", "hello")).line().split(" ")[1]);
+        StubServer.await("the call", () -> receivedCalls().size() == 1);
         Thread drain = new Thread(sender::drain);
         drain.start();
         StubServer.await("no new connection is accepted", () -> {
             try {
-                client().close();
+                connect().close();
                 return false;
             } catch (IOException refused) {
                 return true;
             }
         });
-        StubServer.Message last = ask(kept, message("two", "order", "hello"));
+        StubServer.Message last = exchange(kept, submission("two", "order", "hello"));
         assertEquals("202", last.line().split(" ")[1], "a request on a kept connection is still answered");
         assertEquals("close", last.header("Connection"));
         assertEquals(-1, kept.getInputStream().read());
         assertTrue(drain.isAlive(), "calls in flight are waited for");
-        StubServer.await("both calls", () -> calls().size() == 2);
+        StubServer.await("both calls", () -> receivedCalls().size() == 2);
         for (StubServer endpoint : endpoints) {
             endpoint.writeToAll("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
         }
         drain.join();
-        assertTrue(journalled().isEmpty());
+        assertTrue(journalMessages().isEmpty());
     }
 
     @Test
-    void aDrainEndsInTimeAndTheJournalHoldsTheRest() throws Exception {
-        script(StubServer.silent());
+    void drainEndsInTimeAndTheJournalKeepsTheRest() throws Exception {
+        scriptEndpoints(StubServer.silent());
         start();
-        handIn("one", "order");
-        StubServer.await("the call", () -> calls().size() == 1);
+        submit("one", "order");
+        StubServer.await("the call", () -> receivedCalls().size() == 1);
         sender.drain();
-        assertEquals("one", journalled().get(0).id);
-        assertEquals(1, journalled().get(0).attempts.size());
+        assertEquals("one", journalMessages().get(0).id);
+        assertEquals(1, journalMessages().get(0).attempts.size());
     }
 
     /** An outdated list was used for longer than a draining endpoint allows. */
     @Test
-    void theNextLifeAsksTheAgentBeforeItSendsByAnOldList() throws Exception {
-        script(StubServer.silent());
+    void restartedProcessAsksTheAgentBeforeUsingAnOldList() throws Exception {
+        scriptEndpoints(StubServer.silent());
         start();
-        handIn("one", "order");
-        StubServer.await("the call", () -> calls().size() == 1);
+        submit("one", "order");
+        StubServer.await("the call", () -> receivedCalls().size() == 1);
         sender.kill();
-        sender = new Sender(config(), links, Sender.DRAIN_ACCEPT_MS, Sender.DRAIN_TIMEOUT_MS);
-        states = "DRAINING DRAINING";
+        sender = new Sender(config(), handoverAllowed, Sender.DRAIN_ACCEPT_MS, Sender.DRAIN_TIMEOUT_MS);
+        lifecycles = "DRAINING DRAINING";
         address = sender.start();
-        StubServer.await("the list is applied", () -> unchecked(() -> figure("members_unavailable") == 2));
-        assertEquals(1, calls().size());
+        StubServer.await("the list is applied", () -> unchecked(() -> metric("members_unavailable") == 2));
+        assertEquals(1, receivedCalls().size());
     }
 
     /** If a sender may run as one process only, a second process waits until the first has ended. */
     @Test
-    void withoutLinksASecondProcessWaitsForTheEnd() throws Exception {
-        links = false;
-        script(StubServer.silent());
+    void withoutHandoverASecondProcessWaitsForTheFirstToExit() throws Exception {
+        handoverAllowed = false;
+        scriptEndpoints(StubServer.silent());
         start();
         assertFalse(Files.exists(folder.resolve("state/helm.sock")));
-        handIn("one", "order");
-        StubServer.await("the call", () -> calls().size() == 1);
-        before = sender;
+        submit("one", "order");
+        StubServer.await("the call", () -> receivedCalls().size() == 1);
+        predecessor = sender;
         start();
-        assertEquals("NO not serving\n", operator("readyz"));
-        killBefore();
-        StubServer.await("the second process retries", () -> calls().size() == 2);
+        assertEquals("NO not serving\n", operatorCommand("readyz"));
+        killPredecessor();
+        StubServer.await("the second process retries", () -> receivedCalls().size() == 2);
         assertFalse(Files.exists(folder.resolve("state/helm.sock")));
     }
 
     /** Runs the program as a process: SIGKILL loses no message, and SIGTERM lets the process exit by itself. */
     @Test
-    void theProcessOutlivesItsSignals() throws Exception {
-        script(StubServer.silent());
+    void processSurvivesSigkillAndExitsOnSigterm() throws Exception {
+        scriptEndpoints(StubServer.silent());
         config();
-        Process first = process();
-        handIn("one", "order");
-        StubServer.await("the call", () -> calls().size() == 1);
+        Process first = startProcess();
+        submit("one", "order");
+        StubServer.await("the call", () -> receivedCalls().size() == 1);
         first.destroyForcibly().waitFor();
-        script(StubServer.status(200, ""));
-        Process second = process();
-        awaitNothingHeld();
-        assertEquals(2, calls().size());
+        scriptEndpoints(StubServer.status(200, ""));
+        Process second = startProcess();
+        awaitEmptyJournal();
+        assertEquals(2, receivedCalls().size());
         second.destroy();
         assertNotEquals(137, second.waitFor());
         assertFalse(second.isAlive());
     }
 
     /** Starts the program as a process; {@code by} is an optional command that gets the program's as arguments. */
-    private Process process(String... by) throws Exception {
+    private Process startProcess(String... wrapper) throws Exception {
         config();
-        List<String> command = new ArrayList<>(List.of(by));
+        List<String> command = new ArrayList<>(List.of(wrapper));
         command.addAll(List.of(Path.of(System.getProperty("java.home"), "bin/java").toString(), "-cp",
                 System.getProperty("java.class.path"), "kestreldeal.Main", "serve"));
         ProcessBuilder builder = new ProcessBuilder(command);
--- a/src/test/java/kestreldeal/net/StubServer.java
+++ b/src/test/java/kestreldeal/net/StubServer.java
@@ -109,14 +109,14 @@
         }
     }
 
-    private void serve(Socket socket, int number) {
+    private void serve(Socket socket, int connection) {
         try {
             InputStream in = new BufferedInputStream(socket.getInputStream());
-            for (Message m = read(in, number); m != null; m = read(in, number)) {
-                requests.add(m);
-                script.handle(m, socket);
+            for (Message message = read(in, connection); message != null; message = read(in, connection)) {
+                requests.add(message);
+                script.handle(message, socket);
             }
-        } catch (Exception gone) {
+        } catch (Exception disconnected) {
             // The client may disconnect at any time.
         } finally {
             endedConnections.incrementAndGet();
@@ -124,18 +124,18 @@
     }
 
     /** Reads one message whose body has a content length; null at the end of the stream. */
-    static Message read(InputStream in, int number) throws IOException {
+    static Message read(InputStream in, int connection) throws IOException {
         String line = readLine(in);
         if (line == null) {
             return null;
         }
         Map<String, String> headers = new TreeMap<>();
-        for (String h = readLine(in); h != null && !h.isEmpty(); h = readLine(in)) {
-            int cut = h.indexOf(':');
-            headers.put(h.substring(0, cut).toLowerCase(Locale.ROOT), h.substring(cut + 1).trim());
+        for (String header = readLine(in); header != null && !header.isEmpty(); header = readLine(in)) {
+            int colon = header.indexOf(':');
+            headers.put(header.substring(0, colon).toLowerCase(Locale.ROOT), header.substring(colon + 1).trim());
         }
         byte[] body = in.readNBytes(Integer.parseInt(headers.getOrDefault("content-length", "0")));
-        return new Message(line, headers, new String(body, StandardCharsets.ISO_8859_1), number,
+        return new Message(line, headers, new String(body, StandardCharsets.ISO_8859_1), connection,
                 System.nanoTime());
     }
 
@@ -173,11 +173,11 @@
     }
 
     /** Waits until a condition holds, and fails if it does not within 30 seconds. */
-    static void await(String what, BooleanSupplier condition) throws InterruptedException {
-        long end = System.nanoTime() + 30_000_000_000L;
+    static void await(String description, BooleanSupplier condition) throws InterruptedException {
+        long deadlineNanos = System.nanoTime() + 30_000_000_000L;
         while (!condition.getAsBoolean()) {
-            if (System.nanoTime() > end) {
-                throw new AssertionError("timed out waiting for: " + what);
+            if (System.nanoTime() > deadlineNanos) {
+                throw new AssertionError("timed out waiting for: " + description);
             }
             Thread.sleep(2);
         }
