--- a/src/main/java/kestreldeal/net/ClientServer.java
+++ b/src/main/java/kestreldeal/net/ClientServer.java
@@ -53,229 +53,230 @@
 import kestreldeal.InvalidInputException;
 
 /**
- * The client side: checks what is handed in, and answers it. A message is journalled before its 202 is
- * written, and told to the module once that is out; what can't be taken is refused, and bad input is
- * answered without harm to anything else.
+ * The HTTP server that clients submit messages to. It validates requests and answers them. A message is written to the
+ * journal before its 202 response, and passed to the decision module once the response has been written. Messages that
+ * can't be accepted are rejected; malformed requests are answered and affect nothing else.
  *
- * <p>A connection holds a socket, so each has a time limit: a request must be whole so long after its first
- * byte, the first request of a connection so long after connecting, and one between requests is kept for a
- * while only. When there are too many, those that never asked anything make room first.
+ * <p>Each connection takes a file descriptor, so its time is limited: there are timeouts for completing the first
+ * request after connecting, for completing a later request after its first byte, and for being idle. When there are too
+ * many connections, those without any complete request are closed first.
  */
 final class ClientServer {
-    private static final int LONGEST_BODY = 64 * 1024;
-    /** The id goes into the journal and on to endpoints; one that is longer is no id. */
-    private static final int LONGEST_ID = 256;
-    /** From connecting, or from a later request's first byte, until the request is whole. */
-    private static final long REQUEST_MS = 2000;
-    /** A connection between requests is kept for so long, lest those that ask once keep the others out. */
-    private static final long IDLE_MS = 2500;
-    /** The same while clients are sent away, so that none is left long before the four seconds of that are over. */
-    private static final long AWAY_IDLE_MS = 1000;
+    private static final int MAX_BODY_BYTES = 64 * 1024;
+    /** The id is written to the journal and passed on to endpoints, so its length is limited. */
+    private static final int MAX_ID_LENGTH = 256;
+    /** From connecting, or from the first byte of a later request, until the request is complete. */
+    private static final long REQUEST_TIMEOUT_MS = 2000;
+    /** Idle connections are closed after this time, so that clients with a single request don't block others. */
+    private static final long IDLE_TIMEOUT_MS = 2500;
+    /** The same during an evacuation, so that all clients are gone well within the four seconds allowed for it. */
+    private static final long EVACUATION_IDLE_TIMEOUT_MS = 1000;
     /**
-     * From the end of the sending until the close, unless the client closes first: a close over unread bytes resets
-     * the connection, and the last answer could be lost with it.
+     * From the half-close after the last response until the close, unless the client closes first. Closing a socket
+     * with unread bytes resets the connection, and the last response could be lost with it.
      */
-    private static final long LINGER_MS = 500;
-    /** So much is read meanwhile and thrown away: a flood is not read to its end. */
-    private static final int MOST_DISCARDED = LONGEST_BODY;
-    private static final long SWEEP_MS = 200;
-    /** Reads of one connection before the next one's turn. */
-    private static final int READS = 16;
-    /** Pauses before the next accept where one has failed: the first, and the longest of a row of failures. */
-    private static final long FIRST_ACCEPT_PAUSE_MS = 5;
-    private static final long MOST_ACCEPT_PAUSE_MS = 160;
-    /** From one line in the log about that to the next. */
-    private static final long ACCEPT_LINE_MS = 10_000;
-
-    /** What a request asks to be delivered. */
+    private static final long LINGER_TIMEOUT_MS = 500;
+    /** Limit on the bytes that are read and discarded during that time, so that a flood is not read to its end. */
+    private static final int MAX_DISCARDED_BYTES = MAX_BODY_BYTES;
+    private static final long SWEEP_INTERVAL_MS = 200;
+    /** Reads from one connection before the others are served. */
+    private static final int MAX_READS_PER_TURN = 16;
+    /** Pause after a failed accept; it doubles with each further failure, up to the maximum. */
+    private static final long MIN_ACCEPT_PAUSE_MS = 5;
+    private static final long MAX_ACCEPT_PAUSE_MS = 160;
+    /** Minimum time between two log lines about failed accepts. */
+    private static final long ACCEPT_LOG_INTERVAL_MS = 10_000;
+
+    /** A message that a client asks to have delivered. */
     record Submission(String id, String messageClass, String tenant, Optional<String> key, long destination,
                       long budgetMs, byte[] body) {
     }
 
-    /** The sender's side of a request. */
+    /** The part of the sender that accepts or rejects submissions. */
     interface SubmissionHandler {
-        /** Whether messages can be taken now. */
+        /** Whether messages can be accepted now. */
         boolean ready();
 
-        /** Whether the module knows this class; the path names it too. */
+        /** Whether this message class is configured; it is also the path of the request. */
         boolean knowsClass(String name);
 
         boolean knowsTenant(String name);
 
         boolean needsKey(String messageClass);
 
-        /** Whether a list has ever named this destination, be its endpoints away or not. */
+        /** Whether an endpoint list has ever named this destination, even if none of its endpoints is left. */
         boolean knowsDestination(long destination);
 
-        /** Whether another process decides on what is handed in here. */
-        default boolean handsOn() {
+        /** Whether submissions must be forwarded to another process, which decides on them. */
+        default boolean forwardsSubmissions() {
             return false;
         }
 
-        /** Lets the other process answer, a little later. */
-        default void handOn(Submission submission, Consumer<HttpResponseStatus> answer) {
+        /** Forwards a submission; the answer of the other process arrives later. */
+        default void forward(Submission submission, Consumer<HttpResponseStatus> answer) {
         }
 
-        /** How a message with this id was answered before, if one is held, or was until a moment ago. */
-        Optional<HttpResponseStatus> answeredBefore(String id);
+        /** The answer to an earlier submission with this id, if that message is pending or finished recently. */
+        Optional<HttpResponseStatus> previousAnswer(String id);
 
-        /** Journals a message, or refuses it by an empty answer. */
-        Optional<AcceptedMessage> take(Submission submission);
+        /** Writes a message to the journal, or returns empty to reject it. */
+        Optional<AcceptedMessage> accept(Submission submission);
 
-        /** A connection is ended here, for this reason. */
-        default void closes(CloseReason reason) {
+        /** This process closes a connection, for this reason. */
+        default void connectionClosing(CloseReason reason) {
         }
 
-        /** A connection is ended here though a request on it was read and has no answer. */
-        default void leavesUnanswered(CloseReason reason) {
+        /** This process closes a connection although a request read from it has no answer. */
+        default void requestLeftUnanswered(CloseReason reason) {
         }
 
-        /** A message of this class is refused before it was taken. */
-        default void turnedAway(String messageClass) {
+        /** A submission of this class was rejected. */
+        default void submissionRejected(String messageClass) {
         }
 
-        /** The client has heard that it was taken, or never will. */
-        void answered(AcceptedMessage held, boolean heard);
+        /** The 202 response for an accepted message was written, or writing it failed. */
+        void responseWritten(AcceptedMessage message, boolean success);
     }
 
     private final EventLoop loop;
-    private final SubmissionHandler desk;
-    private final FileDescriptors descriptors;
-    private final ClientConnectionLimit bound;
-    /** The connections in each state, those that are in it longest first. */
-    private final Map<State, Set<Client>> clients = new EnumMap<>(State.class);
+    private final SubmissionHandler handler;
+    private final FileDescriptors fileDescriptors;
+    private final ClientConnectionLimit connectionLimit;
+    /** The connections in each state, ordered by the time when they entered it. */
+    private final Map<State, Set<ClientConnection>> connectionsByState = new EnumMap<>(State.class);
     private final ServerBootstrap bootstrap;
     private boolean closing;
-    /** Clients are sent away, but what they hand in all the same is taken. */
-    private boolean away;
-    /** Another process has taken over, or is about to. */
-    private boolean leaving;
+    /** Whether clients are being evacuated; messages that they submit nevertheless are still accepted. */
+    private boolean evacuating;
+    /** Whether another process has taken over, or is about to. */
+    private boolean handedOver;
 
-    ClientServer(EventLoop loop, int mostClients, SubmissionHandler desk) {
-        this(loop, mostClients, desk, NioServerSocketChannel::new, FileDescriptors.system());
+    ClientServer(EventLoop loop, int maxClients, SubmissionHandler handler) {
+        this(loop, maxClients, handler, NioServerSocketChannel::new, FileDescriptors.system());
     }
 
-    /** The same with a way of its own to make the channel that listens, whose accepts may fail. */
-    ClientServer(EventLoop loop, int mostClients, SubmissionHandler desk,
-            ChannelFactory<NioServerSocketChannel> listeners, FileDescriptors descriptors) {
+    /** Creates a server with another factory for the listening channel; tests use one whose accepts fail. */
+    ClientServer(EventLoop loop, int maxClients, SubmissionHandler handler,
+            ChannelFactory<NioServerSocketChannel> listenerFactory, FileDescriptors fileDescriptors) {
         this.loop = loop;
-        this.descriptors = descriptors;
-        this.desk = desk;
-        this.bound = new ClientConnectionLimit(mostClients);
+        this.fileDescriptors = fileDescriptors;
+        this.handler = handler;
+        this.connectionLimit = new ClientConnectionLimit(maxClients);
         for (State state : State.values()) {
-            clients.put(state, new LinkedHashSet<>());
+            connectionsByState.put(state, new LinkedHashSet<>());
         }
         bootstrap = new ServerBootstrap().group(loop, loop)
-                .channelFactory(listeners)
+                .channelFactory(listenerFactory)
                 .handler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
-                        // One for each attempt to listen.
-                        channel.pipeline().addLast(new AcceptFailures());
+                        // A new one for each attempt to bind.
+                        channel.pipeline().addLast(new AcceptFailureHandler());
                     }
                 })
                 .option(ChannelOption.SO_BACKLOG, 512)
                 .option(ChannelOption.SO_REUSEADDR, true)
                 .option(NioChannelOption.of(StandardSocketOptions.SO_REUSEPORT), true)
                 .childOption(ChannelOption.TCP_NODELAY, true)
-                // Reads until nothing is left, so that a close behind a request is seen with it.
+                // Reads until the socket is empty, so that a close right after a request is noticed with it.
                 .childOption(ChannelOption.RECVBUF_ALLOCATOR,
-                        new AdaptiveRecvByteBufAllocator().respectMaybeMoreData(false).maxMessagesPerRead(READS))
+                        new AdaptiveRecvByteBufAllocator().respectMaybeMoreData(false).maxMessagesPerRead(MAX_READS_PER_TURN))
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
-                        Client client = new Client(channel);
-                        channel.pipeline().addLast(client.requests, new HttpResponseEncoder(), new Framing(),
-                                new Bodies(client), client);
+                        ClientConnection connection = new ClientConnection(channel);
+                        channel.pipeline().addLast(connection.decoder, new HttpResponseEncoder(), new BodyLengthCheck(),
+                                new BodyAggregator(connection), connection);
                     }
                 });
-        loop.scheduleWithFixedDelay(this::sweep, SWEEP_MS, SWEEP_MS, TimeUnit.MILLISECONDS);
+        loop.scheduleWithFixedDelay(this::closeTimedOut, SWEEP_INTERVAL_MS, SWEEP_INTERVAL_MS, TimeUnit.MILLISECONDS);
     }
 
-    /** Begins to listen, beside another process that does so at the same address. */
+    /** Binds to the address; another process may be bound to it at the same time. */
     ChannelFuture listen(InetSocketAddress address) {
         return bootstrap.bind(address);
     }
 
     /**
-     * Ends each connection that stands with the answer to its next request. None is closed between requests: one that
-     * is on its way to it would be ended without an answer.
+     * Closes each open connection with the response to its next request. No connection is closed between requests: a
+     * request that is already on its way would get no answer.
      */
-    void close() {
+    void closeAfterNextResponse() {
         closing = true;
     }
 
     /**
-     * Lets go of all clients: this process ends. Nothing more is taken, since the process could be gone before the
-     * answer is out: what was read is answered so, and a client hands in again what crosses the end of the sending.
-     * The connections close as their clients do, or a little later.
+     * Closes all client connections because this process is about to exit. No further message is accepted, since the
+     * process could exit before the response is written. Requests already read are answered with 503, and clients
+     * submit again what crosses the half-close. The connections close when their clients close them, or soon after.
      */
-    void shut() {
-        clients.values().stream().flatMap(Set::stream).toList().forEach(Client::letGo);
+    void shutDown() {
+        connectionsByState.values().stream().flatMap(Set::stream).toList().forEach(ClientConnection::shutDown);
     }
 
     /**
-     * Sends the clients away, or takes them back. The front hears of it from {@code /healthz}, for which the
-     * listener stays open; a client by the answer that ends its connection. Only what was idle for long is closed
-     * without one: a request that crosses such a close is sent again, at the price of a connection.
+     * Starts or ends an evacuation of the clients. The front-end proxy learns of it from {@code /healthz}, for
+     * which the listener stays open; a client learns of it from the response that closes its connection. Only
+     * connections that were idle for a while are closed without a response: the client must repeat a request that
+     * crosses such a close, on a new connection.
      */
-    void evacuate(boolean clientsAway) {
-        away = clientsAway;
+    void evacuate(boolean start) {
+        evacuating = start;
     }
 
     /**
-     * Another process takes clients from now on: each connection here ends with its next answer, and none waits for
-     * long.
+     * Another process accepts clients from now on: each connection here is closed with its next response, and idle ones
+     * time out.
      */
     void handOver() {
-        leaving = true;
-        away = false;
+        handedOver = true;
+        evacuating = false;
     }
 
-    /** Another process shares the descriptors, or does not any more. */
-    void bound(int most) {
-        bound.set(most);
+    /** Sets the limit on client connections; it is lower while another process shares the descriptors. */
+    void setConnectionLimit(int limit) {
+        connectionLimit.setConfigured(limit);
     }
 
-    /** Connections on which a request has come in part. */
-    long begun() {
-        return clients.values().stream().flatMap(Set::stream).filter(c -> c.begun).count();
+    /** The number of connections on which a part of a request has arrived. */
+    long partialRequests() {
+        return connectionsByState.values().stream().flatMap(Set::stream).filter(connection -> connection.requestStarted).count();
     }
 
-    /** Connections that clients have open. */
-    int clients() {
-        return clients.values().stream().mapToInt(Set::size).sum();
+    /** The number of open client connections. */
+    int connectionCount() {
+        return connectionsByState.values().stream().mapToInt(Set::size).sum();
     }
 
     /**
-     * The last descriptor is a client's: calls, the agent and the journal have none left. The bound was too high for
-     * what this process holds beside its clients, so it is lower for a while.
+     * Closes idle connections because this process has no free descriptor for calls, the agent and the journal. The
+     * connection limit was too high for what this process has open besides, so it is lowered for a while.
      *
-     * @return whether any client could be sent away without breaking off a request
+     * @return whether any connection could be closed without interrupting a request
      */
-    private boolean leaveSpare() {
-        long now = System.nanoTime();
-        bound.lower(clients(), now);
-        List<Client> idle = withoutLaterRequest().limit(ClientConnectionLimit.SPARE).toList();
-        idle.forEach(Client::makeRoom);
-        Log.write("no descriptor is left; " + idle.size() + " idle clients are sent away, " + bound.most(now)
-                + " may stay for now");
+    private boolean freeDescriptors() {
+        long nowNanos = System.nanoTime();
+        connectionLimit.lower(connectionCount(), nowNanos);
+        List<ClientConnection> idle = evictionCandidates().limit(ClientConnectionLimit.SPARE_DESCRIPTORS).toList();
+        idle.forEach(ClientConnection::evict);
+        Log.write("out of file descriptors; closing " + idle.size() + " idle client connections and limiting them to "
+                + connectionLimit.current(nowNanos) + " for now");
         return !idle.isEmpty();
     }
 
-    /** Those that can make room for others, the least in need of their connection first. */
-    private Stream<Client> withoutLaterRequest() {
-        return clients.entrySet().stream().filter(e -> e.getKey() != State.ASKING).flatMap(e -> e.getValue().stream());
+    /** Connections that may be closed to make room for others, in the order in which to close them. */
+    private Stream<ClientConnection> evictionCandidates() {
+        return connectionsByState.entrySet().stream().filter(e -> e.getKey() != State.IN_REQUEST).flatMap(e -> e.getValue().stream());
     }
 
-    /** Told where a connection can't be accepted. */
-    private final class AcceptFailures extends ChannelInboundHandlerAdapter {
-        private long pauseMs = FIRST_ACCEPT_PAUSE_MS;
-        private long loggedNanos = System.nanoTime() - TimeUnit.MILLISECONDS.toNanos(ACCEPT_LINE_MS);
+    /** Handles failures to accept a connection. */
+    private final class AcceptFailureHandler extends ChannelInboundHandlerAdapter {
+        private long pauseMs = MIN_ACCEPT_PAUSE_MS;
+        private long lastLogNanos = System.nanoTime() - TimeUnit.MILLISECONDS.toNanos(ACCEPT_LOG_INTERVAL_MS);
 
         @Override
         public void channelRead(ChannelHandlerContext ctx, Object accepted) {
-            pauseMs = FIRST_ACCEPT_PAUSE_MS;
+            pauseMs = MIN_ACCEPT_PAUSE_MS;
             ctx.fireChannelRead(accepted);
         }
 
@@ -283,114 +284,115 @@
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
             if (!(cause instanceof IOException)) {
                 ctx.fireExceptionCaught(cause);
-            } else if (descriptors.anyLeft() || !leaveSpare()) {
-                pause(ctx.channel());
+            } else if (fileDescriptors.available() || !freeDescriptors()) {
+                pauseAccepting(ctx.channel());
             }
         }
 
-        /** Lest the loop spin. Netty itself would stop accepting for a second. */
-        private void pause(Channel listening) {
-            long now = System.nanoTime();
-            if (now - loggedNanos >= TimeUnit.MILLISECONDS.toNanos(ACCEPT_LINE_MS)) {
-                loggedNanos = now;
-                Log.write("the machine can't accept a connection just now; it is tried again");
+        /** Stops accepting for a short time, to avoid a busy loop. Netty's own handler would pause for a second. */
+        private void pauseAccepting(Channel listener) {
+            long nowNanos = System.nanoTime();
+            if (nowNanos - lastLogNanos >= TimeUnit.MILLISECONDS.toNanos(ACCEPT_LOG_INTERVAL_MS)) {
+                lastLogNanos = nowNanos;
+                Log.write("can't accept client connections at the moment; retrying");
             }
-            listening.config().setAutoRead(false);
+            listener.config().setAutoRead(false);
             loop.schedule(() -> {
-                listening.config().setAutoRead(true);
+                listener.config().setAutoRead(true);
             }, pauseMs, TimeUnit.MILLISECONDS);
-            pauseMs = Math.min(MOST_ACCEPT_PAUSE_MS, 2 * pauseMs);
+            pauseMs = Math.min(MAX_ACCEPT_PAUSE_MS, 2 * pauseMs);
         }
     }
 
-    private void sweep() {
-        long now = System.nanoTime();
-        clients.forEach((state, members) -> {
+    private void closeTimedOut() {
+        long nowNanos = System.nanoTime();
+        connectionsByState.forEach((state, connections) -> {
             long limitMs = switch (state) {
-                case ENDING -> LINGER_MS;
-                case SILENT, ASKING -> REQUEST_MS;
-                case IDLE -> closing ? Long.MAX_VALUE : away ? AWAY_IDLE_MS : IDLE_MS;
+                case CLOSING -> LINGER_TIMEOUT_MS;
+                case NEW, IN_REQUEST -> REQUEST_TIMEOUT_MS;
+                case IDLE -> closing ? Long.MAX_VALUE : evacuating ? EVACUATION_IDLE_TIMEOUT_MS : IDLE_TIMEOUT_MS;
             };
-            members.stream().takeWhile(c -> TimeUnit.NANOSECONDS.toMillis(now - c.since) >= limitMs).toList()
-                    .forEach(Client::outOfTime);
+            connections.stream().takeWhile(c -> TimeUnit.NANOSECONDS.toMillis(nowNanos - c.stateEnteredNanos) >= limitMs).toList()
+                    .forEach(ClientConnection::timeOut);
         });
     }
 
     /** Why this process ends a client's connection. */
     enum CloseReason {
-        /** Another client needs its place. */
+        /** Closed to make room for another client. */
         MAKES_ROOM,
-        /** Nothing came on it. */
+        /** The client sent nothing. */
         SILENT,
-        /** A request did not come whole in time. */
+        /** A request was not complete in time. */
         REQUEST_TIMEOUT,
-        /** Nothing was asked on it for long. */
+        /** No request arrived for a while. */
         IDLE,
-        /** Its last request is answered. */
+        /** The response to its last request was written. */
         LAST_ANSWER,
-        /** This process ends. */
+        /** This process is stopping. */
         SHUTDOWN,
-        /** The client did not end it in the time for that. */
+        /** The client did not close it in time after the half-close. */
         LINGERED
     }
 
-    /** What a connection is at, in the order in which they make room for others. */
+    /** State of a connection, in the order in which connections are closed to make room for others. */
     private enum State {
-        /** The last answer is on its way, or there is none; what still comes is thrown away. */
-        ENDING,
-        /** Nothing was asked yet, or only in part. */
-        SILENT,
-        /** Between requests. */
+        /** The last response is being written, or none is due; further input is discarded. */
+        CLOSING,
+        /** No complete request has arrived yet. */
+        NEW,
+        /** Waiting for the next request. */
         IDLE,
-        /** A later request has come in part. */
-        ASKING
+        /** A later request has arrived in part, or a request is waiting for its answer. */
+        IN_REQUEST
     }
 
     /**
-     * Netty's decoder, which tells of first bytes and of what lies behind a whole request. That waits for its answer
-     * before it is decoded, and is not read without end: else a client that sends much at once holds up all others.
+     * Netty's request decoder, extended to report first bytes and to decode one request at a time. Bytes after a
+     * complete request are decoded only once that request is answered, and only a limited number is buffered: otherwise
+     * a client that sends many requests at once would delay all others.
      */
-    private static final class Requests extends HttpRequestDecoder {
-        private final Client client;
+    private static final class SequentialRequestDecoder extends HttpRequestDecoder {
+        private final ClientConnection connection;
         private final Deque<ByteBuf> backlog = new ArrayDeque<>();
         private int backlogBytes;
-        /** It can't go on without more bytes than it has taken so far. */
-        private boolean starved = true;
+        /** Whether decoding can't continue with the bytes that the decoder has buffered itself. */
+        private boolean needsInput = true;
 
-        Requests(Client client) {
-            this.client = client;
+        SequentialRequestDecoder(ClientConnection connection) {
+            this.connection = connection;
             setSingleDecode(true);
         }
 
         @Override
-        public void channelRead(ChannelHandlerContext ctx, Object read) throws Exception {
-            ByteBuf bytes = (ByteBuf) read;
-            if (client.state == State.ENDING) {
-                client.discard(bytes);
+        public void channelRead(ChannelHandlerContext ctx, Object data) throws Exception {
+            ByteBuf bytes = (ByteBuf) data;
+            if (connection.state == State.CLOSING) {
+                connection.discard(bytes);
                 return;
             }
-            client.begun();
+            connection.bytesReceived();
             backlog.add(bytes);
             backlogBytes += bytes.readableBytes();
             decodeNext(ctx);
         }
 
-        /** Decodes up to the next whole request, once the one before is answered. */
+        /** Decodes up to the next complete request, unless the one before still waits for its answer. */
         private void decodeNext(ChannelHandlerContext ctx) throws Exception {
-            while (client.takesNext() && !(starved && backlog.isEmpty())) {
-                ByteBuf next = starved ? backlog.remove() : Unpooled.EMPTY_BUFFER;
-                backlogBytes -= next.readableBytes();
-                int before = actualReadableBytes() + next.readableBytes();
-                super.channelRead(ctx, next);
-                starved = actualReadableBytes() == 0 || actualReadableBytes() == before;
+            while (connection.canDecodeNext() && !(needsInput && backlog.isEmpty())) {
+                ByteBuf input = needsInput ? backlog.remove() : Unpooled.EMPTY_BUFFER;
+                backlogBytes -= input.readableBytes();
+                int bytesBefore = actualReadableBytes() + input.readableBytes();
+                super.channelRead(ctx, input);
+                needsInput = actualReadableBytes() == 0 || actualReadableBytes() == bytesBefore;
             }
-            client.updateAutoRead();
+            connection.updateAutoRead();
         }
 
-        /** Goes on behind an answer, but lets all else that has come have its turn first. */
-        void answered() {
-            ChannelHandlerContext ctx = client.channel.pipeline().context(this);
-            if (ctx == null || !holdsMore()) {
+        /** Resumes decoding after a response, but only after other pending events have been processed. */
+        void decodeNextLater() {
+            ChannelHandlerContext ctx = connection.channel.pipeline().context(this);
+            if (ctx == null || !hasMoreInput()) {
                 return;
             }
             ctx.channel().eventLoop().schedule(() -> {
@@ -408,276 +410,279 @@
             backlog.clear();
         }
 
-        /** Left as it is: {@link Framing} turns such a request away. */
+        /** Leaves such a request unchanged, because {@link BodyLengthCheck} rejects it. */
         @Override
         protected void handleTransferEncodingChunkedWithContentLength(HttpMessage message) {
         }
 
-        boolean holdsMore() {
+        boolean hasMoreInput() {
             return actualReadableBytes() > 0 || !backlog.isEmpty();
         }
     }
 
     /**
-     * Turns away a request whose length can be read in two ways, or in none: what one reader takes for its
-     * body may be another request to the next reader.
+     * Rejects requests whose body length is ambiguous or undefined, to prevent request smuggling: what one server takes
+     * for the body may be another request to the next server.
      */
-    private static final class Framing extends ChannelInboundHandlerAdapter {
+    private static final class BodyLengthCheck extends ChannelInboundHandlerAdapter {
         @Override
-        public void channelRead(ChannelHandlerContext ctx, Object part) {
-            if (part instanceof HttpRequest request) {
-                List<String> codings = request.headers().getAll(HttpHeaderNames.TRANSFER_ENCODING);
-                boolean plain = codings.isEmpty() || codings.size() == 1
-                        && codings.get(0).equalsIgnoreCase(HttpHeaderValues.CHUNKED.toString())
+        public void channelRead(ChannelHandlerContext ctx, Object message) {
+            if (message instanceof HttpRequest request) {
+                List<String> transferEncodings = request.headers().getAll(HttpHeaderNames.TRANSFER_ENCODING);
+                boolean unambiguous = transferEncodings.isEmpty() || transferEncodings.size() == 1
+                        && transferEncodings.get(0).equalsIgnoreCase(HttpHeaderValues.CHUNKED.toString())
                         && request.protocolVersion().equals(HttpVersion.HTTP_1_1)
                         && !request.headers().contains(HttpHeaderNames.CONTENT_LENGTH);
-                if (!plain && request.decoderResult().isSuccess()) {
+                if (!unambiguous && request.decoderResult().isSuccess()) {
                     request.setDecoderResult(
-                            DecoderResult.failure(new InvalidInputException("the length is not clear")));
+                            DecoderResult.failure(new InvalidInputException("the body length is ambiguous")));
                 }
             }
-            ctx.fireChannelRead(part);
+            ctx.fireChannelRead(message);
         }
     }
 
-    /** Collects bodies; a longer one is answered 413, and what the client still sends is not read. */
-    private static final class Bodies extends HttpObjectAggregator {
-        private final Client client;
+    /** Collects request bodies; a body over the limit is answered with 413, and the rest of it is not read. */
+    private static final class BodyAggregator extends HttpObjectAggregator {
+        private final ClientConnection connection;
 
-        Bodies(Client client) {
-            super(LONGEST_BODY);
-            this.client = client;
+        BodyAggregator(ClientConnection connection) {
+            super(MAX_BODY_BYTES);
+            this.connection = connection;
         }
 
         @Override
         protected void handleOversizedMessage(ChannelHandlerContext ctx, HttpMessage oversized) {
-            client.last(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "body over 64 KiB");
+            connection.respondAndClose(HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE, "body over 64 KiB");
         }
     }
 
-    /** One connection of a client. */
-    private final class Client extends SimpleChannelInboundHandler<FullHttpRequest> {
+    /** One client connection. */
+    private final class ClientConnection extends SimpleChannelInboundHandler<FullHttpRequest> {
         private final Channel channel;
-        private final Requests requests = new Requests(this);
-        private State state = State.SILENT;
-        /** When the state began. */
-        private long since = System.nanoTime();
-        /** A first byte has come of the request that is awaited. */
-        private boolean begun;
-        /** Whole requests that were read and wait for {@link #take}. */
-        private int unanswered;
-        /** Bytes that came once its end had begun. */
-        private int discarded;
-
-        Client(Channel channel) {
+        private final SequentialRequestDecoder decoder = new SequentialRequestDecoder(this);
+        private State state = State.NEW;
+        /** When the connection entered its state, by {@link System#nanoTime}. */
+        private long stateEnteredNanos = System.nanoTime();
+        /** Whether the first bytes of the next request have arrived. */
+        private boolean requestStarted;
+        /** Complete requests that wait for {@link #handleRequest}. */
+        private int unansweredRequests;
+        /** Bytes that arrived while the connection was being closed. */
+        private int discardedBytes;
+
+        ClientConnection(Channel channel) {
             this.channel = channel;
         }
 
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
-            clients.get(state).add(this);
-            if (clients() > bound.most(System.nanoTime())) {
-                withoutLaterRequest().filter(c -> c != this).findFirst().orElse(this).makeRoom();
+            connectionsByState.get(state).add(this);
+            if (connectionCount() > connectionLimit.current(System.nanoTime())) {
+                evictionCandidates().filter(c -> c != this).findFirst().orElse(this).evict();
             }
         }
 
-        /** Gone at once: of a crowd that connects in one turn each must find another to take the place of. */
-        private void makeRoom() {
-            closes(CloseReason.MAKES_ROOM);
-            clients.get(state).remove(this);
-            if (state == State.SILENT && begun) {
-                channel.writeAndFlush(answer(HttpResponseStatus.SERVICE_UNAVAILABLE, "too many clients"));
+        /**
+         * Closes this connection in favour of another. It is removed from the map at once, so that several clients that
+         * connect in one turn of the event loop each replace a different connection.
+         */
+        private void evict() {
+            reportClose(CloseReason.MAKES_ROOM);
+            connectionsByState.get(state).remove(this);
+            if (state == State.NEW && requestStarted) {
+                channel.writeAndFlush(response(HttpResponseStatus.SERVICE_UNAVAILABLE, "too many clients"));
             }
             channel.close();
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
-            clients.get(state).remove(this);
+            connectionsByState.get(state).remove(this);
         }
 
-        private void enter(State next) {
-            if (clients.get(state).remove(this)) {
-                clients.get(next).add(this);
+        private void enterState(State next) {
+            if (connectionsByState.get(state).remove(this)) {
+                connectionsByState.get(next).add(this);
             }
             state = next;
-            since = System.nanoTime();
+            stateEnteredNanos = System.nanoTime();
         }
 
-        /** Bytes have come: the time of a request runs from its first. */
-        private void begun() {
-            begun = true;
+        /** Bytes have arrived; the timeout of a request starts with its first byte. */
+        private void bytesReceived() {
+            requestStarted = true;
             if (state == State.IDLE) {
-                enter(State.ASKING);
+                enterState(State.IN_REQUEST);
             }
         }
 
-        private void outOfTime() {
-            if (state == State.ENDING || state == State.SILENT && !begun) {
-                closes(state == State.ENDING ? CloseReason.LINGERED : CloseReason.SILENT);
+        private void timeOut() {
+            if (state == State.CLOSING || state == State.NEW && !requestStarted) {
+                reportClose(state == State.CLOSING ? CloseReason.LINGERED : CloseReason.SILENT);
                 channel.close();
-            } else if (begun) {
-                closes(CloseReason.REQUEST_TIMEOUT);
-                last(HttpResponseStatus.REQUEST_TIMEOUT, "the request did not come in time");
+            } else if (requestStarted) {
+                reportClose(CloseReason.REQUEST_TIMEOUT);
+                respondAndClose(HttpResponseStatus.REQUEST_TIMEOUT, "the request did not come in time");
             } else {
-                closes(CloseReason.IDLE);
+                reportClose(CloseReason.IDLE);
                 halfClose();
             }
         }
 
-        private void closes(CloseReason reason) {
-            desk.closes(reason);
-            if (unanswered > 0 && state != State.ENDING) {
-                desk.leavesUnanswered(reason);
+        private void reportClose(CloseReason reason) {
+            handler.connectionClosing(reason);
+            if (unansweredRequests > 0 && state != State.CLOSING) {
+                handler.requestLeftUnanswered(reason);
             }
         }
 
-        private void letGo() {
-            if (state == State.ENDING) {
+        private void shutDown() {
+            if (state == State.CLOSING) {
                 return;
             }
-            desk.closes(CloseReason.SHUTDOWN);
-            if (begun || unanswered > 0) {
-                last(HttpResponseStatus.SERVICE_UNAVAILABLE, "the sender ends");
+            handler.connectionClosing(CloseReason.SHUTDOWN);
+            if (requestStarted || unansweredRequests > 0) {
+                respondAndClose(HttpResponseStatus.SERVICE_UNAVAILABLE, "the sender ends");
             } else {
                 halfClose();
             }
         }
 
-        /** Answers what was not read to its end, or is not taken any more, and ends. */
-        private void last(HttpResponseStatus status, String text) {
-            endWith(answer(status, text));
+        /** Answers a request that is incomplete, malformed or too late to be accepted, and closes the connection. */
+        private void respondAndClose(HttpResponseStatus status, String text) {
+            writeLastResponse(response(status, text));
         }
 
-        /** Ends the sending; the client's end, or a little time, closes the connection. */
+        /** Shuts the output down; the connection is closed when the client closes it, or after a timeout. */
         private void halfClose() {
-            enter(State.ENDING);
+            enterState(State.CLOSING);
             ((DuplexChannel) channel).shutdownOutput();
         }
 
         private void discard(ByteBuf bytes) {
-            discarded += bytes.readableBytes();
+            discardedBytes += bytes.readableBytes();
             bytes.release();
             updateAutoRead();
         }
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
-            if (state == State.ENDING) {
-                // What lies behind the last request may have been hidden in its body.
+            if (state == State.CLOSING) {
+                // What follows the last request may be a part of its body, so it is not taken for a request.
                 return;
             }
-            begun = requests.holdsMore();
-            // Not to make room for others before it is answered.
-            enter(State.ASKING);
-            unanswered++;
+            requestStarted = decoder.hasMoreInput();
+            // In this state the connection is not closed to make room for others before the answer.
+            enterState(State.IN_REQUEST);
+            unansweredRequests++;
             request.retain();
             loop.execute(() -> {
-                unanswered--;
+                unansweredRequests--;
                 try {
-                    take(request);
+                    handleRequest(request);
                 } finally {
                     request.release();
-                    requests.answered();
+                    decoder.decodeNextLater();
                 }
             });
         }
 
-        private boolean takesNext() {
-            return unanswered == 0 && state != State.ENDING;
+        private boolean canDecodeNext() {
+            return unansweredRequests == 0 && state != State.CLOSING;
         }
 
-        /** A client that does not read its answers is not read either, nor one that is far ahead of them. */
+        /** Applies backpressure: stops reading if the client does not read its responses or sends too far ahead. */
         private void updateAutoRead() {
-            boolean reads = state == State.ENDING ? discarded < MOST_DISCARDED
-                    : channel.isWritable() && requests.backlogBytes <= LONGEST_BODY;
+            boolean reads = state == State.CLOSING ? discardedBytes < MAX_DISCARDED_BYTES
+                    : channel.isWritable() && decoder.backlogBytes <= MAX_BODY_BYTES;
             channel.config().setAutoRead(reads);
         }
 
         /**
-         * Answers a request once its connection was read to the end, unless its client has left meanwhile: that
-         * one has given up waiting and hands its message in again, under another id. Guards against a jam that
-         * feeds itself: whatever makes requests stand unread, each would cost all the work of a delivery that
-         * counts for nothing, and come again. It does harm to a client that ends its sending and still waits
-         * for the answer, which HTTP clients don't do.
+         * Answers a request after all input of its connection has been read, unless the client has disconnected in the
+         * meantime. Such a client has stopped waiting and submits its message again under another id. Skipping its
+         * request prevents a congestion collapse: whatever delays the reading of requests, each of them would otherwise
+         * cost a whole delivery that counts for nothing, and be submitted again. The drawback is that a client that
+         * half-closes its connection and still waits for the response gets none, but HTTP clients don't do that.
          */
-        private void take(FullHttpRequest request) {
-            if (state == State.ENDING || !channel.isActive()) {
+        private void handleRequest(FullHttpRequest request) {
+            if (state == State.CLOSING || !channel.isActive()) {
                 return;
             }
-            enter(begun ? State.ASKING : State.IDLE);
+            enterState(requestStarted ? State.IN_REQUEST : State.IDLE);
             String path = request.uri().split("\\?", 2)[0];
             if (request.decoderResult().isFailure()) {
-                last(HttpResponseStatus.BAD_REQUEST, "not HTTP");
+                respondAndClose(HttpResponseStatus.BAD_REQUEST, "not HTTP");
             } else if (path.equals("/healthz")) {
-                end(request, desk.ready() && !away ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE, "");
-            } else if (!desk.knowsClass(path.split("/", 3).length > 1 ? path.split("/", 3)[1] : "")) {
-                end(request, HttpResponseStatus.NOT_FOUND, "no such path");
+                respond(request, handler.ready() && !evacuating ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE, "");
+            } else if (!handler.knowsClass(path.split("/", 3).length > 1 ? path.split("/", 3)[1] : "")) {
+                respond(request, HttpResponseStatus.NOT_FOUND, "no such path");
             } else if (!request.method().equals(HttpMethod.POST)) {
-                end(request, HttpResponseStatus.METHOD_NOT_ALLOWED, "messages are handed in by POST");
+                respond(request, HttpResponseStatus.METHOD_NOT_ALLOWED, "messages are handed in by POST");
             } else {
-                handIn(request, path);
+                submit(request, path);
             }
         }
 
-        private void handIn(FullHttpRequest request, String path) {
+        private void submit(FullHttpRequest request, String path) {
             Submission submission;
             try {
-                submission = read(request, path.split("/", 3)[1]);
-            } catch (InvalidInputException bad) {
-                end(request, HttpResponseStatus.BAD_REQUEST, bad.getMessage());
+                submission = parseSubmission(request, path.split("/", 3)[1]);
+            } catch (InvalidInputException invalid) {
+                respond(request, HttpResponseStatus.BAD_REQUEST, invalid.getMessage());
                 return;
             }
-            if (desk.handsOn()) {
-                // Not to make room for others before it is answered.
-                enter(State.ASKING);
-                desk.handOn(submission, this::lastOf);
+            if (handler.forwardsSubmissions()) {
+                // In this state the connection is not closed to make room for others before the answer.
+                enterState(State.IN_REQUEST);
+                handler.forward(submission, this::respondForwarded);
                 return;
             }
-            Optional<HttpResponseStatus> before = desk.answeredBefore(submission.id());
-            if (before.isPresent()) {
-                end(request, before.get(), "");
+            Optional<HttpResponseStatus> previousAnswer = handler.previousAnswer(submission.id());
+            if (previousAnswer.isPresent()) {
+                respond(request, previousAnswer.get(), "");
                 return;
             }
-            if (!desk.knowsDestination(submission.destination())) {
-                turnAway(request, submission, "no list names this dest");
+            if (!handler.knowsDestination(submission.destination())) {
+                reject(request, submission, "no list names this dest");
                 return;
             }
-            Optional<AcceptedMessage> taken = desk.take(submission);
-            if (taken.isEmpty()) {
-                turnAway(request, submission, "no room, or too little time");
+            Optional<AcceptedMessage> accepted = handler.accept(submission);
+            if (accepted.isEmpty()) {
+                reject(request, submission, "no room, or too little time");
                 return;
             }
-            end(request, HttpResponseStatus.ACCEPTED, "")
-                    .addListener(f -> desk.answered(taken.get(), f.isSuccess()));
+            respond(request, HttpResponseStatus.ACCEPTED, "")
+                    .addListener(f -> handler.responseWritten(accepted.get(), f.isSuccess()));
         }
 
-        private void turnAway(FullHttpRequest request, Submission submission, String why) {
-            desk.turnedAway(submission.messageClass());
-            end(request, HttpResponseStatus.SERVICE_UNAVAILABLE, why);
+        private void reject(FullHttpRequest request, Submission submission, String reason) {
+            handler.submissionRejected(submission.messageClass());
+            respond(request, HttpResponseStatus.SERVICE_UNAVAILABLE, reason);
         }
 
-        private ChannelFuture end(FullHttpRequest request, HttpResponseStatus status, String text) {
-            FullHttpResponse answer = answer(status, request.method().equals(HttpMethod.HEAD) ? "" : text);
-            if (!closing && !away && !leaving && HttpUtil.isKeepAlive(request)) {
-                return channel.writeAndFlush(answer);
+        private ChannelFuture respond(FullHttpRequest request, HttpResponseStatus status, String text) {
+            FullHttpResponse response = response(status, request.method().equals(HttpMethod.HEAD) ? "" : text);
+            if (!closing && !evacuating && !handedOver && HttpUtil.isKeepAlive(request)) {
+                return channel.writeAndFlush(response);
             }
-            desk.closes(CloseReason.LAST_ANSWER);
-            return endWith(answer);
+            handler.connectionClosing(CloseReason.LAST_ANSWER);
+            return writeLastResponse(response);
         }
 
-        /** The other process has answered, unless the client was told before that it took too long. */
-        private void lastOf(HttpResponseStatus status) {
-            if (state != State.ENDING) {
-                endWith(answer(status, ""));
+        /** Passes on the answer of the other process, unless the connection has timed out before. */
+        private void respondForwarded(HttpResponseStatus status) {
+            if (state != State.CLOSING) {
+                writeLastResponse(response(status, ""));
             }
         }
 
-        private ChannelFuture endWith(FullHttpResponse answer) {
-            enter(State.ENDING);
-            answer.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
+        private ChannelFuture writeLastResponse(FullHttpResponse response) {
+            enterState(State.CLOSING);
+            response.headers().set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE);
             updateAutoRead();
-            return channel.writeAndFlush(answer).addListener(f -> halfClose());
+            return channel.writeAndFlush(response).addListener(f -> halfClose());
         }
 
         @Override
@@ -688,49 +693,49 @@
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
             if (!(cause instanceof IOException || cause instanceof CodecException)) {
-                Log.write("a client's connection is closed: " + cause);
+                Log.write("closing a client connection after an unexpected error: " + cause);
             }
             ctx.close();
         }
     }
 
-    private static FullHttpResponse answer(HttpResponseStatus status, String text) {
-        FullHttpResponse answer = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status,
+    private static FullHttpResponse response(HttpResponseStatus status, String text) {
+        FullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status,
                 Unpooled.copiedBuffer(text, StandardCharsets.UTF_8));
-        answer.headers().set(HttpHeaderNames.CONTENT_LENGTH, answer.content().readableBytes());
-        return answer;
+        response.headers().set(HttpHeaderNames.CONTENT_LENGTH, response.content().readableBytes());
+        return response;
     }
 
-    private Submission read(FullHttpRequest request, String inPath) throws InvalidInputException {
+    private Submission parseSubmission(FullHttpRequest request, String pathClass) throws InvalidInputException {
         HttpHeaders headers = request.headers();
-        String id = required(headers, "X-Call-Id");
-        if (id.length() > LONGEST_ID) {
+        String id = requiredHeader(headers, "X-Call-Id");
+        if (id.length() > MAX_ID_LENGTH) {
             throw new InvalidInputException("X-Call-Id is too long");
         }
-        String messageClass = headers.get("X-Call-Class", inPath);
-        if (!messageClass.equals(inPath)) {
+        String messageClass = headers.get("X-Call-Class", pathClass);
+        if (!messageClass.equals(pathClass)) {
             throw new InvalidInputException("the class in the path is another than in X-Call-Class");
         }
         String tenant = headers.get("X-Caller", "");
-        if (!desk.knowsTenant(tenant)) {
+        if (!handler.knowsTenant(tenant)) {
             throw new InvalidInputException("X-Caller names no tenant");
         }
         Optional<String> key = Optional.ofNullable(headers.get("Idempotency-Key")).filter(k -> !k.isBlank());
-        if (key.isEmpty() && desk.needsKey(messageClass)) {
+        if (key.isEmpty() && handler.needsKey(messageClass)) {
             throw new InvalidInputException("Idempotency-Key is missing");
         }
-        long budgetMs = whole(required(headers, "X-Budget-Ms"), "X-Budget-Ms");
+        long budgetMs = parseNonNegative(requiredHeader(headers, "X-Budget-Ms"), "X-Budget-Ms");
         if (budgetMs < 1) {
             throw new InvalidInputException("X-Budget-Ms leaves no time");
         }
-        String destination = Arrays.stream(required(headers, "X-Envelope").split("[,;\\s]+"))
+        String destination = Arrays.stream(requiredHeader(headers, "X-Envelope").split("[,;\\s]+"))
                 .filter(part -> part.startsWith("dest=")).findFirst()
                 .orElseThrow(() -> new InvalidInputException("X-Envelope names no dest")).substring("dest=".length());
-        return new Submission(id, messageClass, tenant, key, whole(destination, "dest"), budgetMs,
+        return new Submission(id, messageClass, tenant, key, parseNonNegative(destination, "dest"), budgetMs,
                 ByteBufUtil.getBytes(request.content()));
     }
 
-    private static String required(HttpHeaders headers, String name) throws InvalidInputException {
+    private static String requiredHeader(HttpHeaders headers, String name) throws InvalidInputException {
         String value = headers.get(name);
         if (value == null || value.isBlank()) {
             throw new InvalidInputException(name + " is missing");
@@ -738,7 +743,7 @@
         return value;
     }
 
-    private static long whole(String value, String name) throws InvalidInputException {
+    private static long parseNonNegative(String value, String name) throws InvalidInputException {
         try {
             long number = Long.parseLong(value.trim());
             if (number < 0) {
--- a/src/main/java/kestreldeal/net/OperatorServer.java
+++ b/src/main/java/kestreldeal/net/OperatorServer.java
@@ -24,130 +24,129 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The operators' address: each connection carries one line, is answered, and closed. One that brings no whole
- * line is answered in time too, and when there are too many, the oldest that has not asked makes room.
+ * The server for operators' commands. Each connection carries one command line; it is answered and closed. A connection
+ * without a complete line gets an answer after a timeout. When there are too many connections, the oldest one that
+ * has not sent a command is closed.
  */
 final class OperatorServer {
-    /** Connections at most; more descriptors than these are never used here. */
-    static final int MOST = 24;
-    /** From connecting until the line is whole. */
-    private static final long CALL_MS = 2000;
-    /** From the answer until the close, if the caller does not read it. */
-    private static final long LINGER_MS = 1000;
-    private static final int LONGEST_CALL = 256;
-
-    /** The sender's side of a call. */
+    /** Maximum number of connections, and so of descriptors used here. */
+    static final int MAX_CONNECTIONS = 24;
+    /** From connecting until the command line is complete. */
+    private static final long COMMAND_TIMEOUT_MS = 2000;
+    /** From writing the answer until the close, if the operator does not read it. */
+    private static final long CLOSE_TIMEOUT_MS = 1000;
+    private static final int MAX_COMMAND_LENGTH = 256;
+
+    /** The part of the sender that carries out commands. */
     interface CommandHandler {
         /** Whether this process can serve. */
-        boolean serves();
+        boolean canServe();
 
-        /** The figures, a line each. */
-        String figures();
+        /** All metrics, one per line. */
+        String metrics();
 
-        /** Sends the clients away, or takes them back; telling it twice does no harm. */
-        void evacuate(boolean away);
+        /** Starts or ends an evacuation of the clients; repeating it does no harm. */
+        void evacuate(boolean start);
     }
 
-    private final CommandHandler desk;
+    private final CommandHandler handler;
     private final ServerBootstrap bootstrap;
-    /** Connections that have not asked yet, the oldest first. */
-    private final Set<Channel> asking = new LinkedHashSet<>();
-    private int open;
+    /** Connections that have not sent a command yet, the oldest first. */
+    private final Set<Channel> awaitingCommand = new LinkedHashSet<>();
+    private int openConnections;
 
-    OperatorServer(EventLoop loop, CommandHandler desk) {
-        this.desk = desk;
+    OperatorServer(EventLoop loop, CommandHandler handler) {
+        this.handler = handler;
         bootstrap = new ServerBootstrap().group(loop, loop)
                 .channel(NioServerSocketChannel.class)
                 .option(ChannelOption.SO_BACKLOG, 128)
                 .option(ChannelOption.SO_REUSEADDR, true)
-                // A caller may end its sending with the line and still wait for the answer.
+                // An operator's tool may shut its output down after the line and still wait for the answer.
                 .childOption(ChannelOption.ALLOW_HALF_CLOSURE, true)
                 .childOption(ChannelOption.TCP_NODELAY, true)
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
-                        channel.pipeline().addLast(new LineBasedFrameDecoder(LONGEST_CALL, true, true),
-                                new StringDecoder(StandardCharsets.US_ASCII), new Caller());
+                        channel.pipeline().addLast(new LineBasedFrameDecoder(MAX_COMMAND_LENGTH, true, true),
+                                new StringDecoder(StandardCharsets.US_ASCII), new OperatorConnection());
                     }
                 });
     }
 
-    /** Begins to listen. */
     ChannelFuture listen(InetSocketAddress address) {
         return bootstrap.bind(address);
     }
 
-    private String answer(String call) {
-        return switch (call.strip()) {
-            case "readyz" -> desk.serves() ? "YES\n" : "NO not serving\n";
-            case "telemetry" -> desk.figures() + "END\n";
+    private String execute(String command) {
+        return switch (command.strip()) {
+            case "readyz" -> handler.canServe() ? "YES\n" : "NO not serving\n";
+            case "telemetry" -> handler.metrics() + "END\n";
             case "evacuate" -> {
-                desk.evacuate(true);
+                handler.evacuate(true);
                 yield "YES\n";
             }
             case "activate" -> {
-                desk.evacuate(false);
+                handler.evacuate(false);
                 yield "YES\n";
             }
             default -> "NO unknown call\n";
         };
     }
 
-    /** One connection. */
-    private final class Caller extends SimpleChannelInboundHandler<String> {
-        private Future<?> timer;
+    private final class OperatorConnection extends SimpleChannelInboundHandler<String> {
+        private Future<?> timeout;
         private boolean answered;
 
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
-            asking.add(ctx.channel());
-            timer = ctx.executor().schedule(() -> answer(ctx, "NO no whole line in time\n"), CALL_MS,
+            awaitingCommand.add(ctx.channel());
+            timeout = ctx.executor().schedule(() -> respond(ctx, "NO no whole line in time\n"), COMMAND_TIMEOUT_MS,
                     TimeUnit.MILLISECONDS);
-            if (++open > MOST) {
-                asking.iterator().next().close();
+            if (++openConnections > MAX_CONNECTIONS) {
+                awaitingCommand.iterator().next().close();
             }
         }
 
         @Override
-        protected void channelRead0(ChannelHandlerContext ctx, String call) {
-            answer(ctx, OperatorServer.this.answer(call));
+        protected void channelRead0(ChannelHandlerContext ctx, String command) {
+            respond(ctx, OperatorServer.this.execute(command));
         }
 
-        private void answer(ChannelHandlerContext ctx, String text) {
+        private void respond(ChannelHandlerContext ctx, String text) {
             if (answered) {
                 return;
             }
             answered = true;
-            asking.remove(ctx.channel());
-            timer.cancel(false);
-            timer = ctx.executor().schedule(() -> ctx.close(), LINGER_MS, TimeUnit.MILLISECONDS);
+            awaitingCommand.remove(ctx.channel());
+            timeout.cancel(false);
+            timeout = ctx.executor().schedule(() -> ctx.close(), CLOSE_TIMEOUT_MS, TimeUnit.MILLISECONDS);
             ctx.writeAndFlush(Unpooled.copiedBuffer(text, StandardCharsets.US_ASCII))
                     .addListener(ChannelFutureListener.CLOSE);
         }
 
-        /** Nothing more will come; what came whole was read before. */
+        /** The input has ended; a complete line would have been read before. */
         @Override
         public void userEventTriggered(ChannelHandlerContext ctx, Object event) {
             if (event == ChannelInputShutdownEvent.INSTANCE) {
-                answer(ctx, "NO no whole line\n");
+                respond(ctx, "NO no whole line\n");
             }
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
-            open--;
-            asking.remove(ctx.channel());
-            timer.cancel(false);
+            openConnections--;
+            awaitingCommand.remove(ctx.channel());
+            timeout.cancel(false);
         }
 
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
             if (cause instanceof TooLongFrameException) {
-                answer(ctx, "NO line too long\n");
+                respond(ctx, "NO line too long\n");
                 return;
             }
             if (!(cause instanceof IOException)) {
-                Log.write("an operator's connection is closed: " + cause);
+                Log.write("closing an operator connection after an unexpected error: " + cause);
             }
             ctx.close();
         }
--- a/src/main/java/kestreldeal/net/RetryingListener.java
+++ b/src/main/java/kestreldeal/net/RetryingListener.java
@@ -9,59 +9,60 @@
 import java.util.function.Supplier;
 
 /**
- * Listens at an address, and tries again for as long as that fails: the address may still be another process's, and the
- * machine may have no socket for a moment. Neither ends a sender. All calls are the loop's, but for {@link #bound}.
+ * Listens at an address, retrying until the bind succeeds: another process may still use the address, and the machine
+ * may be short of sockets for a moment. Neither must end a sender. All methods except {@link #boundAddress} must be called on
+ * the event loop.
  */
 final class RetryingListener {
-    private static final long AGAIN_MS = 50;
-    /** Attempts from one line in the log to the next. */
-    private static final int ATTEMPTS_A_LINE = 100;
+    private static final long RETRY_INTERVAL_MS = 50;
+    /** Only the first of this many failed attempts is logged. */
+    private static final int ATTEMPTS_PER_LOG_LINE = 100;
 
     private final EventLoop loop;
-    private final String forWhom;
+    private final String purpose;
     private final Supplier<ChannelFuture> bind;
-    private final CompletableFuture<InetSocketAddress> bound = new CompletableFuture<>();
+    private final CompletableFuture<InetSocketAddress> boundAddress = new CompletableFuture<>();
     private Channel channel;
-    private int attempts;
+    private int failedAttempts;
     private boolean closed;
 
-    /** One that listens in this way; the log names for whom. */
-    RetryingListener(EventLoop loop, String forWhom, Supplier<ChannelFuture> bind) {
+    /** Creates a listener that binds by {@code bind}; log lines say for whom it listens. */
+    RetryingListener(EventLoop loop, String purpose, Supplier<ChannelFuture> bind) {
         this.loop = loop;
-        this.forWhom = forWhom;
+        this.purpose = purpose;
         this.bind = bind;
     }
 
-    /** Begins to listen, now or as soon as that is possible. */
+    /** Starts to listen, at once or as soon as the address can be bound. */
     void start() {
         if (closed) {
             return;
         }
         ChannelFuture binding = bind.get();
-        // Without a channel there is no loop of its own, and the future is told on another thread.
-        binding.addListener(f -> loop.execute(() -> tried(binding)));
+        // If no channel could be created, the listener of the future runs on a thread other than the event loop.
+        binding.addListener(f -> loop.execute(() -> bindCompleted(binding)));
     }
 
-    private void tried(ChannelFuture binding) {
+    private void bindCompleted(ChannelFuture binding) {
         if (!binding.isSuccess()) {
-            if (attempts++ % ATTEMPTS_A_LINE == 0) {
-                Log.write("can't listen for " + forWhom + ": " + binding.cause().getMessage());
+            if (failedAttempts++ % ATTEMPTS_PER_LOG_LINE == 0) {
+                Log.write("can't listen for " + purpose + " yet, retrying: " + binding.cause().getMessage());
             }
-            loop.schedule(this::start, AGAIN_MS, TimeUnit.MILLISECONDS);
+            loop.schedule(this::start, RETRY_INTERVAL_MS, TimeUnit.MILLISECONDS);
         } else if (closed) {
             binding.channel().close();
         } else {
             channel = binding.channel();
-            bound.complete((InetSocketAddress) channel.localAddress());
+            boundAddress.complete((InetSocketAddress) channel.localAddress());
         }
     }
 
-    /** Where it listens, once it does. */
-    CompletableFuture<InetSocketAddress> bound() {
-        return bound;
+    /** Completes with the bound address. */
+    CompletableFuture<InetSocketAddress> boundAddress() {
+        return boundAddress;
     }
 
-    /** Listens no more. */
+    /** Stops listening. */
     void close() {
         closed = true;
         if (channel != null) {
--- a/src/main/java/kestreldeal/net/Sender.java
+++ b/src/main/java/kestreldeal/net/Sender.java
@@ -23,385 +23,404 @@
 import kestreldeal.Relay;
 
 /**
- * One real sender: the event loop, the clock, and the names that the module knows by numbers. The loop's
- * thread alone touches the module and all that hangs on it, so nothing here is locked. It decides nothing.
+ * One sender process. It connects the decision module ({@link Relay}) to the network, the journal and the clock:
+ * it passes events to the module and carries out the actions that the module asks for, but decides nothing itself.
+ * The decision module knows messages and endpoints by number; this class maps the numbers to their ids. All state
+ * is confined to the thread of the event loop, so nothing here is locked.
  */
 public final class Sender implements Relay.Actions {
-    /** Descriptors that are neither clients nor calls: the machine's own (30 are seen), the journal, agents, operators. */
-    private static final int OTHER_SOCKETS = 48 + OperatorServer.MOST;
-    /** Share of the rest for clients, who may hold a third of all for requests; the others are for calls. */
-    private static final double CLIENT_SHARE = 0.5;
-    /** From SIGTERM: new connections come for so long at most. */
-    static final long TAKING_MS = 450;
-    /** From SIGTERM: calls out may last till here; SIGKILL may come at 3.7 s. */
-    static final long CLOSING_MS = 3300;
-    private static final long DRAIN_POLL_MS = 20;
-    /** After that, so long for clients to see that their connections end, and to close them. */
-    private static final long PARTING_MS = 200;
-    /** Between looks for messages that have no end though their time is up, and so long after it they are told. */
-    private static final long OVERDUE_LOOK_MS = 1000;
-    private static final double OVERDUE_AFTER_MS = 1000;
-    /** An endpoint that has left the list is forgotten after so long: no call lasts till then. */
-    private static final long GONE_MS = 60_000;
-
-    /** Share of the heap for endpoints that are listed; the rest is for messages, buffers and the journal's reading. */
-    private static final double LIST_SHARE = 0.6;
+    /** Descriptors for the JVM itself (about 30), the journal, the agent and the operators' connections. */
+    private static final int RESERVED_DESCRIPTORS = 48 + OperatorServer.MAX_CONNECTIONS;
     /**
-     * What one costs in all parts, with a destination of 1.6 endpoints, in bytes: 1,157 between 1,000 and 20,000 listed,
-     * 1,131 between 1,000 and 25,000, live after a full collection of the real sender.
+     * Share of the remaining descriptors for client connections; the others are for calls to endpoints. Clients may
+     * use a third of all descriptors for requests.
      */
-    private static final int ENDPOINT_BYTES = 1160;
-    /** Endpoints that are known at once; beyond that the process would end with the heap. */
-    private static final int MOST_ENDPOINTS =
-            (int) Math.min(Integer.MAX_VALUE, Runtime.getRuntime().maxMemory() * LIST_SHARE / ENDPOINT_BYTES);
+    private static final double CLIENT_DESCRIPTOR_SHARE = 0.5;
+    /** Time from SIGTERM during which new client connections may still arrive and are accepted. */
+    static final long DRAIN_ACCEPT_MS = 450;
+    /** Time limit for calls in flight, counted from SIGTERM; SIGKILL may come after 3.7 s. */
+    static final long DRAIN_TIMEOUT_MS = 3300;
+    private static final long DRAIN_POLL_INTERVAL_MS = 20;
+    /** How long clients may take after that to notice the end of their connections and to close them. */
+    private static final long CLIENT_CLOSE_TIMEOUT_MS = 200;
+    /**
+     * Interval between checks for messages past their deadline, and the grace period after the deadline before one is
+     * reported.
+     */
+    private static final long OVERDUE_CHECK_INTERVAL_MS = 1000;
+    private static final double OVERDUE_GRACE_MS = 1000;
+    /** How long an endpoint is remembered after its removal from the list; no call lasts longer. */
+    private static final long REMOVED_ENDPOINT_RETENTION_MS = 60_000;
 
-    private final MachineClock machine;
+    /** Share of the heap for listed endpoints; the rest is for messages, buffers and reading the journal. */
+    private static final double ENDPOINT_HEAP_SHARE = 0.6;
+    /**
+     * Heap that one listed endpoint takes in all parts of the sender, at 1.6 endpoints per destination. Live bytes
+     * per endpoint after a full garbage collection: 1,157 between 1,000 and 20,000 listed endpoints, 1,131 between
+     * 1,000 and 25,000.
+     */
+    private static final int BYTES_PER_ENDPOINT = 1160;
+    /** Limit on the endpoints that are known at once; more could exhaust the heap. */
+    private static final int MAX_ENDPOINTS =
+            (int) Math.min(Integer.MAX_VALUE, Runtime.getRuntime().maxMemory() * ENDPOINT_HEAP_SHARE / BYTES_PER_ENDPOINT);
+
+    private final MachineClock machineClock;
     private final Config config;
-    /** Whether another process may link to this one to take over from it. */
-    private final boolean links;
-    private final long takingMs;
-    private final long closingMs;
+    /** Whether another process may connect to this one to take over from it. */
+    private final boolean handoverAllowed;
+    private final long drainAcceptMs;
+    private final long drainTimeoutMs;
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
     private final CountDownLatch stopped = new CountDownLatch(1);
     private final long startNanos = System.nanoTime();
-    private final EndpointRegistry directory = new EndpointRegistry(MOST_ENDPOINTS);
-    /** What is held and not over, by the module's number, and by the client's id. */
-    private final Map<Long, AcceptedMessage> open = new HashMap<>();
-    private final Map<String, AcceptedMessage> byId = new HashMap<>();
-    /** Attempts that are out, by message and attempt. */
-    private final Map<AttemptId, EndpointClient.OutboundAttempt> calls = new HashMap<>();
+    private final EndpointRegistry registry = new EndpointRegistry(MAX_ENDPOINTS);
+    /** Accepted messages that are not finished, by the number that the decision module uses. */
+    private final Map<Long, AcceptedMessage> openMessages = new HashMap<>();
+    /** The same messages by the id that the client gave them. */
+    private final Map<String, AcceptedMessage> openMessagesById = new HashMap<>();
+    /** Calls of the attempts in flight. */
+    private final Map<AttemptId, EndpointClient.OutboundAttempt> callsInFlight = new HashMap<>();
     private final Relay relay;
     private Journal journal;
-    private EndpointClient endpoints;
-    private NoticeClient notices;
+    private EndpointClient endpointClient;
+    private NoticeClient noticeClient;
     private Discovery discovery;
     private InetSocketAddress agentAddress;
-    private ClientServer intake;
-    private OperatorServer ops;
-    private final Metrics figures;
+    private ClientServer clientServer;
+    private OperatorServer operatorServer;
+    private final Metrics metrics;
     private final Invariants invariants = new Invariants();
-    private final SendGuard guard;
+    private final SendGuard sendGuard;
     private Trace trace = Trace.OFF;
     private RetryingListener clientListener;
-    /** Where operators connect, if anywhere. */
+    /** Empty if the configuration has no address for operators. */
     private Optional<RetryingListener> operatorListener = Optional.empty();
     private boolean turnOpen;
-    private double clock;
-    private boolean closing;
-    private int mostClients;
-    /** A list is known and the journal is replayed. */
+    private double turnTimeMs;
+    private boolean shuttingDown;
+    private int maxClients;
+    /** Whether an endpoint list is known and the journal has been replayed. */
     private boolean ready;
-    private boolean listed;
-    /** The agent was asked for the list, and has answered, or not in time. */
-    private boolean asked;
-    private ProcessHandover succession;
-    /** What the process before told of itself, until the journal is replayed. */
-    private Optional<ProcessHandover.HandoverState> legacy = Optional.empty();
-    /** Attempts that the process before made and waits for. */
-    private final Map<AttemptId, AcceptedMessage> elsewhere = new HashMap<>();
-    /** Another process has taken over: nothing is decided here any more. */
+    /** Whether an endpoint list has been read, from the configuration or from the agent. */
+    private boolean listKnown;
+    /** Whether the agent has been asked for the list and has either answered or timed out. */
+    private boolean listQueryDone;
+    private ProcessHandover handover;
+    /** State received from the previous process; kept until the journal is replayed. */
+    private Optional<ProcessHandover.HandoverState> receivedState = Optional.empty();
+    /** Attempts that the previous process made and still awaits. */
+    private final Map<AttemptId, AcceptedMessage> predecessorAttempts = new HashMap<>();
+    /** Whether another process has taken over; from then on this one decides nothing. */
     private boolean handedOver;
-    private final SubmissionService clients = new SubmissionService();
+    private final SubmissionService submissionService = new SubmissionService();
 
-    private record AttemptId(long message, int attempt) {
+    private record AttemptId(long messageNumber, int attempt) {
     }
 
-    Sender(Config config, boolean links, long takingMs, long closingMs) {
-        this(config, links, takingMs, closingMs, MachineClock.system());
+    Sender(Config config, boolean handoverAllowed, long drainAcceptMs, long drainTimeoutMs) {
+        this(config, handoverAllowed, drainAcceptMs, drainTimeoutMs, MachineClock.system());
     }
 
-    /** The same with clocks of its own; their monotonic one is that of {@link System#nanoTime}. */
-    Sender(Config config, boolean links, long takingMs, long closingMs, MachineClock machine) {
-        this.machine = machine;
+    /** Creates a sender with other clocks; the monotonic one must agree with {@link System#nanoTime}. */
+    Sender(Config config, boolean handoverAllowed, long drainAcceptMs, long drainTimeoutMs, MachineClock machineClock) {
+        this.machineClock = machineClock;
         this.config = config;
-        this.links = links;
-        this.takingMs = takingMs;
-        this.closingMs = closingMs;
+        this.handoverAllowed = handoverAllowed;
+        this.drainAcceptMs = drainAcceptMs;
+        this.drainTimeoutMs = drainTimeoutMs;
         this.relay = Relay.create(config.settings(), config.seed(), this);
-        this.figures = new Metrics(config.classNames());
-        this.guard = new SendGuard(config.settings(), config.classNames());
+        this.metrics = new Metrics(config.classNames());
+        this.sendGuard = new SendGuard(config.settings(), config.classNames());
     }
 
     /**
-     * Runs a sender until it is told to end; returns the exit code. Without links no other process can take over
-     * while this one runs.
+     * Runs a sender until a signal stops it; returns the exit code of the process. With {@code links} false no other
+     * process can take over while this one runs.
      */
-    public static int serve(Map<String, String> env, boolean links) {
+    public static int serve(Map<String, String> environment, boolean handoverAllowed) {
         try {
-            Sender sender = new Sender(Config.read(env), links, TAKING_MS, CLOSING_MS);
-            sender.trace = Trace.of(env);
-            SighupHandler.install(() -> sender.reload(env));
+            Sender sender = new Sender(Config.read(environment), handoverAllowed, DRAIN_ACCEPT_MS, DRAIN_TIMEOUT_MS);
+            sender.trace = Trace.fromEnvironment(environment);
+            SighupHandler.install(() -> sender.reload(environment));
             Runtime.getRuntime().addShutdownHook(new Thread(sender::drain, "drain"));
             sender.launch();
             sender.stopped.await();
             return 0;
         } catch (InvalidInputException | IOException e) {
-            Log.write("can't start: " + e.getMessage());
+            Log.write("the sender can't start: " + e.getMessage());
             return 1;
         } catch (InterruptedException e) {
             return 1;
         }
     }
 
-    /** Begins to serve, or to follow the process that does; what can't be had at once is waited for by itself. */
+    /**
+     * Starts to lead, or to follow the process that leads. Does not wait for resources that are not available yet: each
+     * is retried in the background.
+     */
     private void launch() {
-        loop.submit(this::open).syncUninterruptibly();
+        loop.submit(this::initialize).syncUninterruptibly();
     }
 
     /**
-     * The same, and waits until clients can connect if this process leads; returns the address, as configured where
-     * they can't yet.
+     * Starts as {@link #launch} does. If this process leads, waits until clients can connect and returns the address
+     * bound; otherwise returns the configured address.
      */
     InetSocketAddress start() {
         launch();
-        return journal == null ? config.clientAddress() : clientListener.bound().join();
+        return journal == null ? config.clientAddress() : clientListener.boundAddress().join();
     }
 
-    /** Where operators connect, once they can. */
-    InetSocketAddress operators() {
-        return operatorListener.orElseThrow().bound().join();
+    /** Waits until operators can connect, and returns the address. */
+    InetSocketAddress operatorAddress() {
+        return operatorListener.orElseThrow().boundAddress().join();
     }
 
-    private void open() {
-        if (closing) {
-            // It was told to end before it had begun.
+    private void initialize() {
+        if (shuttingDown) {
+            // SIGTERM came before the start.
             return;
         }
-        int sockets = Math.max(config.maxSockets() - OTHER_SOCKETS, 64);
-        mostClients = (int) (sockets * CLIENT_SHARE);
-        // Twice the slots: the connection of a call that was given up lingers while its slot is in use again.
-        int mostIdle = Math.max(1, sockets - mostClients - 2 * config.settings().slots());
-        endpoints = new EndpointClient(loop, config.connectTimeoutMs(), config.settings().keepAliveMs(), mostIdle,
-                new CallResults(), NioSocketChannel::new, machine);
+        int descriptors = Math.max(config.maxSockets() - RESERVED_DESCRIPTORS, 64);
+        maxClients = (int) (descriptors * CLIENT_DESCRIPTOR_SHARE);
+        // Twice the slots: the connection of an abandoned call lingers while its slot is already in use again.
+        int maxIdleConnections = Math.max(1, descriptors - maxClients - 2 * config.settings().slots());
+        endpointClient = new EndpointClient(loop, config.connectTimeoutMs(), config.settings().keepAliveMs(), maxIdleConnections,
+                new CallResults(), NioSocketChannel::new, machineClock);
         agentAddress = config.discoveryAddress();
-        notices = new NoticeClient(loop, new AgentClient(loop, agentAddress), this::heard);
-        intake = new ClientServer(loop, mostClients, clients);
-        ops = new OperatorServer(loop, new OperatorCommands());
+        noticeClient = new NoticeClient(loop, new AgentClient(loop, agentAddress), this::closeInJournal);
+        clientServer = new ClientServer(loop, maxClients, submissionService);
+        operatorServer = new OperatorServer(loop, new OperatorCommands());
         discovery = new Discovery(loop, new AgentClient(loop, agentAddress), new EndpointListUpdates());
-        succession = new ProcessHandover(loop, config.stateFolder(), links, new HandoverEvents());
-        clientListener = new RetryingListener(loop, "clients", () -> intake.listen(config.clientAddress()));
-        clientListener.bound().thenAccept(address -> {
+        handover = new ProcessHandover(loop, config.stateFolder(), handoverAllowed, new HandoverEvents());
+        clientListener = new RetryingListener(loop, "clients", () -> clientServer.listen(config.clientAddress()));
+        clientListener.boundAddress().thenAccept(address -> {
             Log.write(config.name() + " listens at " + EndpointClient.hostPort(address));
-            succession.notifyListening();
+            handover.notifyListening();
         });
         operatorListener = config.operatorAddress()
-                .map(address -> new RetryingListener(loop, "operators", () -> ops.listen(address)));
-        succession.start();
+                .map(address -> new RetryingListener(loop, "operators", () -> operatorServer.listen(address)));
+        handover.start();
         discovery.start(config.file());
         operatorListener.ifPresent(RetryingListener::start);
-        loop.scheduleWithFixedDelay(this::lookForOverdue, OVERDUE_LOOK_MS, OVERDUE_LOOK_MS, TimeUnit.MILLISECONDS);
+        loop.scheduleWithFixedDelay(this::checkOverdue, OVERDUE_CHECK_INTERVAL_MS, OVERDUE_CHECK_INTERVAL_MS, TimeUnit.MILLISECONDS);
     }
 
-    /** What was taken on ends before its time is up; one that has not by now would never be answered in time. */
-    private void lookForOverdue() {
-        for (AcceptedMessage held : open.values()) {
-            if (held.acknowledged && !held.reportedOverdue && held.timeLeftMs(machine) < -OVERDUE_AFTER_MS) {
-                held.reportedOverdue = true;
-                invariants.breached(Invariants.Rule.END_IN_TIME, held.id, held.attempts.size() + " attempts, "
-                        + (long) -held.timeLeftMs(machine) + " ms late");
+    /** Reports each message without a final result past its deadline: every accepted message must finish in time. */
+    private void checkOverdue() {
+        for (AcceptedMessage message : openMessages.values()) {
+            if (message.acknowledged && !message.reportedOverdue && message.timeLeftMs(machineClock) < -OVERDUE_GRACE_MS) {
+                message.reportedOverdue = true;
+                invariants.reportBreach(Invariants.Rule.END_IN_TIME, message.id, message.attempts.size()
+                        + " attempts, no final result " + (long) -message.timeLeftMs(machineClock) + " ms after the deadline");
             }
         }
     }
 
     /**
-     * Takes up what is held, once this process leads and has a list: the agent's if it answers, as what that has
-     * counts as told from the first moment of a process, and the configuration's may be old.
+     * Restores the messages of the journal as soon as this process leads and has an endpoint list. The agent's list is
+     * preferred if the agent answers: a process must respect the agent's current list from its start, and the list in
+     * the configuration may be outdated.
      */
-    private void begin() {
-        if (ready || journal == null || !listed || !asked) {
+    private void restoreWhenReady() {
+        if (ready || journal == null || !listKnown || !listQueryDone) {
             return;
         }
         ready = true;
-        event(this::replay);
+        runEvent(this::restoreFromJournal);
     }
 
     /**
-     * Reads the configuration again, on the caller's thread, since a file may be slow. Only discovery's
-     * address is taken over: all else holds for the life of a process. A file that can't be read, or names no
-     * address, leaves the old one standing.
+     * Reads the configuration again, on the caller's thread because reading a file may block. Only the address of
+     * discovery changes; all other settings stay as they were when the process started. If the file can't be read or
+     * has no address, the current address stays in use.
      */
-    void reload(Map<String, String> env) {
+    void reload(Map<String, String> environment) {
         try {
-            InetSocketAddress address = Config.read(env).discoveryAddress();
-            loop.execute(() -> moveTo(address));
+            InetSocketAddress address = Config.read(environment).discoveryAddress();
+            loop.execute(() -> setAgentAddress(address));
         } catch (InvalidInputException | IOException e) {
-            Log.write("the configuration can't be read again, the old one stands: " + e.getMessage());
+            Log.write("can't reload the configuration; keeping the current one: " + e.getMessage());
         }
     }
 
-    private void moveTo(InetSocketAddress address) {
-        Log.write("configuration read again; discovery is at " + EndpointClient.hostPort(address));
+    private void setAgentAddress(InetSocketAddress address) {
+        Log.write("configuration reloaded; the discovery address is " + EndpointClient.hostPort(address));
         if (!address.equals(agentAddress)) {
             agentAddress = address;
             discovery.switchAgent(new AgentClient(loop, address));
-            notices.switchAgent(new AgentClient(loop, address));
+            noticeClient.switchAgent(new AgentClient(loop, address));
         }
     }
 
     /**
-     * What an earlier life held goes back to the module, with what it did; notices owed go out again. Not
-     * before a list is known: without one the module could only give all of it up.
+     * Restores the state of the previous process: passes its unfinished messages with their attempts to the decision
+     * module, and sends its pending notices again. This must wait for an endpoint list, without which the module could
+     * only fail all of these messages.
      */
-    private void replay() {
-        int resumed = 0;
-        Collection<AcceptedMessage> all = journal.liveMessages();
-        legacy.ifPresent(this::recall);
-        Map<AttemptId, Long> outBefore = new HashMap<>();
-        legacy.filter(l -> succession.hasPredecessor()).ifPresent(l ->
-                l.out().forEach(o -> outBefore.put(new AttemptId(o.message(), o.attempt()), o.call())));
-        legacy = Optional.empty();
+    private void restoreFromJournal() {
+        int restored = 0;
+        Collection<AcceptedMessage> messages = journal.liveMessages();
+        receivedState.ifPresent(this::restoreHandoverState);
+        Map<AttemptId, Long> callsBefore = new HashMap<>();
+        receivedState.filter(state -> handover.hasPredecessor()).ifPresent(state ->
+                state.out().forEach(attempt -> callsBefore.put(new AttemptId(attempt.message(), attempt.attempt()), attempt.call())));
+        receivedState = Optional.empty();
         journal.endpointHealth().forEach((id, health) -> {
-            double now = openTurn();
-            double since = now - health.ageMs(machine);
-            relay.restoreEndpointHealth(now, endpointNumber(id),
-                    new Relay.EndpointHealth(health.state(), since, health.sustainedPerMs()));
+            double nowMs = openTurn();
+            double sinceMs = nowMs - health.ageMs(machineClock);
+            relay.restoreEndpointHealth(nowMs, endpointNumber(id),
+                    new Relay.EndpointHealth(health.state(), sinceMs, health.sustainedPerMs()));
         });
-        for (AcceptedMessage held : all) {
-            int messageClass = config.classNames().indexOf(held.messageClass);
-            if (held.finished) {
-                trace.step("owed", held.id);
-                notices.enqueue(held);
+        for (AcceptedMessage message : messages) {
+            int messageClass = config.classNames().indexOf(message.messageClass);
+            if (message.finished) {
+                trace.step("owed", message.id);
+                noticeClient.enqueue(message);
                 continue;
             }
             if (messageClass < 0) {
-                Log.write("class " + held.messageClass + " is gone; its message is given up");
-                end(held, new AcceptedMessage.Notice(false, 0));
+                Log.write("message class " + message.messageClass + " is no longer configured; a restored message fails");
+                completeWithNotice(message, new AcceptedMessage.Notice(false, 0));
                 continue;
             }
-            double now = openTurn();
-            List<Relay.EarlierAttempt> earlier = new ArrayList<>();
-            for (AcceptedMessage.Attempt a : held.attempts) {
-                double sentAt = Math.min(now, (a.sentNanos - startNanos) / 1e6);
-                AttemptId out = new AttemptId(held.number, earlier.size());
-                OptionalLong call = outBefore.containsKey(out) ? OptionalLong.of(outBefore.get(out))
+            double nowMs = openTurn();
+            List<Relay.EarlierAttempt> earlierAttempts = new ArrayList<>();
+            for (AcceptedMessage.Attempt attempt : message.attempts) {
+                double sentAtMs = Math.min(nowMs, (attempt.sentNanos - startNanos) / 1e6);
+                AttemptId attemptId = new AttemptId(message.number, earlierAttempts.size());
+                OptionalLong callId = callsBefore.containsKey(attemptId) ? OptionalLong.of(callsBefore.get(attemptId))
                         : OptionalLong.empty();
-                call.ifPresent(c -> elsewhere.put(out, held));
-                earlier.add(new Relay.EarlierAttempt(endpointNumber(a.endpoint), sentAt, !a.neverRan, call));
+                callId.ifPresent(id -> predecessorAttempts.put(attemptId, message));
+                earlierAttempts.add(new Relay.EarlierAttempt(endpointNumber(attempt.endpoint), sentAtMs, !attempt.neverRan, callId));
             }
-            open.put(held.number, held);
-            byId.put(held.id, held);
-            held.acknowledged = true;
-            resumed++;
-            trace.step("resumed", held.id, (long) held.timeLeftMs(machine), held.attempts.size());
-            relay.messageRestored(now, message(held, messageClass, held.timeLeftMs(machine)), earlier);
+            openMessages.put(message.number, message);
+            openMessagesById.put(message.id, message);
+            message.acknowledged = true;
+            restored++;
+            trace.step("resumed", message.id, (long) message.timeLeftMs(machineClock), message.attempts.size());
+            relay.messageRestored(nowMs, toRelayMessage(message, messageClass, message.timeLeftMs(machineClock)), earlierAttempts);
         }
-        all.stream().filter(held -> !held.finished && !open.containsKey(held.number)).forEach(held ->
-                invariants.breached(Invariants.Rule.HELD_TAKEN_UP, held.id, "it is not tried again"));
-        Log.write(config.name() + " is ready, with " + resumed + " messages from its journal");
+        messages.stream().filter(message -> !message.finished && !openMessages.containsKey(message.number)).forEach(message ->
+                invariants.reportBreach(Invariants.Rule.HELD_TAKEN_UP, message.id, "not restored from the journal"));
+        Log.write(config.name() + " is ready; restored " + restored + " messages from its journal");
     }
 
-    private void recall(ProcessHandover.HandoverState told) {
-        told.ended().forEach(journal::rememberCompleted);
-        List<Relay.LearnedEndpointState> known = new ArrayList<>();
-        for (Relay.LearnedEndpointState k : told.memory().endpoints()) {
-            known.add(k.withEndpointId(endpointNumber(told.endpoints().get(known.size()))));
+    private void restoreHandoverState(ProcessHandover.HandoverState state) {
+        state.ended().forEach(journal::rememberCompleted);
+        List<Relay.LearnedEndpointState> learned = new ArrayList<>();
+        for (Relay.LearnedEndpointState endpoint : state.memory().endpoints()) {
+            learned.add(endpoint.withEndpointId(endpointNumber(state.endpoints().get(learned.size()))));
         }
-        relay.restoreLearnedState(openTurn(), new Relay.LearnedState(known, told.memory().firstSendsAgo(),
-                told.memory().copiesAgo(), told.memory().retriesAgo()));
+        relay.restoreLearnedState(openTurn(), new Relay.LearnedState(learned, state.memory().firstSendsAgo(),
+                state.memory().copiesAgo(), state.memory().retriesAgo()));
     }
 
-    private Relay.Message message(AcceptedMessage held, int messageClass, double leftMs) {
-        double left = Math.min(leftMs, config.settings().classes().get(messageClass).deadlineMs());
-        return new Relay.Message(held.number, messageClass, Math.max(0, config.tenantNames().indexOf(held.tenant)),
-                held.key, left, held.destination);
+    private Relay.Message toRelayMessage(AcceptedMessage message, int messageClass, double leftMs) {
+        double boundedLeftMs = Math.min(leftMs, config.settings().classes().get(messageClass).deadlineMs());
+        return new Relay.Message(message.number, messageClass, Math.max(0, config.tenantNames().indexOf(message.tenant)),
+                message.key, boundedLeftMs, message.destination);
     }
 
     // ---- the clock and turns ----
 
-    /** The module's time: one for all events of a turn, which ends when the loop has nothing more at hand. */
+    /**
+     * The time to pass to the decision module. All events of a turn share one time; the turn opens with its first event
+     * and ends when the event loop has run the tasks that were queued before.
+     */
     private double openTurn() {
         if (!turnOpen) {
             turnOpen = true;
-            clock = now();
+            turnTimeMs = nowMs();
             loop.execute(this::endTurn);
         }
-        return clock;
+        return turnTimeMs;
     }
 
-    /** Milliseconds since the start. */
-    private double now() {
+    /** Milliseconds since the start of this process. */
+    private double nowMs() {
         return (System.nanoTime() - startNanos) / 1e6;
     }
 
     private void endTurn() {
-        event(() -> relay.endTurn(clock));
+        runEvent(() -> relay.endTurn(turnTimeMs));
         turnOpen = false;
     }
 
-    /** A fault in one message's handling must not take the others down with the process. */
-    private static void fault(RuntimeException e) {
-        Log.write("fault in the module: " + e + " at " + List.of(e.getStackTrace()).stream().limit(5).toList());
+    /** Logs an internal error. An error in handling one message must not end the process and with it all others. */
+    private static void logModuleFault(RuntimeException fault) {
+        Log.write("fault in the module: " + fault + " at " + List.of(fault.getStackTrace()).stream().limit(5).toList());
     }
 
-    private void event(Runnable told) {
+    private void runEvent(Runnable moduleCall) {
         if (handedOver) {
             return;
         }
         try {
-            told.run();
-        } catch (RuntimeException e) {
-            fault(e);
+            moduleCall.run();
+        } catch (RuntimeException fault) {
+            logModuleFault(fault);
         }
     }
 
-    // ---- what the module asks ----
+    // ---- actions that the decision module asks for ----
 
     @Override
-    public void send(long message, long endpoint, double timeoutMs) {
-        AcceptedMessage held = open.get(message);
-        int number = held.attempts.size();
-        Optional<Invariants.Rule> breach = guard.violatedRule(held, directory.findDestination(endpoint).orElse(-1));
+    public void send(long messageNumber, long endpoint, double timeoutMs) {
+        AcceptedMessage message = openMessages.get(messageNumber);
+        int attemptNumber = message.attempts.size();
+        Optional<Invariants.Rule> breach = sendGuard.violatedRule(message, registry.findDestination(endpoint).orElse(-1));
         if (breach.isPresent()) {
-            invariants.breached(breach.get(), held.id, "an attempt at " + directory.id(endpoint) + " is not made");
-            held.attempts.add(AcceptedMessage.Attempt.neverSent(directory.id(endpoint), machine));
-            loop.execute(() -> attemptEnded(held, number, Relay.Outcome.NOT_SENT, false, 0, Relay.LoadReport.NONE, 0));
+            invariants.reportBreach(breach.get(), message.id, "an attempt at " + registry.id(endpoint) + " was prevented");
+            message.attempts.add(AcceptedMessage.Attempt.neverSent(registry.id(endpoint), machineClock));
+            loop.execute(() -> attemptCompleted(message, attemptNumber, Relay.Outcome.NOT_SENT, false, 0, Relay.LoadReport.NONE, 0));
             return;
         }
-        AcceptedMessage.Attempt attempt = AcceptedMessage.Attempt.sentAgo(directory.id(endpoint), 0, machine);
+        AcceptedMessage.Attempt attempt = AcceptedMessage.Attempt.sentAgo(registry.id(endpoint), 0, machineClock);
         try {
-            journal.recordAttempt(held, attempt);
+            journal.recordAttempt(message, attempt);
         } catch (IOException e) {
-            // Unrecorded it could run twice: it is not made.
-            loop.execute(() -> attemptEnded(held, number, Relay.Outcome.NOT_SENT, false, 0, Relay.LoadReport.NONE, 0));
+            // Without a record in the journal the message could run twice after a restart, so the attempt is not made.
+            loop.execute(() -> attemptCompleted(message, attemptNumber, Relay.Outcome.NOT_SENT, false, 0, Relay.LoadReport.NONE, 0));
             return;
         }
-        trace.step("attempt", held.id, number, attempt.endpoint);
-        calls.put(new AttemptId(message, number),
-                endpoints.startAttempt(held, number, endpoint, timeoutMs, startNanos + (long) (clock * 1e6)));
+        trace.step("attempt", message.id, attemptNumber, attempt.endpoint);
+        callsInFlight.put(new AttemptId(messageNumber, attemptNumber),
+                endpointClient.startAttempt(message, attemptNumber, endpoint, timeoutMs, startNanos + (long) (turnTimeMs * 1e6)));
     }
 
     @Override
-    public void cancel(long message, int attempt) {
-        EndpointClient.OutboundAttempt call = calls.get(new AttemptId(message, attempt));
+    public void cancel(long messageNumber, int attempt) {
+        EndpointClient.OutboundAttempt call = callsInFlight.get(new AttemptId(messageNumber, attempt));
         if (call != null) {
-            endpoints.cancel(call);
-        } else if (elsewhere.containsKey(new AttemptId(message, attempt))) {
-            succession.cancelAttempt(message, attempt);
+            endpointClient.cancel(call);
+        } else if (predecessorAttempts.containsKey(new AttemptId(messageNumber, attempt))) {
+            handover.cancelAttempt(messageNumber, attempt);
         }
     }
 
     @Override
     public void closeIdleConnections(long endpoint) {
-        endpoints.closeIdleConnections(endpoint);
+        endpointClient.closeIdleConnections(endpoint);
     }
 
     @Override
-    public void reject(long message, double waitMs) {
-        figures.ended(open.get(message).messageClass, Metrics.Completion.REJECTED);
-        end(open.get(message), new AcceptedMessage.Notice(true, waitMs));
+    public void reject(long messageNumber, double retryAfterMs) {
+        metrics.messageCompleted(openMessages.get(messageNumber).messageClass, Metrics.Completion.REJECTED);
+        completeWithNotice(openMessages.get(messageNumber), new AcceptedMessage.Notice(true, retryAfterMs));
     }
 
     @Override
-    public void fail(long message) {
-        figures.ended(open.get(message).messageClass, Metrics.Completion.FAILED);
-        end(open.get(message), new AcceptedMessage.Notice(false, 0));
+    public void fail(long messageNumber) {
+        metrics.messageCompleted(openMessages.get(messageNumber).messageClass, Metrics.Completion.FAILED);
+        completeWithNotice(openMessages.get(messageNumber), new AcceptedMessage.Notice(false, 0));
     }
 
     @Override
-    public void wakeAt(double time) {
-        long nanos = (long) (time * 1e6) - (System.nanoTime() - startNanos);
-        loop.schedule(() -> event(() -> relay.wake(openTurn())), Math.max(0, nanos), TimeUnit.NANOSECONDS);
+    public void wakeAt(double timeMs) {
+        long delayNanos = (long) (timeMs * 1e6) - (System.nanoTime() - startNanos);
+        loop.schedule(() -> runEvent(() -> relay.wake(openTurn())), Math.max(0, delayNanos), TimeUnit.NANOSECONDS);
     }
 
     @Override
@@ -411,107 +430,108 @@
 
     @Override
     public void saveEndpointHealth(long endpoint, Relay.EndpointHealth health) {
-        remember(directory.id(endpoint), Journal.RecordedHealth.ofAge(clock - health.sinceMs(), health.state(),
-                health.sustainedPerMs(), machine));
+        saveHealth(registry.id(endpoint), Journal.RecordedHealth.ofAge(turnTimeMs - health.sinceMs(), health.state(),
+                health.sustainedPerMs(), machineClock));
     }
 
-    private void remember(String endpoint, Journal.RecordedHealth health) {
+    private void saveHealth(String endpoint, Journal.RecordedHealth health) {
         if (journal != null) {
             journal.recordEndpointHealth(endpoint, health);
         }
     }
 
-    private void end(AcceptedMessage held, AcceptedMessage.Notice notice) {
-        if (held.finished) {
-            invariants.breached(Invariants.Rule.ONE_END, held.id, "it ends once more, by " + notice);
+    private void completeWithNotice(AcceptedMessage message, AcceptedMessage.Notice notice) {
+        if (message.finished) {
+            invariants.reportBreach(Invariants.Rule.ONE_END, message.id, "a second final result: " + notice);
             return;
         }
-        trace.step(notice.bounced() ? "refused" : "failed", held.id, held.attempts.size());
-        over(held);
-        journal.recordNotice(held, notice);
-        notices.enqueue(held);
+        trace.step(notice.bounced() ? "refused" : "failed", message.id, message.attempts.size());
+        finishMessage(message);
+        journal.recordNotice(message, notice);
+        noticeClient.enqueue(message);
     }
 
-    // ---- what the module is told ----
+    // ---- events for the decision module ----
 
-    /** The endpoints' side. */
+    /** Passes results of calls to the decision module, or to the next process after a handover. */
     private final class CallResults implements EndpointClient.CallListener {
         @Override
-        public void completed(EndpointClient.OutboundAttempt call, Relay.Outcome outcome, boolean gone, double waitMs,
+        public void completed(EndpointClient.OutboundAttempt call, Relay.Outcome outcome, boolean messageOver, double retryAfterMs,
                 Relay.LoadReport report) {
-            calls.remove(new AttemptId(call.message.number, call.attemptNumber));
-            double took = (System.nanoTime() - call.startedNanos) / 1e6;
+            callsInFlight.remove(new AttemptId(call.message.number, call.attemptNumber));
+            double durationMs = (System.nanoTime() - call.startedNanos) / 1e6;
             if (handedOver) {
-                succession.sendResult(new ProcessHandover.InFlightResult(call.message.number, call.attemptNumber, outcome,
-                        gone, waitMs, report, took));
+                handover.sendResult(new ProcessHandover.InFlightResult(call.message.number, call.attemptNumber, outcome, messageOver,
+                        retryAfterMs, report, durationMs));
                 return;
             }
-            attemptEnded(call.message, call.attemptNumber, outcome, gone, waitMs, report, took);
+            attemptCompleted(call.message, call.attemptNumber, outcome, messageOver, retryAfterMs, report, durationMs);
         }
 
         @Override
-        public void retryAfterReceived(long endpoint, double waitMs) {
+        public void retryAfterReceived(long endpoint, double retryAfterMs) {
             if (handedOver) {
-                succession.sendRetryAfter(directory.id(endpoint), waitMs);
+                handover.sendRetryAfter(registry.id(endpoint), retryAfterMs);
             } else {
-                Sender.this.waitTold(endpoint, waitMs);
+                Sender.this.retryAfterReceived(endpoint, retryAfterMs);
             }
         }
 
         @Override
         public void callWritten(int messages) {
-            figures.written(messages);
+            metrics.messagesWritten(messages);
         }
 
         /**
-         * The module keeps told waits, drains and the windows of keyed messages by the time at which it decides.
-         * Where the CPU is scarce, as after a start, or a connect takes long, that may have changed at the write.
-         * After a handover what is not written is the other process's to send. Where calls can't be called off, that
-         * of a message that is over comes here too.
+         * The decision module respects Retry-After waits, draining endpoints and the deduplication windows of keyed
+         * messages as of the time of its decision. They may change before the call is written if CPU time is scarce, as
+         * after a start, or if connecting takes long. After a handover, calls that are not yet written are for the next
+         * process to make. If calls can't be cancelled, the call of a finished message gets here as well.
          */
         @Override
         public boolean sendAllowed(EndpointClient.OutboundAttempt call) {
             Optional<SendGuard.SuppressionReason> reason = handedOver
                     ? Optional.of(SendGuard.SuppressionReason.HANDED_OVER)
-                    : guard.suppressionReason(call.message, call.attemptNumber,
-                            relay.sendAllowed(now(), call.endpoint()), machine.nanos());
-            reason.ifPresent(figures::heldBack);
+                    : sendGuard.suppressionReason(call.message, call.attemptNumber,
+                            relay.sendAllowed(nowMs(), call.endpoint()),
+                            machineClock.nanos());
+            reason.ifPresent(metrics::callSuppressed);
             trace.step(reason.map(r -> "heldback:" + r).orElse("write"), call.message.id, call.attemptNumber);
             return reason.isEmpty();
         }
     }
 
-    /** A wait runs from when it is told; the turn may have been open for long. */
-    private void waitTold(long endpoint, double waitMs) {
-        event(() -> relay.retryAfterReceived(openTurn(), endpoint, waitMs + now() - clock));
+    /** The wait counts from now, but the turn's time may be older, so the difference is added. */
+    private void retryAfterReceived(long endpoint, double retryAfterMs) {
+        runEvent(() -> relay.retryAfterReceived(openTurn(), endpoint, retryAfterMs + nowMs() - turnTimeMs));
     }
 
-    private void attemptEnded(AcceptedMessage held, int attempt, Relay.Outcome outcome, boolean gone, double waitMs,
-            Relay.LoadReport report, double took) {
-        trace.step("ended", held.id, attempt, outcome, (long) took, (long) waitMs);
-        if (!held.finished && (gone || outcome == Relay.Outcome.DELIVERED)) {
-            over(held);
+    private void attemptCompleted(AcceptedMessage message, int attempt, Relay.Outcome outcome, boolean messageOver, double retryAfterMs,
+            Relay.LoadReport report, double durationMs) {
+        trace.step("ended", message.id, attempt, outcome, (long) durationMs, (long) retryAfterMs);
+        if (!message.finished && (messageOver || outcome == Relay.Outcome.DELIVERED)) {
+            finishMessage(message);
             if (outcome == Relay.Outcome.DELIVERED) {
-                figures.ended(held.messageClass, Metrics.Completion.COMPLETED);
+                metrics.messageCompleted(message.messageClass, Metrics.Completion.COMPLETED);
             }
-            journal.recordCompleted(held);
-        } else if (!held.finished && !outcome.mayHaveRun()) {
-            journal.recordNeverRan(held, attempt);
+            journal.recordCompleted(message);
+        } else if (!message.finished && !outcome.mayHaveRun()) {
+            journal.recordNeverRan(message, attempt);
         }
-        boolean finished = held.finished;
-        event(() -> relay.attemptCompleted(openTurn(), new Relay.AttemptResult(held.number, attempt, outcome, took,
-                finished, waitMs, report)));
+        boolean finished = message.finished;
+        runEvent(() -> relay.attemptCompleted(openTurn(), new Relay.AttemptResult(message.number, attempt, outcome, durationMs,
+                finished, retryAfterMs, report)));
     }
 
-    private void over(AcceptedMessage held) {
-        held.finished = true;
-        open.remove(held.number);
-        byId.remove(held.id);
+    private void finishMessage(AcceptedMessage message) {
+        message.finished = true;
+        openMessages.remove(message.number);
+        openMessagesById.remove(message.id);
     }
 
-    private void heard(AcceptedMessage held) {
-        trace.step("heard", held.id);
-        journal.recordCompleted(held);
+    private void closeInJournal(AcceptedMessage message) {
+        trace.step("heard", message.id);
+        journal.recordCompleted(message);
     }
 
     private void catchUpJournal() {
@@ -520,96 +540,102 @@
         }
     }
 
-    /** Discovery's side. */
+    /** Applies the endpoint lists that discovery reads. */
     private final class EndpointListUpdates implements Discovery.UpdateListener {
         @Override
         public void updateStarted() {
-            directory.beginUpdate();
+            registry.beginUpdate();
         }
 
         @Override
         public void entriesRead(List<Discovery.Entry> entries) {
-            Sender.this.named(entries);
+            Sender.this.applyListEntries(entries);
         }
 
         @Override
-        public void updateCompleted(boolean whole) {
-            if (whole) {
-                leave();
+        public void updateCompleted(boolean fullList) {
+            if (fullList) {
+                removeUnlisted();
             }
-            forgetGone();
-            if (directory.skippedCount() > 0) {
-                Log.write("the list names " + directory.skippedCount() + " endpoints beyond the " + MOST_ENDPOINTS
-                        + " that the heap has room for; they get nothing");
+            forgetRemoved();
+            if (registry.skippedCount() > 0) {
+                Log.write("the endpoint list is too long: ignoring " + registry.skippedCount()
+                        + " endpoints beyond the " + MAX_ENDPOINTS + " that fit into the heap");
             }
-            listed = true;
-            begin();
+            listKnown = true;
+            restoreWhenReady();
         }
 
         @Override
         public void firstRequestEnded() {
-            asked = true;
-            begin();
+            listQueryDone = true;
+            restoreWhenReady();
         }
     }
 
-    /** Entries bind as they are read; the module is told of them as of changes, since a list may come in portions. */
-    private void named(List<Discovery.Entry> entries) {
-        List<Relay.Endpoint> list = new ArrayList<>(entries.size());
-        long now = System.nanoTime();
-        for (Discovery.Entry e : entries) {
-            if (e.address().isEmpty() && directory.findNumber(e.id()).isEmpty()) {
+    /**
+     * Applies entries as soon as they are read. They are passed to the decision module as changes rather than as a full
+     * list, since a list may arrive in portions.
+     */
+    private void applyListEntries(List<Discovery.Entry> entries) {
+        List<Relay.Endpoint> changes = new ArrayList<>(entries.size());
+        long nowNanos = System.nanoTime();
+        for (Discovery.Entry entry : entries) {
+            if (entry.address().isEmpty() && registry.findNumber(entry.id()).isEmpty()) {
                 continue;
             }
-            directory.findDisplaced(e, now).ifPresent(other -> {
-                endpoints.closeIdleConnections(other.number());
-                list.add(goneEndpoint(other));
+            registry.findDisplaced(entry, nowNanos).ifPresent(displaced -> {
+                endpointClient.closeIdleConnections(displaced.number());
+                changes.add(removedEndpoint(displaced));
             });
-            OptionalLong room = directory.register(e, now);
-            if (room.isEmpty()) {
+            OptionalLong assigned = registry.register(entry, nowNanos);
+            if (assigned.isEmpty()) {
                 continue;
             }
-            long number = room.getAsLong();
-            int kind = Math.max(0, config.kindNames().indexOf(e.kind()));
-            e.address().ifPresent(address -> endpoints.updateEndpoint(number, address, e.serving(),
-                    config.settings().kinds().get(kind).maxBatchSize()));
-            list.add(new Relay.Endpoint(number, e.destination(), kind,
-                    Math.max(0, config.zoneNames().indexOf(e.zone())), e.serving(), e.weight(), e.removed()));
+            long endpointNumber = assigned.getAsLong();
+            int kindIndex = Math.max(0, config.kindNames().indexOf(entry.kind()));
+            entry.address().ifPresent(address -> endpointClient.updateEndpoint(endpointNumber, address, entry.serving(),
+                    config.settings().kinds().get(kindIndex).maxBatchSize()));
+            changes.add(new Relay.Endpoint(endpointNumber, entry.destination(), kindIndex,
+                    Math.max(0, config.zoneNames().indexOf(entry.zone())), entry.serving(), entry.weight(), entry.removed()));
         }
-        event(() -> relay.endpointsChanged(openTurn(), false, list));
+        runEvent(() -> relay.endpointsChanged(openTurn(), false, changes));
     }
 
-    /** A whole list has ended. Those that it did not name get the rate that they or their destination had. */
-    private void leave() {
-        List<Relay.Endpoint> left = directory.markUnnamedRemoved(System.nanoTime()).stream()
-                .map(Sender::goneEndpoint).toList();
-        event(() -> relay.endpointsChanged(openTurn(), false, left));
+    /**
+     * Removes the endpoints that a full list did not name, once it has been read. Each is reported with the rate that
+     * the list gave last for an endpoint of its destination.
+     */
+    private void removeUnlisted() {
+        List<Relay.Endpoint> removed = registry.markUnnamedRemoved(System.nanoTime()).stream()
+                .map(Sender::removedEndpoint).toList();
+        runEvent(() -> relay.endpointsChanged(openTurn(), false, removed));
     }
 
-    private static Relay.Endpoint goneEndpoint(EndpointRegistry.RegisteredEndpoint gone) {
-        return new Relay.Endpoint(gone.number(), gone.destination(), 0, 0, false, gone.listedRate(), true);
+    private static Relay.Endpoint removedEndpoint(EndpointRegistry.RegisteredEndpoint endpoint) {
+        return new Relay.Endpoint(endpoint.number(), endpoint.destination(), 0, 0, false, endpoint.listedRate(), true);
     }
 
-    /** Later than the module does, lest it name one that is no longer known here. */
-    private void forgetGone() {
-        for (EndpointRegistry.RegisteredEndpoint gone
-                : directory.evictRemoved(System.nanoTime(), TimeUnit.MILLISECONDS.toNanos(GONE_MS))) {
-            endpoints.removeEndpoint(gone.number());
-            if (directory.findNumber(gone.id()).isEmpty()) {
-                remember(gone.id(), new Journal.RecordedHealth(Relay.EndpointState.UP, 0, 0));
+    /** Forgets removed endpoints, later than the decision module does, which must not name one unknown here. */
+    private void forgetRemoved() {
+        for (EndpointRegistry.RegisteredEndpoint endpoint
+                : registry.evictRemoved(System.nanoTime(), TimeUnit.MILLISECONDS.toNanos(REMOVED_ENDPOINT_RETENTION_MS))) {
+            endpointClient.removeEndpoint(endpoint.number());
+            if (registry.findNumber(endpoint.id()).isEmpty()) {
+                saveHealth(endpoint.id(), new Journal.RecordedHealth(Relay.EndpointState.UP, 0, 0));
             }
         }
     }
 
     private long endpointNumber(String id) {
-        return directory.getOrAssignNumber(id, System.nanoTime());
+        return registry.getOrAssignNumber(id, System.nanoTime());
     }
 
-    /** The clients' side. */
+    /** Accepts or rejects what clients submit. */
     private final class SubmissionService implements ClientServer.SubmissionHandler {
         @Override
         public boolean ready() {
-            return ready && !closing || handedOver;
+            return ready && !shuttingDown || handedOver;
         }
 
         @Override
@@ -630,42 +656,42 @@
 
         @Override
         public boolean knowsDestination(long destination) {
-            boolean known = directory.knowsDestination(destination);
+            boolean known = registry.knowsDestination(destination);
             if (!known) {
-                figures.refused(Metrics.RejectionReason.UNKNOWN_DESTINATION);
+                metrics.messageRejected(Metrics.RejectionReason.UNKNOWN_DESTINATION);
             }
             return known;
         }
 
         @Override
-        public boolean handsOn() {
+        public boolean forwardsSubmissions() {
             return handedOver;
         }
 
         @Override
-        public void handOn(ClientServer.Submission submission, Consumer<HttpResponseStatus> answer) {
-            succession.forward(submission, answer);
+        public void forward(ClientServer.Submission submission, Consumer<HttpResponseStatus> answer) {
+            handover.forward(submission, answer);
         }
 
         @Override
-        public void closes(ClientServer.CloseReason reason) {
-            figures.closed(reason);
+        public void connectionClosing(ClientServer.CloseReason reason) {
+            metrics.clientClosed(reason);
         }
 
         @Override
-        public void leavesUnanswered(ClientServer.CloseReason reason) {
-            invariants.breached(Invariants.Rule.REQUEST_ANSWERED, "-", "a request is left by " + reason);
+        public void requestLeftUnanswered(ClientServer.CloseReason reason) {
+            invariants.reportBreach(Invariants.Rule.REQUEST_ANSWERED, "-", "a request got no answer; closed by " + reason);
         }
 
         @Override
-        public void turnedAway(String messageClass) {
-            figures.ended(messageClass, Metrics.Completion.REJECTED);
+        public void submissionRejected(String messageClass) {
+            metrics.messageCompleted(messageClass, Metrics.Completion.REJECTED);
         }
 
-        /** What was ended by a notice is not taken on again under its id, nor is it owed anything more. */
+        /** A message that ended with a notice is not accepted again under its id, and needs no further notice. */
         @Override
-        public Optional<HttpResponseStatus> answeredBefore(String id) {
-            if (byId.containsKey(id)) {
+        public Optional<HttpResponseStatus> previousAnswer(String id) {
+            if (openMessagesById.containsKey(id)) {
                 return Optional.of(HttpResponseStatus.ACCEPTED);
             }
             return journal.deliveredBefore(id).map(delivered ->
@@ -673,196 +699,197 @@
         }
 
         @Override
-        public Optional<AcceptedMessage> take(ClientServer.Submission s) {
-            if (!ready || open.size() >= config.maxPendingMessages()) {
-                return refuse(s, ready ? Metrics.RejectionReason.NO_ROOM : Metrics.RejectionReason.NOT_READY);
+        public Optional<AcceptedMessage> accept(ClientServer.Submission submission) {
+            if (!ready || openMessages.size() >= config.maxPendingMessages()) {
+                return reject(submission, ready ? Metrics.RejectionReason.NO_ROOM : Metrics.RejectionReason.NOT_READY);
             }
-            double mostMs = config.settings().classes().get(config.classNames().indexOf(s.messageClass()))
+            double classDeadlineMs = config.settings().classes().get(config.classNames().indexOf(submission.messageClass()))
                     .deadlineMs();
-            if (s.budgetMs() < AcceptedMessage.maxUnreadMs(mostMs)) {
-                // Its time may be up already: then no end could come in time, where a refusal does no harm.
-                return refuse(s, Metrics.RejectionReason.TOO_LITTLE_TIME);
+            if (submission.budgetMs() < AcceptedMessage.maxUnreadMs(classDeadlineMs)) {
+                // The deadline may have passed already, and a result would be too late; a rejection does no harm.
+                return reject(submission, Metrics.RejectionReason.TOO_LITTLE_TIME);
             }
-            AcceptedMessage held = AcceptedMessage.fromSubmission(journal.nextNumber(), s, mostMs, machine);
+            AcceptedMessage message = AcceptedMessage.fromSubmission(journal.nextNumber(), submission, classDeadlineMs, machineClock);
             try {
-                journal.recordAccepted(held);
+                journal.recordAccepted(message);
             } catch (Journal.JournalFullException e) {
-                return refuse(s, Metrics.RejectionReason.NO_ROOM);
+                return reject(submission, Metrics.RejectionReason.NO_ROOM);
             } catch (IOException e) {
-                return refuse(s, Metrics.RejectionReason.JOURNAL);
+                return reject(submission, Metrics.RejectionReason.JOURNAL);
             }
-            open.put(held.number, held);
-            byId.put(held.id, held);
-            trace.step("taken", held.id, held.messageClass, held.destination, s.budgetMs());
-            return Optional.of(held);
+            openMessages.put(message.number, message);
+            openMessagesById.put(message.id, message);
+            trace.step("taken", message.id, message.messageClass, message.destination, submission.budgetMs());
+            return Optional.of(message);
         }
 
-        private Optional<AcceptedMessage> refuse(ClientServer.Submission s, Metrics.RejectionReason reason) {
-            figures.refused(reason);
-            trace.step("turnedaway", s.id(), reason);
+        private Optional<AcceptedMessage> reject(ClientServer.Submission submission, Metrics.RejectionReason reason) {
+            metrics.messageRejected(reason);
+            trace.step("turnedaway", submission.id(), reason);
             return Optional.empty();
         }
 
         @Override
-        public void answered(AcceptedMessage held, boolean heard) {
-            if (held.acknowledged || held.finished || handedOver) {
+        public void responseWritten(AcceptedMessage message, boolean written) {
+            if (message.acknowledged || message.finished || handedOver) {
                 return;
             }
-            held.acknowledged = heard;
-            trace.step(heard ? "answered" : "unheard", held.id);
-            if (!heard) {
-                // A client that never heard of its being taken is owed nothing, and will come again.
-                over(held);
-                Sender.this.heard(held);
+            message.acknowledged = written;
+            trace.step(written ? "answered" : "unheard", message.id);
+            if (!written) {
+                // The client did not get the answer: it submits the message again, and this one needs no result.
+                finishMessage(message);
+                Sender.this.closeInJournal(message);
                 return;
             }
-            int messageClass = config.classNames().indexOf(held.messageClass);
-            event(() -> relay.messageAccepted(openTurn(), message(held, messageClass, held.timeLeftMs(machine))));
+            int messageClass = config.classNames().indexOf(message.messageClass);
+            runEvent(() -> relay.messageAccepted(openTurn(), toRelayMessage(message, messageClass, message.timeLeftMs(machineClock))));
         }
     }
 
-    /** The operators' side. */
+    /** Carries out the operators' commands. */
     private final class OperatorCommands implements OperatorServer.CommandHandler {
         @Override
-        public boolean serves() {
-            return !closing && (ready || listed && succession.isRegisteredFollower());
+        public boolean canServe() {
+            return !shuttingDown && (ready || listKnown && handover.isRegisteredFollower());
         }
 
         @Override
-        public String figures() {
-            Relay.EndpointCounts standing = relay.endpointCounts();
-            return figures.text(open.size(), standing.listed(), standing.unavailable(),
+        public String metrics() {
+            Relay.EndpointCounts counts = relay.endpointCounts();
+            return metrics.toPrometheusText(openMessages.size(), counts.listed(), counts.unavailable(),
                     Optional.ofNullable(journal).map(Journal::writeFailures).orElse(0L),
                     Optional.ofNullable(journal).filter(Journal::isBehind).isPresent(), invariants);
         }
 
         @Override
-        public void evacuate(boolean away) {
-            Log.write(away ? "operators send the clients away" : "operators take the clients back");
-            intake.evacuate(away);
+        public void evacuate(boolean start) {
+            Log.write(start ? "operator command: evacuating clients" : "operator command: accepting clients again");
+            clientServer.evacuate(start);
         }
     }
 
-    /** The side of the processes before and after this one. */
+    /** Reacts to the process before and the process after this one. */
     private final class HandoverEvents implements ProcessHandover.Callbacks {
         @Override
-        public void becomeLeader(Optional<ProcessHandover.HandoverState> told) throws IOException {
-            journal = new Journal(config.stateFolder(), config.diskBytes(), config.settings().maxAttempts(), machine,
+        public void becomeLeader(Optional<ProcessHandover.HandoverState> state) throws IOException {
+            journal = new Journal(config.stateFolder(), config.diskBytes(), config.settings().maxAttempts(), machineClock,
                     FileChannel::open);
             journal.onFailure(afterMs -> loop.schedule(Sender.this::catchUpJournal, afterMs, TimeUnit.MILLISECONDS));
-            legacy = told;
-            if (succession.hasPredecessor()) {
-                intake.bound(mostClients / 2);
+            receivedState = state;
+            if (handover.hasPredecessor()) {
+                clientServer.setConnectionLimit(maxClients / 2);
             }
-            begin();
+            restoreWhenReady();
             clientListener.start();
         }
 
         @Override
         public ProcessHandover.HandoverState handoverState() {
-            Relay.LearnedState memory = relay.learnedState(openTurn());
-            List<ProcessHandover.InFlightAttempt> out = new ArrayList<>();
-            calls.forEach((o, call) ->
-                    out.add(new ProcessHandover.InFlightAttempt(o.message(), o.attempt(), call.callId())));
-            return new ProcessHandover.HandoverState(journal.completedIds(), out,
-                    memory.endpoints().stream().map(known -> directory.id(known.endpoint())).toList(), memory);
+            Relay.LearnedState learnedState = relay.learnedState(openTurn());
+            List<ProcessHandover.InFlightAttempt> inFlight = new ArrayList<>();
+            callsInFlight.forEach((id, call) ->
+                    inFlight.add(new ProcessHandover.InFlightAttempt(id.messageNumber(), id.attempt(), call.callId())));
+            return new ProcessHandover.HandoverState(journal.completedIds(), inFlight,
+                    learnedState.endpoints().stream().map(endpoint -> registry.id(endpoint.endpoint())).toList(), learnedState);
         }
 
         @Override
         public void successorListening() {
-            // Not at once: the connections that have come are taken first.
+            // Deferred, so that connections already waiting are accepted first.
             loop.execute(clientListener::close);
         }
 
-        /** Its client hears the answer from the other process, but it is taken on here. */
+        /** Accepts a message that a client submitted to the previous process, which passes on the answer. */
         @Override
-        public HttpResponseStatus messageForwarded(ClientServer.Submission s) {
-            Optional<HttpResponseStatus> before = clients.answeredBefore(s.id());
-            if (before.isPresent()) {
-                return before.get();
+        public HttpResponseStatus messageForwarded(ClientServer.Submission submission) {
+            Optional<HttpResponseStatus> previousAnswer = submissionService.previousAnswer(submission.id());
+            if (previousAnswer.isPresent()) {
+                return previousAnswer.get();
             }
-            Optional<AcceptedMessage> taken = clients.knowsDestination(s.destination()) ? clients.take(s)
+            Optional<AcceptedMessage> accepted = submissionService.knowsDestination(submission.destination()) ? submissionService.accept(submission)
                     : Optional.empty();
-            taken.ifPresentOrElse(held -> clients.answered(held, true), () -> clients.turnedAway(s.messageClass()));
-            return taken.isPresent() ? HttpResponseStatus.ACCEPTED : HttpResponseStatus.SERVICE_UNAVAILABLE;
+            accepted.ifPresentOrElse(message -> submissionService.responseWritten(message, true), () -> submissionService.submissionRejected(submission.messageClass()));
+            return accepted.isPresent() ? HttpResponseStatus.ACCEPTED : HttpResponseStatus.SERVICE_UNAVAILABLE;
         }
 
         @Override
-        public void predecessorAttemptCompleted(ProcessHandover.InFlightResult end) {
-            AcceptedMessage held = elsewhere.remove(new AttemptId(end.message(), end.attempt()));
-            if (held != null) {
-                attemptEnded(held, end.attempt(), end.outcome(), end.gone(), end.waitMs(), end.report(),
-                        end.tookMs());
+        public void predecessorAttemptCompleted(ProcessHandover.InFlightResult result) {
+            AcceptedMessage message = predecessorAttempts.remove(new AttemptId(result.message(), result.attempt()));
+            if (message != null) {
+                attemptCompleted(message, result.attempt(), result.outcome(), result.gone(), result.waitMs(), result.report(),
+                        result.tookMs());
             }
         }
 
         @Override
-        public void retryAfterForwarded(String endpoint, double waitMs) {
-            directory.findNumber(endpoint).ifPresent(n -> Sender.this.waitTold(n, waitMs));
+        public void retryAfterForwarded(String endpoint, double retryAfterMs) {
+            registry.findNumber(endpoint).ifPresent(number -> Sender.this.retryAfterReceived(number, retryAfterMs));
         }
 
         @Override
-        public void attemptCancelled(long message, int attempt) {
-            cancel(message, attempt);
+        public void attemptCancelled(long messageNumber, int attempt) {
+            cancel(messageNumber, attempt);
         }
 
-        /** What it had out may have run; its journal has been this process's for long. */
+        /** The attempts that the previous process had in flight may have run; its journal was taken over before. */
         @Override
         public void predecessorGone() {
-            Log.write("the process before has left, with " + elsewhere.size() + " attempts out");
-            Map<AttemptId, AcceptedMessage> lost = new HashMap<>(elsewhere);
-            elsewhere.clear();
-            lost.forEach((out, held) -> attemptEnded(held, out.attempt(), Relay.Outcome.BROKEN, false, 0,
+            Log.write("the previous process has exited; " + predecessorAttempts.size() + " attempts were in flight");
+            Map<AttemptId, AcceptedMessage> lost = new HashMap<>(predecessorAttempts);
+            predecessorAttempts.clear();
+            lost.forEach((id, message) -> attemptCompleted(message, id.attempt(), Relay.Outcome.BROKEN, false, 0,
                     Relay.LoadReport.NONE, 0));
-            intake.bound(mostClients);
+            clientServer.setConnectionLimit(maxClients);
         }
     }
 
     /**
-     * Hands all that is held to the process that follows. It decides from here on; this one still waits for the
-     * calls that are out, and for requests on the connections that clients have here.
+     * Hands all messages over to the process that follows, which makes the decisions from here on. This process still
+     * awaits the results of its calls in flight, and forwards the requests on its remaining client connections.
      */
     private void handOver() {
-        ProcessHandover.HandoverState told = new HandoverEvents().handoverState();
+        ProcessHandover.HandoverState state = new HandoverEvents().handoverState();
         handedOver = true;
-        closing = true;
-        notices.stop();
+        shuttingDown = true;
+        noticeClient.stop();
         journal.handOver();
-        succession.handOver(told);
-        intake.handOver();
-        endpoints.closeAllIdleConnections();
-        Log.write(config.name() + " has handed over " + open.size() + " messages, " + told.out().size()
-                + " attempts out");
-        open.clear();
-        byId.clear();
+        handover.handOver(state);
+        clientServer.handOver();
+        endpointClient.closeAllIdleConnections();
+        Log.write(config.name() + " has handed over " + openMessages.size() + " messages to the next process, with "
+                + state.out().size() + " attempts in flight");
+        openMessages.clear();
+        openMessagesById.clear();
     }
 
-    // ---- the end ----
+    // ---- shutdown ----
 
     /**
-     * Ends in order, within the time before SIGKILL: takes messages while new connections still come, starts
-     * no call that can't end in time, and lets calls and notices out finish. The journal holds the rest.
+     * Shuts down gracefully within the time before SIGKILL: accepts messages while new connections may still arrive,
+     * starts no call that can't finish in time, and waits for calls and notices in flight. The journal keeps the rest.
+     * If another process follows, everything is handed over to it instead.
      */
     void drain() {
-        long begun = System.nanoTime();
+        long drainStartNanos = System.nanoTime();
         loop.execute(() -> {
-            if (succession != null && succession.hasFollower()) {
+            if (handover != null && handover.hasFollower()) {
                 handOver();
-                awaitIdle(begun);
+                awaitIdle(drainStartNanos);
                 return;
             }
-            closing = true;
+            shuttingDown = true;
             if (journal == null) {
-                // It only followed: nothing is held here.
+                // This process never led, so it has no messages.
                 stopped.countDown();
                 return;
             }
-            event(() -> relay.shutdownScheduled(openTurn(), clock + closingMs));
+            runEvent(() -> relay.shutdownScheduled(openTurn(), turnTimeMs + drainTimeoutMs));
             loop.schedule(() -> {
                 clientListener.close();
-                intake.close();
-                awaitIdle(begun);
-            }, takingMs, TimeUnit.MILLISECONDS);
+                clientServer.closeAfterNextResponse();
+                awaitIdle(drainStartNanos);
+            }, drainAcceptMs, TimeUnit.MILLISECONDS);
         });
         try {
             stopped.await();
@@ -871,31 +898,31 @@
         }
     }
 
-    private void awaitIdle(long begun) {
-        boolean idle = open.isEmpty() && notices.pendingCount() == 0 && intake.clients() == 0
-                && (!handedOver || calls.isEmpty());
-        if (idle || System.nanoTime() - begun >= TimeUnit.MILLISECONDS.toNanos(closingMs)) {
-            Log.write(config.name() + " ends; " + (handedOver ? calls.size() + " attempts are out"
-                    : "its journal holds " + open.size() + " messages and " + notices.pendingCount() + " notices"));
-            intake.shut();
-            awaitClientsGone(System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(PARTING_MS));
+    private void awaitIdle(long drainStartNanos) {
+        boolean idle = openMessages.isEmpty() && noticeClient.pendingCount() == 0 && clientServer.connectionCount() == 0
+                && (!handedOver || callsInFlight.isEmpty());
+        if (idle || System.nanoTime() - drainStartNanos >= TimeUnit.MILLISECONDS.toNanos(drainTimeoutMs)) {
+            Log.write(config.name() + " is stopping; " + (handedOver ? callsInFlight.size() + " attempts are in flight"
+                    : "its journal keeps " + openMessages.size() + " messages and " + noticeClient.pendingCount() + " notices"));
+            clientServer.shutDown();
+            awaitClientsClosed(System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(CLIENT_CLOSE_TIMEOUT_MS));
             return;
         }
-        loop.schedule(() -> awaitIdle(begun), DRAIN_POLL_MS, TimeUnit.MILLISECONDS);
+        loop.schedule(() -> awaitIdle(drainStartNanos), DRAIN_POLL_INTERVAL_MS, TimeUnit.MILLISECONDS);
     }
 
-    private void awaitClientsGone(long untilNanos) {
-        if (intake.clients() == 0 || System.nanoTime() >= untilNanos) {
+    private void awaitClientsClosed(long untilNanos) {
+        if (clientServer.connectionCount() == 0 || System.nanoTime() >= untilNanos) {
             stopped.countDown();
         } else {
-            loop.schedule(() -> awaitClientsGone(untilNanos), DRAIN_POLL_MS, TimeUnit.MILLISECONDS);
+            loop.schedule(() -> awaitClientsClosed(untilNanos), DRAIN_POLL_INTERVAL_MS, TimeUnit.MILLISECONDS);
         }
     }
 
-    /** Lets go of everything at once, as the end of the process would: the journal first. */
+    /** Releases everything at once, as if the process were killed; for tests. */
     void kill() {
         loop.submit(() -> {
-            succession.close();
+            handover.close();
             operatorListener.ifPresent(RetryingListener::close);
             clientListener.close();
             if (journal != null) {
--- a/src/main/java/kestreldeal/net/Trace.java
+++ b/src/main/java/kestreldeal/net/Trace.java
@@ -10,32 +10,33 @@
 import java.util.Optional;
 
 /**
- * What happens to each message, a line for each step: the monotonic clock in milliseconds, the step, the message's id and
- * what belongs to it. For following one message by its id; it is off unless the environment names a file.
+ * Trace of what happens to each message, for following one message by its id. Each step is a line with the monotonic
+ * clock in milliseconds, the step, the message's id and details of the step. Tracing is off unless the environment
+ * names a file.
  */
 final class Trace {
-    /** The variable of the environment that names the file; lives of a sender add to it. */
-    static final String FILE = "GW_TRACE";
+    /** The environment variable that names the file; further runs of a sender append to it. */
+    static final String FILE_VARIABLE = "GW_TRACE";
     static final Trace OFF = new Trace(Optional.empty());
 
-    private final Optional<PrintWriter> out;
+    private final Optional<PrintWriter> output;
 
-    private Trace(Optional<PrintWriter> out) {
-        this.out = out;
+    private Trace(Optional<PrintWriter> output) {
+        this.output = output;
     }
 
-    /** As the environment has it. */
-    static Trace of(Map<String, String> env) throws IOException {
-        if (!env.containsKey(FILE)) {
+    /** The trace that the environment asks for, which may be {@link #OFF}. */
+    static Trace fromEnvironment(Map<String, String> environment) throws IOException {
+        if (!environment.containsKey(FILE_VARIABLE)) {
             return OFF;
         }
-        return new Trace(Optional.of(new PrintWriter(Files.newBufferedWriter(Path.of(env.get(FILE)),
+        return new Trace(Optional.of(new PrintWriter(Files.newBufferedWriter(Path.of(environment.get(FILE_VARIABLE)),
                 StandardCharsets.UTF_8, StandardOpenOption.CREATE, StandardOpenOption.APPEND), true)));
     }
 
-    /** A step of the message with this id. */
+    /** Writes a step of the message with this id. */
     void step(String step, String id, Object... details) {
-        out.ifPresent(writer -> {
+        output.ifPresent(writer -> {
             StringBuilder line = new StringBuilder().append(System.nanoTime() / 1_000_000).append(' ').append(step)
                     .append(' ').append(id);
             for (Object detail : details) {
--- a/src/test/java/kestreldeal/net/DiscoveryTest.java
+++ b/src/test/java/kestreldeal/net/DiscoveryTest.java
@@ -257,7 +257,7 @@
     /** The connect gets no reply: it ends by the shorter one of the two time limits. */
     @Test
     void aConnectThatIsNeverAnsweredIsGivenUp() throws Exception {
-        try (StubServer busy = StubServer.busy(StubServer.silent())) {
+        try (StubServer busy = StubServer.withFullAcceptQueue(StubServer.silent())) {
             assertEquals("no response in time", end(busy, 100, LONG_MS, LONG_MS));
             assertEquals("connect to the agent failed", end(busy, LONG_MS, LONG_MS, LONG_MS));
         }
@@ -341,7 +341,7 @@
             StubServer.Script then = once(fault.getValue(), new AtomicBoolean());
             StubServer agent = agent((request, socket) -> {
                 if (listed.getAndSet(true)) {
-                    then.come(request, socket);
+                    then.handle(request, socket);
                 } else {
                     StubServer.write(socket, answer(one(1, "SERVING")));
                 }
--- a/src/test/java/kestreldeal/net/RepeatWindowTest.java
+++ b/src/test/java/kestreldeal/net/RepeatWindowTest.java
@@ -29,7 +29,7 @@
         endpoint = at;
         world = new SenderTestEnvironment(folder, at);
         world.windowMs = WINDOW_MS;
-        world.agent.script(this::agent);
+        world.agent.setScript(this::agent);
     }
 
     /** Answers no notice, so that the journal keeps the message. */
@@ -37,7 +37,7 @@
         if (request.line().startsWith("POST")) {
             world.notices.add(request.body());
         } else {
-            world.answer(request, socket);
+            world.answerAsAgent(request, socket);
         }
     }
 
@@ -52,7 +52,7 @@
 
     /** Writes a journal with a message that has one unfinished attempt; returns its wall-clock time. */
     private long leave(long agoMs) throws Exception {
-        try (Journal journal = world.journal()) {
+        try (Journal journal = world.openJournal()) {
             long wall = System.currentTimeMillis();
             AcceptedMessage held = AcceptedMessage.withTimeLeft(journal.nextNumber(), "old", "order", "",
                     Optional.of("key-old"), 0, 20_000, new byte[0], MachineClock.system());
@@ -63,7 +63,7 @@
     }
 
     private void start() throws Exception {
-        sender = world.sender();
+        sender = world.createSender();
         sender.start();
     }
 
@@ -71,7 +71,7 @@
     private void awaitRefused(int attempts) throws Exception {
         StubServer.await("the notice", () -> !world.notices.isEmpty());
         assertTrue(world.notices.get(0).contains("bounced"), world.notices.toString());
-        assertEquals(List.of(attempts), world.journalled().stream().map(held -> held.attempts.size()).toList());
+        assertEquals(List.of(attempts), world.journalMessages().stream().map(held -> held.attempts.size()).toList());
         assertEquals(List.of(), endpoint.requests);
     }
 
@@ -97,11 +97,11 @@
     @Test
     void itIsNotRepeatedWhereTheRestartTakesLongerThanTheWindow() throws Exception {
         open(new StubServer(StubServer.status(200, "")));
-        world.known = false;
+        world.listInConfig = false;
         long sentAt = leave(0);
-        world.agent.script((request, socket) -> {
+        world.agent.setScript((request, socket) -> {
             StubServer.await("the window's end", () -> System.currentTimeMillis() > sentAt + WINDOW_MS);
-            world.agent.script(this::agent);
+            world.agent.setScript(this::agent);
             socket.close();
         });
         start();
@@ -111,15 +111,15 @@
     /** The repeat is decided on within the window, but its connection is established only after the window. */
     @Test
     void itIsNotWrittenLate() throws Exception {
-        open(StubServer.busy(StubServer.status(200, "")));
-        world.dialMs = 20_000;
+        open(StubServer.withFullAcceptQueue(StubServer.status(200, "")));
+        world.dialTimeoutMs = 20_000;
         world.windowMs = 2 * WINDOW_MS;
         long sentAt = leave(0);
         start();
         StubServer.await("the repeat is decided on",
-                () -> world.journalled().stream().anyMatch(held -> held.attempts.size() == 2));
+                () -> world.journalMessages().stream().anyMatch(held -> held.attempts.size() == 2));
         StubServer.await("the window's end", () -> System.currentTimeMillis() > sentAt + 2 * WINDOW_MS);
-        endpoint.accepts();
+        endpoint.startAccepting();
         awaitRefused(2);
     }
 
--- a/src/test/java/kestreldeal/net/RestartTest.java
+++ b/src/test/java/kestreldeal/net/RestartTest.java
@@ -41,7 +41,7 @@
 
     @BeforeEach
     void open() throws Exception {
-        endpoint = StubServer.busy(StubServer.silent());
+        endpoint = StubServer.withFullAcceptQueue(StubServer.silent());
     }
 
     @AfterEach
@@ -65,14 +65,14 @@
         Restarted(Mode mode, int number) throws Exception {
             this.mode = mode;
             world = new SenderTestEnvironment(folder.resolve(mode + "-" + number), endpoint);
-            world.endpoints = ENDPOINTS;
-            world.agent.script(this::agent);
+            world.endpointCount = ENDPOINTS;
+            world.agent.setScript(this::agent);
             held = fill();
         }
 
         /** Fills the journal with messages that are untried, attempted, or ended by an unconfirmed notice. */
         private int fill() throws IOException {
-            try (Journal journal = world.journal()) {
+            try (Journal journal = world.openJournal()) {
                 for (int i = 0; i < ENDPOINTS; i += 10) {
                     journal.recordEndpointHealth("s-" + i,
                             Journal.RecordedHealth.ofAge(0, Relay.EndpointState.DOWN, 0.001, MachineClock.system()));
@@ -105,9 +105,9 @@
                 return;
             }
             if (mode == Mode.ANSWERING) {
-                world.answer(request, socket);
+                world.answerAsAgent(request, socket);
             } else if (mode == Mode.SLOW) {
-                String list = world.list();
+                String list = world.endpointListJson();
                 StubServer.write(socket, "HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + "\r\n\r\n"
                         + list.substring(0, list.length() - 1));
                 StubServer.await("the sender is ready before the list is complete", () -> health() == 200);
@@ -115,12 +115,12 @@
         }
 
         private int health() {
-            return SenderTestEnvironment.ask(address.join(), SenderTestEnvironment.HEALTH);
+            return SenderTestEnvironment.requestStatus(address.join(), SenderTestEnvironment.HEALTH);
         }
 
         void start() {
             try {
-                sender = world.sender();
+                sender = world.createSender();
                 address.complete(sender.start());
             } catch (Exception e) {
                 throw new AssertionError(e);
--- a/src/test/java/kestreldeal/net/StartupTest.java
+++ b/src/test/java/kestreldeal/net/StartupTest.java
@@ -50,7 +50,7 @@
 
     private boolean hasSaid(String text) {
         try {
-            return Files.readString(world.log()).contains(text);
+            return Files.readString(world.logFile()).contains(text);
         } catch (IOException e) {
             throw new AssertionError(e);
         }
@@ -58,17 +58,17 @@
 
     private void awaitAlive(String what, BooleanSupplier condition) throws Exception {
         StubServer.await(what, () -> !process.isAlive() || condition.getAsBoolean());
-        assertTrue(process.isAlive(), "the process ended: " + Files.readString(world.log()));
+        assertTrue(process.isAlive(), "the process ended: " + Files.readString(world.logFile()));
     }
 
     @ParameterizedTest
     @EnumSource(Failing.class)
     void whatFailsForAMomentIsTriedAgain(Failing failing) throws Exception {
         open();
-        Path journal = world.state().resolve("journal");
+        Path journal = world.stateFolder().resolve("journal");
         try (ServerSocket clients = taken(); ServerSocket operators = taken()) {
-            world.listen = hostPort(clients);
-            world.operators = hostPort(operators);
+            world.listenAddress = hostPort(clients);
+            world.operatorAddress = hostPort(operators);
             if (failing != Failing.CLIENTS_ADDRESS) {
                 clients.close();
             }
@@ -78,17 +78,17 @@
             if (failing == Failing.FOLDER) {
                 Files.createDirectory(journal);
             }
-            process = world.process(256);
+            process = world.startProcess(256);
             awaitAlive("a failure is logged", () -> hasSaid("can't "));
         }
         if (failing == Failing.FOLDER) {
             Files.delete(journal);
         }
-        InetSocketAddress clients = Config.parseAddress(world.listen);
+        InetSocketAddress clients = Config.parseAddress(world.listenAddress);
         awaitAlive("the sender is ready",
-                () -> SenderTestEnvironment.ask(clients, SenderTestEnvironment.HEALTH) == 200);
-        InetSocketAddress operators = Config.parseAddress(world.operators);
+                () -> SenderTestEnvironment.requestStatus(clients, SenderTestEnvironment.HEALTH) == 200);
+        InetSocketAddress operators = Config.parseAddress(world.operatorAddress);
         awaitAlive("operators are answered",
-                () -> SenderTestEnvironment.operatorsAnswer(operators, "readyz").equals("YES\n"));
+                () -> SenderTestEnvironment.askOperator(operators, "readyz").equals("YES\n"));
     }
 }
--- a/src/test/java/kestreldeal/net/StubServer.java
+++ b/src/test/java/kestreldeal/net/StubServer.java
@@ -19,30 +19,30 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.function.BooleanSupplier;
 
-/** A scripted HTTP server on a loopback socket, and the plain client side, for tests. */
+/** A scripted HTTP server on a loopback socket, and helpers for a plain HTTP client, for tests. */
 final class StubServer implements AutoCloseable {
-    /** A request or an answer; {@code connection} numbers those of one server. */
-    record Message(String line, Map<String, String> headers, String body, int connection, long atNanos) {
+    /** A request or a response; {@code connection} is the number of its connection at this server. */
+    record Message(String line, Map<String, String> headers, String body, int connection, long receivedNanos) {
         String header(String name) {
             return headers.get(name.toLowerCase(Locale.ROOT));
         }
     }
 
-    /** What is done when a request has come: write to the socket, close it, or nothing. */
+    /** Handles a request: may write to the socket, close it, or do nothing. */
     interface Script {
-        void come(Message request, Socket socket) throws Exception;
+        void handle(Message request, Socket socket) throws Exception;
     }
 
     final List<Message> requests = new CopyOnWriteArrayList<>();
     private final ServerSocket server;
     private final Set<Socket> sockets = ConcurrentHashMap.newKeySet();
     private volatile Script script;
-    private final AtomicInteger connections = new AtomicInteger();
-    private final AtomicInteger ended = new AtomicInteger();
+    private final AtomicInteger acceptedConnections = new AtomicInteger();
+    private final AtomicInteger endedConnections = new AtomicInteger();
 
     StubServer(Script script) throws IOException {
         this(script, 50);
-        accepts();
+        startAccepting();
     }
 
     private StubServer(Script script, int backlog) throws IOException {
@@ -50,22 +50,25 @@
         this.server = new ServerSocket(0, backlog, InetAddress.getLoopbackAddress());
     }
 
-    /** One whose queue of connections is full: others come up late, a second or more after {@link #accepts}. */
-    static StubServer busy(Script script) throws IOException {
+    /**
+     * Creates a server whose accept queue is full: further connections are established a second or more after
+     * {@link #startAccepting}.
+     */
+    static StubServer withFullAcceptQueue(Script script) throws IOException {
         StubServer stub = new StubServer(script, 1);
-        // The system's queue holds one more than it is told.
+        // The system's queue holds one connection more than the backlog.
         for (int i = 0; i < 2; i++) {
             stub.sockets.add(new Socket(stub.address().getAddress(), stub.address().getPort()));
         }
         return stub;
     }
 
-    /** Takes connections from now on. */
-    void accepts() {
-        daemon(this::accept);
+    /** Starts to accept connections. */
+    void startAccepting() {
+        startDaemon(this::acceptConnections);
     }
 
-    void script(Script next) {
+    void setScript(Script next) {
         script = next;
     }
 
@@ -77,66 +80,66 @@
         return "127.0.0.1:" + server.getLocalPort();
     }
 
-    /** Connections that it has taken. */
-    int connections() {
-        return connections.get();
+    /** Number of connections accepted. */
+    int acceptedConnections() {
+        return acceptedConnections.get();
     }
 
-    /** Connections that the other side has ended. */
-    int ended() {
-        return ended.get();
+    /** Number of connections that have ended. */
+    int endedConnections() {
+        return endedConnections.get();
     }
 
-    private static void daemon(Runnable task) {
+    private static void startDaemon(Runnable task) {
         Thread thread = new Thread(task);
         thread.setDaemon(true);
         thread.start();
     }
 
-    private void accept() {
+    private void acceptConnections() {
         try {
             while (true) {
                 Socket socket = server.accept();
                 sockets.add(socket);
-                int number = connections.getAndIncrement();
-                daemon(() -> serve(socket, number));
+                int number = acceptedConnections.getAndIncrement();
+                startDaemon(() -> serve(socket, number));
             }
         } catch (IOException closed) {
-            // The test is over.
+            // The server was closed at the end of the test.
         }
     }
 
-    private void serve(Socket socket, int number) {
+    private void serve(Socket socket, int connection) {
         try {
             InputStream in = new BufferedInputStream(socket.getInputStream());
-            for (Message m = read(in, number); m != null; m = read(in, number)) {
-                requests.add(m);
-                script.come(m, socket);
+            for (Message message = read(in, connection); message != null; message = read(in, connection)) {
+                requests.add(message);
+                script.handle(message, socket);
             }
-        } catch (Exception gone) {
-            // The other side went away, which is its right.
+        } catch (Exception disconnected) {
+            // The client may disconnect at any time.
         } finally {
-            ended.incrementAndGet();
+            endedConnections.incrementAndGet();
         }
     }
 
-    /** Reads one message with a content length; null at the end of the stream. */
-    static Message read(InputStream in, int number) throws IOException {
-        String line = line(in);
+    /** Reads one message whose body has a content length; null at the end of the stream. */
+    static Message read(InputStream in, int connection) throws IOException {
+        String line = readLine(in);
         if (line == null) {
             return null;
         }
         Map<String, String> headers = new TreeMap<>();
-        for (String h = line(in); h != null && !h.isEmpty(); h = line(in)) {
-            int cut = h.indexOf(':');
-            headers.put(h.substring(0, cut).toLowerCase(Locale.ROOT), h.substring(cut + 1).trim());
+        for (String header = readLine(in); header != null && !header.isEmpty(); header = readLine(in)) {
+            int colon = header.indexOf(':');
+            headers.put(header.substring(0, colon).toLowerCase(Locale.ROOT), header.substring(colon + 1).trim());
         }
         byte[] body = in.readNBytes(Integer.parseInt(headers.getOrDefault("content-length", "0")));
-        return new Message(line, headers, new String(body, StandardCharsets.ISO_8859_1), number,
+        return new Message(line, headers, new String(body, StandardCharsets.ISO_8859_1), connection,
                 System.nanoTime());
     }
 
-    private static String line(InputStream in) throws IOException {
+    private static String readLine(InputStream in) throws IOException {
         ByteArrayOutputStream line = new ByteArrayOutputStream();
         for (int c = in.read(); c != '\n'; c = in.read()) {
             if (c < 0) {
@@ -152,14 +155,14 @@
         socket.getOutputStream().flush();
     }
 
-    /** Writes this on every connection. */
-    void answerAll(String text) throws IOException {
+    /** Writes this text to every connection. */
+    void writeToAll(String text) throws IOException {
         for (Socket socket : sockets) {
             write(socket, text);
         }
     }
 
-    /** Answers with a status and further header lines, each closed by a line end. */
+    /** Answers with a status and further header lines, each of which must end with a line break. */
     static Script status(int status, String headers) {
         return (request, socket) -> write(socket, "HTTP/1.1 " + status + " x\r\n" + headers
                 + "Content-Length: 0\r\n\r\n");
@@ -169,12 +172,12 @@
         return (request, socket) -> { };
     }
 
-    /** Waits for something that must come about; how soon does not matter. */
-    static void await(String what, BooleanSupplier condition) throws InterruptedException {
-        long end = System.nanoTime() + 30_000_000_000L;
+    /** Waits until a condition holds, and fails if it does not within 30 seconds. */
+    static void await(String description, BooleanSupplier condition) throws InterruptedException {
+        long deadlineNanos = System.nanoTime() + 30_000_000_000L;
         while (!condition.getAsBoolean()) {
-            if (System.nanoTime() > end) {
-                throw new AssertionError("never came about: " + what);
+            if (System.nanoTime() > deadlineNanos) {
+                throw new AssertionError("timed out waiting for: " + description);
             }
             Thread.sleep(2);
         }
