--- a/src/main/java/kestreldeal/DeliveryScheduler.java
+++ b/src/main/java/kestreldeal/DeliveryScheduler.java
@@ -18,127 +18,131 @@
 import kestreldeal.Timers.Timer;
 
 /**
- * The decision module. Its interface, with all types, events and actions, is Relay.java.
+ * The decision module: decides when and to which endpoint each message is sent, when it is sent again, and
+ * when it is rejected or failed. Its interface, with all types, events and actions, is {@link Relay}.
  *
- * <p>A message waits in a group of its like until {@link #endTurn}, which takes the groups with an open gate
- * by the rank of their first messages and gives each message the best endpoint that {@link #maySend} lets
- * pass; what is closed is not looked at. The send starts a wave. At a fixed offset a copy joins if the {@link
- * Throttle} allows. The first delivery wins and the rest are cancelled; when every attempt of the wave has
- * ended retryable the message waits again, for a new wave. {@link #finish} gives every final answer.
+ * <p>A message waits in a group of similar messages until {@link #endTurn}. There the groups whose send
+ * conditions are met are served in the order of their first messages' priority, and each message goes to the
+ * cheapest endpoint for which {@link #canSend} holds; blocked groups cost no time. The send starts a round of
+ * attempts. After a fixed delay a hedged attempt joins the round if the {@link SendBudget} allows it. The
+ * first delivery wins and the other attempts are cancelled; when all attempts of a round have ended and the
+ * message may still be sent, it waits for a new round. {@link #finishUndelivered} rejects or fails a message.
  *
- * <p>Parts: {@link Delivery} is a message and its wave; {@link Call} what travels together; {@link Limit} the
- * pace and told wait of a destination, or of a route where routes are separate; {@link Target} an endpoint
- * with its health and its ramp after an outage; {@link Throttle} bounds copies and new tries; {@link
- * Connections} is the trust in idle connections. All times are milliseconds, all rates calls a millisecond.
+ * <p>{@link Delivery} is a message with its attempts, {@link Call} a request on the wire that may carry
+ * several attempts, {@link RateLimiter} the rate limit of a destination, or of one endpoint where these are
+ * separate routes, and {@link TrackedEndpoint} an endpoint with its health. Times are in milliseconds, rates
+ * in calls per millisecond.
  */
 final class DeliveryScheduler implements Relay {
-    // The wave.
-    /** Share of the aim after which a copy is scheduled (the design's default). */
+    // Rounds of attempts.
+    /** Delay before a hedged attempt, as a share of the target latency. */
     private static final double COPY_OFFSET = 0.5;
-    /** Copies over the period: this many, and this share of the first sends (the design's default). */
+    /** Hedged attempts that are allowed in each budget period: this number, plus a share of first sends. */
     private static final double COPY_BASE = 1;
     private static final double COPY_SHARE = 0.1;
     private static final double THROTTLE_PERIOD_MS = 10_000;
-    /** New waves of refused messages, alike. */
+    /** The same for new rounds of messages whose last attempt was refused. */
     private static final double RETRY_BASE = 2;
     private static final double RETRY_SHARE = 0.3;
-    /** First pause before a new wave and its growth, lest quick errors or many senders burn all attempts. */
+    /** Backoff between rounds: fast errors or many senders at once would use up all attempts without it. */
     private static final double BACKOFF_MS = 200;
     private static final double BACKOFF_GROWTH = 3;
-    /** A keyed repeat stays this far inside its window, for the time that it travels. */
+    /** A keyed repeat is sent this long before its deduplication window ends, to allow for transit time. */
     private static final double WINDOW_MARGIN_MS = 300;
 
-    // Time-outs: the aim and a quarter at least, more where answers are seen to take longer.
+    // Timeouts: 1.25 times the target latency at least, longer where an endpoint's answers take longer.
     private static final double TIMEOUT_AIMS = 1.25;
     private static final double TIMEOUT_DEVIATIONS = 8;
-    /** An unsafe message has one try that may run, which may take this share of its deadline at least. */
+    /** Minimum timeout of an unsafe message, as a share of its deadline: it can't be repeated after one. */
     private static final double UNSAFE_PATIENCE = 0.33;
-    /** Weight of a new answer time in the running mean and deviation. */
+    /** Weight of a new latency sample in the moving averages of latency and its deviation. */
     private static final double LATENCY_WEIGHT = 0.15;
-    /** Answer time assumed of an endpoint that has not answered yet. */
+    /** Latency assumed of an endpoint that has not answered yet. */
     private static final double FIRST_LATENCY_MS = 250;
 
-    /** An endpoint that answers in so long, in the mean, gives its slots back soon. */
+    /** An endpoint with a mean latency up to this counts as fast: it frees its slots soon. */
     private static final double QUICK_MS = 250;
 
-    /** No call is called off for another's sake before it has been out for so long. */
+    /** A call is not cancelled to free its slot before it has been in flight this long. */
     private static final double CALL_OFF_LEAST_MS = 200;
 
-    // Pace.
-    /** A pace is cut to this share: at first of the last second's sends. */
+    // Send rate limits.
+    /** A refusal cuts the allowed rate to this share of it, or of the last second's sends if none was set. */
     private static final double PACE_CUT = 0.7;
-    /** A pace stands for no more than this multiple of what was sent of late: unused, it only grows. */
+    /** In a cut the old rate counts as at most this multiple of recent sends: an unused limit only grows. */
     private static final double PACE_OVER_SENT = 1.3;
-    /** Growth of a pace with each delivery where answers don't tell how much of the limit is left. */
+    /** Growth of the allowed rate with each delivery, if answers don't report the share of the limit left. */
     private static final double PACE_GROWTH = 0.05;
-    /** Where they do, a pace turns to where this share is, by this gain a second, up to so many at once. */
+    /** If they do, the rate is steered to keep this share left: the gain per second, and the longest step. */
     private static final double LEFT_AIM = 0.5;
     private static final double LEFT_GAIN = 0.6;
     private static final double LEFT_SECONDS = 3;
     /**
-     * Longest interval of a pace after one refusal where no rate is known, lest a thin stream's message wait;
-     * so many times as long with each further one. At a known rate a hundred senders would be too fast.
+     * Longest interval between sends after a refusal if the destination's rate is unknown, so that rare
+     * messages don't wait long, and its growth with further refusals. It is not used at a known rate: for a
+     * hundred senders together it would be too short.
      */
     private static final double PACE_PAUSE_MS = 500;
     private static final double PACE_PAUSE_GROWTH = 3;
     private static final int PACE_PAUSES = 4;
-    /** Slowest pace, as a share of the messages that this sender takes for the destination. */
+    /** Lowest allowed rate, as a share of the rate of messages that this sender accepts for a destination. */
     private static final double PACE_LEAST_SHARE = 0.2;
-    /** The same as a share of the even part of a listed rate, which may be half too high. */
+    /** Lowest rate as a share of the sender's fair share of the listed rate, which may be 50% too high. */
     private static final double LISTED_SHARE = 0.5;
     /**
-     * The same as a share of an even part of the rate that its answers tell: less with each refusal in a row,
-     * as others may take more. Guards against a pace that a clump cut and few deliveries let grow back.
+     * Lowest rate as a share of the sender's fair share of the reported rate, divided further with each
+     * refusal, as other senders may use more. Without it a rate cut by a burst stays low at few deliveries.
      */
     private static final double TOLD_SHARE = 0.9;
-    /** Weight of a newly told rate, which counts as at most so many times more or less than those before. */
+    /** Weight of a new report in the average reported rate, and the most by which it may differ. */
     private static final double TOLD_WEIGHT = 0.2;
     private static final double TOLD_STEP = 2;
-    /** Idle for so long, a destination loses pace and counts (the design's figure). */
+    /** After this time without a send a destination's rate limit is dropped. */
     private static final double IDLE_MS = 60_000;
 
-    /** A told wait is kept, and a wake counts as come, within this much: clocks are rounded. */
+    /** Added to Retry-After waits, and tolerated in wakes, because clocks are rounded. */
     private static final double CLOCK_MARGIN_MS = 1;
 
     // Health.
-    /** Evidence, 0 to 1: each bad outcome closes this share of the gap to 1, each good one multiplies it. */
+    /** The failure score, 0 to 1: a failure closes this share of the gap to 1, a delivery multiplies it. */
     private static final double BAD_WEIGHT = 0.2;
     private static final double UNREACHABLE_WEIGHT = 0.6;
     private static final double GOOD_FACTOR = 0.6;
-    /** From here on an endpoint counts as down: five bad outcomes in a row, or a failed connect. */
+    /** Score from which an endpoint counts as down: five failures in a row, or one failed connect. */
     private static final double DOWN_AT = 0.6;
-    /** Overdue calls without any answer since, after which an endpoint counts as silent. */
+    /** Number of overdue calls, without any answer since they were sent, that mark an endpoint as down. */
     private static final int SILENT_CALLS = 2;
     private static final double SILENT_DEVIATIONS = 4;
-    /** Bad ends or refusals in a row over at least so long, without a delivery, mean shut or dead. */
+    /** This many failures or refusals in a row, over at least this time, mark an endpoint as down. */
     private static final int SHUT_ENDS = 3;
     private static final double SHUT_MS = 2500;
-    /** Pause between trials of what is down: least; at most, times the senders and in warm-ups. */
+    /** Shortest interval between probes of a down endpoint; times the number of senders, also the longest. */
     private static final double TRIAL_LEAST_MS = 500;
+    /** Upper bound of the longest interval between probes, in ramp-up times. */
     private static final double TRIAL_MOST = 4;
-    /** Share of the rule's budget that the ramp of a returning endpoint uses; the rest is for chance. */
+    /** Share of the load permitted to a recovering endpoint that slow start uses; the rest is for bursts. */
     private static final double RAMP_SAFETY = 0.7;
-    /** Time over which a carried rate is averaged, and the shortest that counts. */
+    /** Averaging of the rates of sends and deliveries, and of the demand. */
     private static final Rate.Span CARRIED = new Rate.Span(10_000, 2000);
-    /** Share of the messages taken for a destination that it is trusted to carry, if it was not seen to. */
+    /** Share of the demand for a destination that it is assumed to sustain while no higher rate is known. */
     private static final double DEMAND_SHARE = 0.7;
 
-    /** An endpoint that has left the list is forgotten after so long. */
+    /** Time after which an endpoint that has left the list is forgotten. */
     private static final double GONE_MS = 30_000;
 
-    // Connections.
-    /** A connection without use for so long counts as idle. */
+    // Idle connections.
+    /** A connection that was not used for this long counts as idle. */
     private static final double IDLE_LEAST_MS = 100;
-    /** Trust after a loss, as a share of the time that the connection had idled; forgotten after so long. */
+    /** After a loss: the share of its idle time up to which connections are reused, and how long that holds. */
     private static final double TRUST_CUT = 0.25;
     private static final double TRUST_MEMORY_MS = 30_000;
 
-    // The queue.
-    /** Rank is the worth lost by waiting so much longer: about as long as a queue under pressure takes. */
+    // Priorities.
+    /** Priority is the value lost by waiting this much longer, about the delay of a queue under load. */
     private static final double RANK_HORIZON_MS = 1500;
-    /** Weight of plain worth in the rank, to settle ties between messages that lose nothing yet. */
+    /** Weight of the value itself in the priority, to break ties of messages that lose no value yet. */
     private static final double RANK_WORTH = 0.01;
-    /** Time worth a fee of one point: about what a message loses in worth when it waits so long. */
+    /** Latency that costs as much as a zone fee of one point, by the value that a message loses in it. */
     private static final double FEE_MS = 25_000;
     private static final Comparator<Delivery> OLDEST_FIRST =
             Comparator.comparingDouble((Delivery d) -> d.aimAt).thenComparingLong(d -> d.queued);
@@ -146,42 +150,41 @@
             Comparator.comparingDouble((Delivery d) -> -d.aimAt).thenComparingLong(d -> d.queued);
     private static final Comparator<Delivery> PRESSING_FIRST =
             Comparator.comparingDouble((Delivery d) -> -d.rank()).thenComparing(OLDEST_FIRST);
-    /** Pieces of a rank's course, see {@link Delivery#pieceNow}, by what has passed of three. */
+    /** Segments of the priority curve, see {@link Delivery#currentSegment}: sums of the bits that follow. */
     private static final int PIECES = 8;
     private static final int AIM_PASSED = 1;
     private static final int JUMP_PASSED = 2;
     private static final int LEAST_REACHED = 4;
-    /** Levels of groups that a gate lets pass, and of those that can join a call of this turn. */
+    /** Eligibility of a group: it may be sent in a new call, or even join a call that this turn started. */
     private static final int OPEN = 1;
     private static final int JOINABLE = 2;
-    /** The zone of a message that may go to any, and of one that may go to none. */
+    /** The allowed zone of a message that may go to any zone, and of one that may go to none. */
     private static final long ANY_ZONE = Long.MAX_VALUE;
     private static final long NO_ZONE = Long.MIN_VALUE;
-    /** Guards a comparison with a share of what is asked for against its rounding. */
+    /** Tolerance for rounding errors in comparisons with a share of the demand. */
     private static final double SHARE_MARGIN = 1e-6;
-    /** Time before the deadline at which a message that is not out is answered. */
+    /** A message without an attempt in flight gets its final result this long before its deadline. */
     private static final double ANSWER_MARGIN_MS = 5;
 
     private final Settings settings;
     private final Actions actions;
     private final Random random;
     private final Map<Long, Target> targets = new LinkedHashMap<>();
-    /** Those that have left the list, in the order in which they left. */
+    /** Endpoints that have left the list, in the order in which they left. */
     private final Set<Target> leaving = new LinkedHashSet<>();
     private final Map<Long, Destination> destinations = new HashMap<>();
-    /** What an earlier life knew of endpoints that no list has named in this one. */
+    /** Learned state of a previous process, by endpoint, to be restored when a list names the endpoint. */
     private final Map<Long, Consumer<Target>> recalled = new LinkedHashMap<>();
     private final Map<Long, Delivery> deliveries = new HashMap<>();
-    /** What may go but for its gates, by class and piece of the rank's course; refused messages last. */
+    /** Messages that may be sent once an endpoint is ready, by class and segment; refused messages last. */
     final Lanes<Delivery> waiting;
-    /** What is asked for, of all destinations. */
     private final Rate.Total asked = new Rate.Total();
     private final Set<Attempt> out = new LinkedHashSet<>();
     private final Times firstSends = new Times();
     private final Throttle copies = new Throttle(COPY_BASE, COPY_SHARE);
     private final Throttle retries = new Throttle(RETRY_BASE, RETRY_SHARE);
     private final Connections connections = new Connections();
-    /** Messages in order by key: one at a time, as taken, and a rest after an end that may still run. */
+    /** Ordered messages by key: one at a time, with a cool-down after an attempt that may still run. */
     final KeyLines<Delivery> lines;
     private final Timers timers;
     private int slotsUsed;
@@ -223,7 +226,7 @@
                 target.listed(entry.serving());
             }
         }
-        // A list may leave one out by mistake: what is known of it stands for as long as it can matter.
+        // A list may omit an endpoint by mistake, so its learned state is kept for a while.
         leaving.stream().peek(t -> waiting.countLook()).takeWhile(t -> clock > t.goneAt + GONE_MS)
                 .filter(t -> t.calls.isEmpty() && t.limit.waitUntil <= clock).toList().forEach(target -> {
                     leaving.remove(target);
@@ -238,7 +241,7 @@
         take(message).destination.demand.count(clock);
     }
 
-    /** Demand is not counted: what comes back at once was asked for over a time that nobody knows. */
+    /** Demand is not counted: restored messages arrive at once, but were submitted over an unknown time. */
     @Override
     public void messageRestored(double now, Message message, List<EarlierAttempt> attempts) {
         tick(now);
@@ -254,7 +257,7 @@
             }
         }
         if (d.attempts.stream().anyMatch(a -> a.mayHaveRun)) {
-            // What was out in an earlier life may run on.
+            // An attempt of the previous process may still be running.
             d.line.ifPresent(line -> line.rest(clock + settings.keyCoolDownMs()));
         }
         if (!attempts.isEmpty() && d.out == 0) {
@@ -310,10 +313,10 @@
 
     private Delivery take(Message message) {
         if (message.messageClass() < 0 || message.messageClass() >= settings.classes().size()) {
-            throw new IllegalArgumentException("unknown class " + message.messageClass());
+            throw new IllegalArgumentException("unknown message class " + message.messageClass());
         }
         if (deliveries.containsKey(message.id())) {
-            throw new IllegalArgumentException("message " + message.id() + " was already taken");
+            throw new IllegalArgumentException("message " + message.id() + " was already accepted");
         }
         Delivery d = new Delivery(message);
         deliveries.put(message.id(), d);
@@ -388,7 +391,7 @@
         turn++;
     }
 
-    /** Slowest pace of trials of a sender: together they still find out what is back. */
+    /** Lowest rate of probes by one sender: all senders together still notice a recovery in time. */
     private double leastTrialRate() {
         return 1 / Math.min(TRIAL_LEAST_MS * settings.senderCount(),
                 TRIAL_MOST * settings.slowStart().rampUpMs());
@@ -400,7 +403,7 @@
 
     private void tick(double now) {
         if (now < clock) {
-            throw new IllegalArgumentException("the clock went back");
+            throw new IllegalArgumentException("the event time went backwards");
         }
         clock = now;
     }
@@ -408,8 +411,9 @@
     // ---- decisions ----
 
     /**
-     * Sends what waits, the most pressing first among all that may go. A group whose first can't go is left
-     * for the turn, as no other can: its destination has calls out and lacks a slot, or the sender closes.
+     * Sends waiting messages by priority. A group whose first message can't be sent is set aside for this
+     * turn, as none of its messages can: its destination has calls in flight and lacks a slot, or the call
+     * would not end before the shutdown.
      */
     private void dispatch() {
         waiting.end(clock, this::place);
@@ -434,27 +438,27 @@
             freeSlot();
         }
         parked.forEach(group -> group.owner.touch());
-        // None joins a call of this turn in the next one.
+        // The calls of this turn can't be joined in the next turn.
         waiting.stream(Integer.MAX_VALUE, JOINABLE).forEach(group -> group.owner.touch());
     }
 
-    /** The group that goes next, or null: with no slot free only calls of this turn can still be joined. */
+    /** The next group to serve, or null. Without a free slot messages can only join calls of this turn. */
     private Group<Delivery> mostPressing() {
         return waiting.first(openLanes(), slotsUsed < settings.slots() ? OPEN : JOINABLE, PRESSING_FIRST);
     }
 
-    /** The number of lanes that may go: those of refused messages as far as the throttle allows. */
+    /** The number of queues to serve: those of refused messages, which are last, only within the budget. */
     private int openLanes() {
         return settings.classes().size() * PIECES * (retries.allows() ? 2 : 1);
     }
 
-    /** Whether nothing but a slot keeps its messages from being sent. */
+    /** Whether only the lack of a free slot keeps messages of this group from being sent. */
     private boolean lacksSlot(Group<Delivery> group) {
         return group.stream().filter(this::mayRepeat).limit(1).anyMatch(d -> d.destination.targets.stream()
                 .anyMatch(t -> t.isOpen() && !t.hasSlot() && allows(d, t)));
     }
 
-    /** Puts a message where it belongs now: into the group of its like, or into none if it may not go. */
+    /** Puts a message into the group in which it has to wait now, or into none if it may not be sent. */
     private void place(Delivery d) {
         if (!d.ended && d.out == 0 && d.notBefore <= clock && mayGoInOrder(d) && mayRepeat(d)) {
             int kind = d.message.messageClass() + (d.refused ? settings.classes().size() : 0);
@@ -470,10 +474,10 @@
     }
 
     /**
-     * Calls off the call that has been out longest by the measure of its endpoint, if it is out of patience
-     * and may be repeated. Guards against a few unanswered calls that hold all slots till their time-outs. An
-     * endpoint that is merely slow gets more patience with each. What is called off counts as overdue, lest a
-     * silent endpoint count as up and take those slots again.
+     * Cancels the attempt that is in flight longest, relative to the usual latency of its endpoint, if it is
+     * overdue and may be repeated: a few unanswered calls could hold all slots until their timeouts. Each
+     * cancellation raises the limit for the next one there, as the endpoint may only be slow. The call counts
+     * as overdue then, so that a silent endpoint is marked as down and does not take the slots again.
      */
     private void freeSlot() {
         out.stream().filter(a -> !a.calledOff && a.delivery.type.effect() != Effect.UNSAFE)
@@ -486,7 +490,7 @@
                 });
     }
 
-    /** The endpoint to send to among those that the gate lets pass; a copy goes elsewhere if it can. */
+    /** The cheapest endpoint that may be sent to; a hedged attempt goes to another endpoint if it can. */
     private Optional<Target> choose(Delivery d, boolean copy) {
         List<Target> all = d.destination.targets;
         boolean elsewhere = copy && all.stream().anyMatch(t -> t.serving && !d.isOutAt(t));
@@ -496,12 +500,12 @@
                 .min(Comparator.comparingDouble(t -> t.cost(d)));
     }
 
-    /** The gate that every send passes: first send, copy and new wave. */
+    /** The condition of every send: of first sends, hedged attempts and new rounds. */
     private boolean maySend(Delivery d, Target target) {
         return allows(d, target) && (target.mayJoin() || target.hasSlot() && target.isOpen());
     }
 
-    /** The gates that hold for any send of the message there, whether it takes a slot or joins a call. */
+    /** The conditions that hold for a send whether it needs a slot of its own or joins a call. */
     private boolean allows(Delivery d, Target target) {
         waiting.countLook();
         return !d.ended && target.serving
@@ -514,13 +518,13 @@
                 && clock + target.expectedEnd(d.type) <= closesAt;
     }
 
-    /** Whether one more attempt there keeps the promise that no effect happens twice. */
+    /** Whether one more attempt at this endpoint can't make the message take effect twice. */
     private boolean mayRepeat(Delivery d, Target target) {
         long zone = d.zone();
         return mayRepeat(d) && (zone == ANY_ZONE || zone == target.entry.zone());
     }
 
-    /** The same wherever the attempt may go, as far as time and effect alone tell. */
+    /** The same without regard to the endpoint: checks only the effect and the deduplication window. */
     private boolean mayRepeat(Delivery d) {
         double window = d.type.effect() == Effect.SAFE ? Double.POSITIVE_INFINITY : d.type.dedupWindowMs();
         return d.attempts.stream().filter(Attempt::mayRun).allMatch(a -> (!a.out || settings.hedging())
@@ -543,7 +547,7 @@
         started(attempt, Optional.of(call), copy);
     }
 
-    /** An attempt is out, in a call if its endpoint is listed: it may be copied, and the call be overdue. */
+    /** Records an attempt as in flight, and sets the timers of its hedged attempt and its overdue call. */
     private void started(Attempt attempt, Optional<Call> call, boolean copy) {
         Delivery d = attempt.delivery;
         attempt.call = call;
@@ -559,7 +563,7 @@
         call.ifPresent(c -> c.overdueAt(attempt.sentAt + Math.max(offset, c.target.patience())));
     }
 
-    /** Every attempt has ended retryable: wait for a new wave, unless no further attempt can be allowed. */
+    /** All attempts have ended without a delivery: waits for a new round, or finishes if none is allowed. */
     private void nextWave(Delivery d) {
         giveUpInTime(d);
         if (d.ended) {
@@ -573,8 +577,8 @@
     }
 
     /**
-     * Answers at once what no further attempt can be allowed for: now, or when a keyed message's window has
-     * passed. Guards against an answer that is held back until the deadline, when it is of no more use.
+     * Finishes a message as soon as no further attempt is possible: now, or when the deduplication window of
+     * a keyed message ends. At the deadline the result would come too late to be of use to the client.
      */
     private void giveUpInTime(Delivery d) {
         if (!mayGoOn(d)) {
@@ -586,14 +590,14 @@
         }
     }
 
-    /** Whether a further attempt can still be allowed somewhere, be it at an endpoint that is yet to come. */
+    /** Whether a further attempt may become possible, at a listed endpoint or, if none is, at a new one. */
     private boolean mayGoOn(Delivery d) {
         return d.attempts.size() < settings.maxAttempts() && clock < d.deadline - ANSWER_MARGIN_MS
                 && (d.destination.targets.isEmpty() ? mayRepeat(d)
                         : d.destination.targets.stream().anyMatch(t -> mayRepeat(d, t)));
     }
 
-    /** The final answer of what waits undelivered: refused where trying again is harmless, else failed. */
+    /** Gives an undelivered message its final result: rejected if repeating it is harmless, else failed. */
     private void finish(Delivery d) {
         if (d.ended || d.out > 0) {
             return;
@@ -607,7 +611,7 @@
         close(d);
     }
 
-    /** Ends a message and cancels what is redundant. */
+    /** Marks a message as completed and cancels its redundant attempts. */
     private void close(Delivery d) {
         if (d.ended) {
             return;
@@ -630,9 +634,9 @@
         }
     }
 
-    // ---- parts ----
+    // ---- nested types ----
 
-    /** A message and its wave. */
+    /** A message and its attempts. */
     private final class Delivery extends Lanes.Element<Delivery> {
         final Message message;
         final MessageClass type;
@@ -641,10 +645,10 @@
         final double deadline;
         List<Attempt> attempts = List.of();
         double notBefore = Double.NEGATIVE_INFINITY;
-        /** Its number in the order in which messages began to wait, or to wait again. */
+        /** Position in the order in which messages began to wait, or to wait again. */
         long queued = queuings++;
         final Optional<KeyLines<Delivery>.Line> line;
-        /** The end of its window for repeats, and of its pause. */
+        /** Timers for the end of the deduplication window and of the backoff; null until set. */
         Timer window;
         Timer pause;
         int piece;
@@ -667,12 +671,11 @@
             finish(this);
         }
 
-        /** Whether repeats are dropped within one zone only. */
         boolean isBoundToZone() {
             return type.effect() == Effect.KEYED && type.dedupWithinZone();
         }
 
-        /** The zone that it is bound to, as it may have run there. */
+        /** The zone of its earlier attempts if only that zone drops repeats of them. */
         long zone() {
             long[] ran = attempts.stream().filter(a -> a.mayRun() && isBoundToZone())
                     .mapToLong(a -> a.target.map(t -> (long) t.entry.zone()).orElse(NO_ZONE))
@@ -684,7 +687,6 @@
             return attempts.stream().anyMatch(a -> a.out && a.target.filter(t -> t == target).isPresent());
         }
 
-        /** Worth when delivered at that time. */
         double worthAt(double time) {
             if (time > deadline) {
                 return 0;
@@ -703,16 +705,16 @@
         }
 
         /**
-         * The piece of its rank's course over time. Up to the aim rank only rises, and of one class the older
-         * comes first. Then it falls, and the newer comes first, with a jump up where the horizon reaches the
-         * deadline. Where worth has come to its least it stays the same, and the older comes first.
+         * The current segment of the priority curve, in which the order of two messages of a class is fixed.
+         * Until the target time priority rises, and the oldest message is first. Then it falls, and the
+         * newest is first; it jumps up where the horizon reaches the deadline. Once the value is at its
+         * minimum, priority is constant, and the oldest is first.
          */
         int pieceNow() {
             return (clock > aimAt ? AIM_PASSED : 0) + (clock > deadline - RANK_HORIZON_MS ? JUMP_PASSED : 0)
                     + (clock > leastAt() ? LEAST_REACHED : 0);
         }
 
-        /** The last moment of the piece that it was put in. */
         double pieceEnd() {
             double jumpAt = (piece & JUMP_PASSED) > 0 ? Double.POSITIVE_INFINITY : deadline - RANK_HORIZON_MS;
             double least = (piece & LEAST_REACHED) > 0 ? Double.POSITIVE_INFINITY : leastAt();
@@ -729,8 +731,8 @@
     }
 
     /**
-     * One attempt of a message; those of an earlier life have no call and hold nothing, unless they are still
-     * out, and their endpoint may have left the list since.
+     * One attempt of a message. Attempts of a previous process have no call and hold no slot, unless they are
+     * still in flight, and no endpoint if it has left the list.
      */
     private final class Attempt extends Timer {
         final Delivery delivery;
@@ -751,7 +753,7 @@
             delivery.attempts.add(this);
         }
 
-        /** The scheduled offset after a send: a copy may join the wave. */
+        /** The hedging delay has passed: a hedged attempt may join the round. */
         @Override
         void due() {
             boolean races = out && delivery.type.effect() != Effect.UNSAFE && settings.hedging();
@@ -764,19 +766,19 @@
             return out || mayHaveRun;
         }
 
-        /** How long it has been out, by its endpoint's patience, which grows with calls called off before. */
+        /** Its time in flight, relative to a limit that grows with each cancellation at its endpoint. */
         double overPatience() {
             return target.map(t -> (clock - sentAt)
                     / (Math.max(t.patience(), CALL_OFF_LEAST_MS) * (1 + t.calledOff))).orElse(0.0);
         }
     }
 
-    /** Messages that travel as one: one slot, one fate. */
+    /** A request on the wire with one attempt or more: it takes one slot, and counts once for health. */
     private final class Call extends Timer {
         final Target target;
         final double sentAt;
         final long sentTurn = turn;
-        /** Its number in the process that made it, if that was another one. */
+        /** Its id in the previous process, if that one sent it. */
         final OptionalLong earlier;
         final double idledMs;
         int items;
@@ -814,7 +816,7 @@
             target.destination.touch();
         }
 
-        /** The first of its messages that is overdue tells. */
+        /** Sets the time from which the call is overdue; the earliest of its attempts counts. */
         void overdueAt(double time) {
             if (time < at()) {
                 timers.set(this, time);
@@ -831,7 +833,7 @@
         }
     }
 
-    /** A destination: its endpoints and, where they share one, its limit. */
+    /** A destination with its endpoints and, unless they are separate routes, their shared rate limiter. */
     private final class Destination extends Lanes.Owner<Delivery> {
         final List<Target> targets = new ArrayList<>(2);
         final Limit shared = new Limit(this);
@@ -842,7 +844,7 @@
             super(waiting);
         }
 
-        /** A group stands while a gate is open, and higher if it can join a call. */
+        /** Sets the eligibility of each group, and returns the time at which the next endpoint is ready. */
         @Override
         double look() {
             for (Group<Delivery> group : groups()) {
@@ -852,12 +854,11 @@
             return gatesOpenAt().filter(at -> at > clock).min().orElse(Double.POSITIVE_INFINITY);
         }
 
-        /** Endpoints that share its messages. */
         long serving() {
             return Math.max(1, targets.stream().filter(t -> t.serving).count());
         }
 
-        /** When it is worth coming back: the first opening, or now where none is known. */
+        /** When a client should submit again: when the first endpoint is ready, or now if that is unknown. */
         double opensAt() {
             return gatesOpenAt().min().orElse(clock);
         }
@@ -867,7 +868,7 @@
         }
     }
 
-    /** The pace and told wait of what shares one limit. Guards against refusals and broken waits. */
+    /** Allowed rate and Retry-After wait of endpoints that share a limit: avoids refusals and early sends. */
     private final class Limit {
         final Rate sends = new Rate(clock, CARRIED);
         final Times lastSecond = new Times();
@@ -881,7 +882,7 @@
         double cutAt = Double.NEGATIVE_INFINITY;
         final OutageEvidence evidence = new OutageEvidence(clock, SHUT_MS);
         double returnedAt = Double.NEGATIVE_INFINITY;
-        /** When the next call may go to an endpoint of it that is not in full service. */
+        /** When the next call may go to one of its endpoints that are not in full service. */
         double coldNextAt = Double.NEGATIVE_INFINITY;
 
         Limit(Destination destination) {
@@ -900,7 +901,7 @@
             }
         }
 
-        /** Many lives may end at one moment, and must not send what they held at another. */
+        /** Many senders may restart at once: spreads the sends of their restored messages. */
         void resumed() {
             evidence.resumed();
             if (rate == Double.POSITIVE_INFINITY && evenPart(0) > 0) {
@@ -909,13 +910,13 @@
             }
         }
 
-        /** Each message of a call may be told its own wait, in turns of its own. */
+        /** Records a Retry-After wait. Messages of one call may report different ones: the longest counts. */
         void told(double waitMs) {
             destination.touch();
             waitUntil = waitMs > 0 ? Math.max(waitUntil, clock + waitMs + CLOCK_MARGIN_MS) : waitUntil;
         }
 
-        /** One answer's figure may be spoilt. */
+        /** Averages the rates that answers report, as a single value may be wrong. */
         void says(double perSecond) {
             if (perSecond > 0 && perSecond < Double.POSITIVE_INFINITY) {
                 double said = perSecond / 1000;
@@ -925,8 +926,9 @@
         }
 
         /**
-         * Refusals of calls sent before the last cut are old news. Waits of all senders end at one moment:
-         * where a pace is slower than the wait it begins at random after it, lest they all come at once.
+         * Lowers the allowed rate after a refusal, except of a call sent before the last cut. The Retry-After
+         * waits of all senders end at the same time: if the next send would come after the wait, it gets a
+         * random delay after it, so that the senders don't all send at once.
          */
         void refused(Call call) {
             if (call.sentAt < cutAt) {
@@ -934,7 +936,7 @@
             }
             boolean paced = rate < Double.POSITIVE_INFINITY;
             double edge = paced ? rate : lastSecond.size() / 1000.0;
-            // In one second the thin streams of many senders make no rate.
+            // Where each sender has little traffic, the count of one second is too small to give a rate.
             edge = paced || evenPart(0) > 0 ? Math.min(edge, PACE_OVER_SENT * sends.perMs()) : edge;
             rate = Math.max(floor(), edge * PACE_CUT);
             pressed = Math.min(pressed + 1, PACE_PAUSES);
@@ -968,7 +970,7 @@
             return destination.targets.stream().filter(t -> t.limit == this).toList();
         }
 
-        /** An endpoint of it has failed; where none of them has done well for long, an outage takes all. */
+        /** One of its endpoints has failed a call: all are marked as down if the evidence is of an outage. */
         void failed(String symptom) {
             evidence.failed(clock);
             if (evidence.isOutage(clock)) {
@@ -976,14 +978,14 @@
             }
         }
 
-        /** An endpoint of it has turned a call away; where it is shut, all are. */
+        /** One of its endpoints has refused a call: all are marked as down if it asked for a long wait. */
         void turnedAway(double waitMs) {
             if (waitMs >= SHUT_MS) {
                 targets().forEach(Target::shut);
             }
         }
 
-        /** One has delivered; if that may end an outage, all that are in service begin as cold ones. */
+        /** One of its endpoints has delivered: if that may end an outage, slow start begins for all. */
         void good(boolean returns) {
             evidence.good(clock);
             if (returns) {
@@ -992,12 +994,12 @@
             }
         }
 
-        /** Whether it may have been out, and cold ever since. */
+        /** Whether a possible outage ended less than a ramp-up time ago. */
         boolean isReturning() {
             return clock - returnedAt < settings.slowStart().rampUpMs();
         }
 
-        /** Pace of the calls to all its endpoints that are not in full service, of which this one is next. */
+        /** Allowed rate of calls to all its endpoints not in full service; the given one is next. */
         double coldRate(Target next) {
             double part = this == destination.shared ? 1 : 1.0 / destination.serving();
             double asked = destination.demand.perMs() * part * DEMAND_SHARE;
@@ -1005,7 +1007,7 @@
             return Math.max(leastTrialRate(), next.rampRate(Math.max(carried, Math.max(asked, evenPart(0)))));
         }
 
-        /** This sender's even part of the rate that is known, after so many refusals in a row. */
+        /** This sender's fair share of the listed or reported rate, at this refusal level; 0 if unknown. */
         double evenPart(int refusals) {
             double told = TOLD_SHARE * toldRate / (1 + refusals);
             return Math.max(LISTED_SHARE * listedRate, told) / settings.senderCount();
@@ -1019,9 +1021,9 @@
     }
 
     /**
-     * An endpoint and its health. Guards against dead, silent, failing and shut endpoints alike: when down,
-     * single trials replace the backlog; when it answers again, a ramp keeps within what a cold endpoint can
-     * take. It may hurt where an endpoint is merely slow.
+     * An endpoint and its health. One that is dead, silent, failing or refusing everything is marked as down
+     * and gets single probes in place of the backlog; when it answers again, slow start keeps the load within
+     * what it can take after an outage. Drawback: an endpoint that is only slow may be marked as down.
      */
     private final class Target {
         final Endpoint entry;
@@ -1032,7 +1034,7 @@
         boolean serving;
         EndpointState state = EndpointState.UP;
         Call latest;
-        /** Its calls that are out, in the order sent. */
+        /** Its calls in flight, in the order in which they were sent. */
         final List<Call> calls = new ArrayList<>(0);
         double latency = FIRST_LATENCY_MS;
         double deviation = FIRST_LATENCY_MS / 2;
@@ -1046,7 +1048,7 @@
         double warmSince;
         double downAt;
         boolean silentOnly;
-        /** Since it is down it has itself failed or refused calls; a reset may be the network's doing. */
+        /** It answered with errors or refusals while down; lost connections may be the network's fault. */
         boolean failing;
         double nextAt = Double.NEGATIVE_INFINITY;
         double usedAt = Double.NEGATIVE_INFINITY;
@@ -1091,15 +1093,16 @@
             destination.touch();
         }
 
-        /** Whether its gates let a message go there that is bound to a zone. */
+        /** Whether a message with this allowed zone may be sent there, apart from slots. */
         boolean lets(long zone) {
             return serving && (zone == ANY_ZONE || zone == entry.zone())
                     && (mayJoin() || limit.waitUntil <= clock && isOpen());
         }
 
         /**
-         * What sending there costs in time: the usual answer with its calls out, the last fruitless ends and
-         * the fee. A trial that is due goes first, lest it stay down for ever; unsafe messages avoid it.
+         * The cost of a send there, in milliseconds: the latency, multiplied by the calls in flight, plus
+         * penalties for recent failures and the zone fee. A down endpoint whose probe is due is the cheapest,
+         * as it would stay down for ever without probes, but the most expensive for unsafe messages.
          */
         double cost(Delivery d) {
             if (state == EndpointState.DOWN) {
@@ -1129,7 +1132,7 @@
             return latest;
         }
 
-        /** The call of another process that an attempt is still out in: it holds its slot until it ends. */
+        /** The call of the previous process that still carries the attempt: it holds a slot until it ends. */
         Call adopt(EarlierAttempt attempt) {
             Call call = calls.stream().filter(c -> c.earlier.equals(attempt.inFlightCallId())).findFirst()
                     .orElseGet(() -> new Call(this, attempt.sentAtMs(), attempt.inFlightCallId()));
@@ -1138,10 +1141,11 @@
         }
 
         /**
-         * A destination may hold fewer slots than stay free, lest a slow or silent one holds them all. One
-         * that answers quickly gives them back soon, so it may have all but one; the last one too while it
-         * holds less than its part by what is asked for, else those with no call out starve the busiest one.
-         * It may hurt where it goes silent, until a second call is out of patience.
+         * Whether its destination may take one more slot. It may hold fewer slots than remain free, so that a
+         * slow or silent one can't hold them all. A fast one frees its slots soon and may take all but one,
+         * and the last one too while it holds less than its share by demand, else destinations with no call
+         * in flight starve the busiest one. Drawback: it may go silent, and keeps this until its second call
+         * is overdue.
          */
         boolean hasSlot() {
             int free = settings.slots() - slotsUsed;
@@ -1152,27 +1156,28 @@
             return quick && free > (lacks ? 0 : 1) || free > 0 && destination.out < Math.max(1, free - 1);
         }
 
-        /** Whether pace and health let the next call go. */
+        /** Whether the rate limit and the endpoint's health allow a call now. */
         boolean isOpen() {
             return limit.nextAt <= clock && nextAt <= clock
                     && (state != EndpointState.DOWN || calls.isEmpty())
                     && (isInFullService() || limit.coldNextAt <= clock);
         }
 
-        /** When its gates open, as far as time alone opens them. */
+        /** When it is ready for a call, as far as that depends on time alone. */
         double gatesOpenAt() {
             double opensAt = Math.max(Math.max(limit.waitUntil, limit.nextAt), nextAt);
             return isInFullService() ? opensAt : Math.max(opensAt, limit.coldNextAt);
         }
 
-        /** How long a usual answer may take here. */
+        /** The longest usual latency; a call that takes longer is overdue. */
         double patience() {
             return latency + SILENT_DEVIATIONS * deviation;
         }
 
         /**
-         * How long a call may be out, as far as can be told before. What can't be repeated is not to be cut
-         * off: it gets the slowest answer to be reckoned with, not its time-out, longer than any close takes.
+         * The time that must be left before the shutdown to start a call. An unsafe message must not be cut
+         * off, as it can't be repeated: it needs the slowest likely latency, but not its whole timeout, which
+         * is longer than any shutdown takes.
          */
         double expectedEnd(MessageClass type) {
             return type.effect() == Effect.UNSAFE ? slowest() : patience();
@@ -1188,20 +1193,20 @@
             return Math.max(base, patience);
         }
 
-        /** Pace while down or warming: the rule's budget, shared as the load was shared before. */
+        /** Allowed rate while down or in slow start, from the share of the load that it had before. */
         double allowedRate() {
             double asked = destination.demand.perMs() / destination.serving() * DEMAND_SHARE;
             double part = limit.evenPart(0) / (limit == destination.shared ? destination.serving() : 1);
             double rate = rampRate(Math.max(carried.perMs(), Math.max(asked, part)));
             if (rate == 0) {
-                // Only messages of an earlier life are known here: the pace of trials, until more is seen.
+                // There was no demand yet, only restored messages: the rate of probes, until there is some.
                 return leastTrialRate();
             }
             return state != EndpointState.DOWN ? rate
                     : Math.max(leastTrialRate(), Math.min(1 / TRIAL_LEAST_MS, rate));
         }
 
-        /** What the rule allows now of a rate that was known before, less what is left for chance. */
+        /** The rate that slow start allows now, given the sustained rate before the outage. */
         double rampRate(double known) {
             SlowStart cold = settings.slowStart();
             double warm = state == EndpointState.WARMING ? (clock - warmSince) / cold.rampUpMs() : 0;
@@ -1209,7 +1214,7 @@
             return RAMP_SAFETY * cold.overloadMultiple() * capacity * known;
         }
 
-        /** Whether nothing speaks of an outage, there or at another endpoint of its limit. */
+        /** Whether it is up, and no outage is suspected of the endpoints that share its limit. */
         boolean isInFullService() {
             return state == EndpointState.UP && !limit.evidence.isSuspect(clock);
         }
@@ -1220,21 +1225,21 @@
                 case FULL -> full(call, end.retryAfterMs());
                 case UNREACHABLE -> bad(UNREACHABLE_WEIGHT, "refuses connections");
                 case ERROR -> {
-                    bad(BAD_WEIGHT, "fails calls");
+                    bad(BAD_WEIGHT, "answers with errors");
                     failing |= state == EndpointState.DOWN;
                 }
                 default -> {
                     connections.lost(call);
-                    bad(BAD_WEIGHT, "loses calls");
+                    bad(BAD_WEIGHT, "times out or drops connections");
                 }
             }
             if (state == EndpointState.WARMING && clock - warmSince >= settings.slowStart().rampUpMs()) {
-                up("is warm");
+                up("completed its slow start");
             }
         }
 
         private void good(Call call, AttemptResult end) {
-            // No outage that would leave it cold fits between deliveries so close together.
+            // With deliveries this close together, no outage was long enough to require a slow start.
             boolean blip = !failing && clock - lastGood < SHUT_MS;
             boolean returns = limit.evidence.isSuspect(clock);
             limit.good(returns);
@@ -1253,9 +1258,9 @@
                 warm();
             } else if (state == EndpointState.DOWN && silentOnly && call.sentAt < downAt
                     && end.durationMs() < SHUT_MS) {
-                up("was slow, not silent");
+                up("was slow but did answer, is up again");
             } else if (state == EndpointState.DOWN && blip) {
-                up("was not out");
+                up("failed only briefly, is up again");
             } else if (state == EndpointState.DOWN) {
                 latency = end.durationMs();
                 warm();
@@ -1272,7 +1277,7 @@
         }
 
         private void shut() {
-            down("is shut");
+            down("refuses all messages");
             failing = true;
         }
 
@@ -1296,24 +1301,23 @@
             limit.evidence.overdue(call.sentAt);
             if (lastGood < call.sentAt && ++silentCalls >= SILENT_CALLS) {
                 boolean wasDown = state == EndpointState.DOWN;
-                down("is silent");
+                down("does not answer");
                 silentOnly = !wasDown;
             }
         }
 
-        /** It answers again, and is cold. */
         private void warm() {
             state = EndpointState.WARMING;
             warmSince = clock;
             nextAt = clock + 1 / allowedRate();
-            actions.log("endpoint " + entry.id() + " answers again, warming");
+            actions.log("endpoint " + entry.id() + " answers again, slow start begins");
             remember();
         }
 
         private void up(String symptom) {
             state = EndpointState.UP;
             nextAt = clock;
-            // The time of the outage does not count.
+            // The time of the outage must not lower the sustained rate.
             carried.skipTo(clock);
             actions.log("endpoint " + entry.id() + " " + symptom);
             remember();
@@ -1326,7 +1330,7 @@
                 failing = false;
                 downAt = clock;
                 nextAt = Math.max(clock, limit.waitUntil) + random.nextDouble() / allowedRate();
-                actions.log("endpoint " + entry.id() + " " + symptom + ", trials only");
+                actions.log("endpoint " + entry.id() + " " + symptom + ", only probes are sent");
                 remember();
             }
         }
@@ -1335,7 +1339,7 @@
             actions.saveEndpointHealth(entry.id(), new EndpointHealth(state, clock, carried.perMs()));
         }
 
-        /** Goes on where an earlier life ended, lest a backlog push over what may just come back cold. */
+        /** Continues in the state before the restart: a backlog could overload a recovering endpoint. */
         void recall(EndpointHealth health) {
             state = health.state();
             carried.recall(health.sustainedPerMs());
@@ -1350,15 +1354,16 @@
     }
 
     /**
-     * Guards against connections that are dropped unseen: after losses on idle ones at two destinations,
-     * those that idled nearly so long are closed before use, until a delivery over one that idled as long.
+     * Avoids idle connections that were dropped without notice: once idle ones of two destinations have lost
+     * calls, those idle for over {@link #REUSE_IDLE_SHARE} of the shorter time are closed before use, until a
+     * call on one that was idle as long is delivered.
      */
     private final class Connections {
         private Optional<Call> suspect = Optional.empty();
         private double lostAt = Double.NEGATIVE_INFINITY;
         private boolean sure;
 
-        /** How long the connection that a call now takes has idled: 0 for one in use, or a new one. */
+        /** Idle time of the connection that a new call will use: 0 for one in use, or a new one. */
         double take(Target target) {
             double idle = !target.calls.isEmpty() ? 0 : clock - target.usedAt;
             if (clock > lostAt + TRUST_MEMORY_MS) {
@@ -1390,8 +1395,8 @@
     }
 
     /**
-     * Bounds extra sends, over all destinations, by a share of first sends: copies, lest a slow one double
-     * the load, and new waves of refused messages, as refused calls may use up a limit for good.
+     * Limits extra sends to a share of first sends, over all destinations. Without it hedged attempts could
+     * double the load on a slow destination, and retries of refused messages could use up its limit for good.
      */
     private final class Throttle {
         private final double base;
--- a/src/main/java/kestreldeal/DueQueue.java
+++ b/src/main/java/kestreldeal/DueQueue.java
@@ -3,24 +3,24 @@
 import java.util.Arrays;
 
 /**
- * A priority queue by time whose entries know their place, so that one can be moved or taken out in O(log n): a
- * binary heap in an array. Entries of one time come in the order in which they were set. An entry is in one queue
- * at most.
+ * A priority queue by time: a binary heap in an array whose entries know their index, so that one can be moved or
+ * removed in O(log n). Entries with equal times keep the order in which they were set. An entry can be in one queue
+ * at a time.
  *
- * @param <E> what is due
+ * @param <E> the entries
  */
 class DueQueue<E extends DueQueue.Entry> {
     private Entry[] heap = new Entry[16];
     private int size;
     private long count;
 
-    /** What can stand in a queue: to be extended, so that it costs no object of its own. */
+    /** Base class of the entries, which keeps the time and the index of an entry without an object for them. */
     abstract static class Entry {
         private double at = Double.POSITIVE_INFINITY;
         private long number;
         private int place = -1;
 
-        /** The time that it was last set to; infinite if it never was, or was taken out. */
+        /** The time at which the entry is due; infinite if it is in no queue. */
         final double at() {
             return at;
         }
@@ -30,7 +30,7 @@
         }
     }
 
-    /** Puts an entry in, or moves it, behind all others of that time; at an infinite time it is taken out. */
+    /** Adds an entry, or moves it, behind all others of the same time; an infinite time removes it. */
     final void set(E entry, double at) {
         remove(entry);
         if (at < Double.POSITIVE_INFINITY) {
@@ -44,7 +44,7 @@
         }
     }
 
-    /** Takes an entry out; one that is not in stays out. */
+    /** Removes an entry, if it is in the queue. */
     final void remove(E entry) {
         Entry removed = entry;
         int hole = removed.place;
@@ -61,7 +61,7 @@
         }
     }
 
-    /** Takes these entries out; null is one that was never made. */
+    /** Removes these entries; null ones are ignored. */
     @SafeVarargs
     final void removeAll(E... entries) {
         for (E entry : entries) {
@@ -82,7 +82,7 @@
         return (E) heap[0];
     }
 
-    /** Takes the first entry out; null if there is none. */
+    /** Removes and returns the first entry; null if there is none. */
     final E poll() {
         E first = first();
         if (first != null) {
--- a/src/main/java/kestreldeal/KeyLines.java
+++ b/src/main/java/kestreldeal/KeyLines.java
@@ -7,22 +7,22 @@
 import java.util.function.Consumer;
 
 /**
- * Elements in line by key, first come first served. A line exists while anything of it waits, is out or rests.
+ * A FIFO queue of elements for each key. A queue exists while it has elements waiting or in flight, or a cool-down.
  *
- * @param <E> what waits
+ * @param <E> the elements
  */
 final class KeyLines<E> {
     private final Map<String, Line> lines = new HashMap<>();
     private final Timers timers;
     private final Consumer<E> changed;
 
-    /** None yet; it is told of the first in a line whenever it may have become free to go, or no longer be so. */
+    /** The listener gets the first element of a queue whenever it may have become eligible or ineligible. */
     KeyLines(Timers timers, Consumer<E> changed) {
         this.timers = timers;
         this.changed = changed;
     }
 
-    /** The line of a key, if need be a new one. */
+    /** The queue of a key, which is created if there is none. */
     Line line(String key) {
         return lines.computeIfAbsent(key, Line::new);
     }
@@ -31,7 +31,7 @@
         return lines.size();
     }
 
-    /** What waits under one key, how much is out of it, and until when it rests. */
+    /** The waiting elements of a key, the number of attempts in flight, and the end of the cool-down. */
     final class Line extends Timers.Timer {
         private final String key;
         private final Set<E> waiting = new LinkedHashSet<>(1);
@@ -51,35 +51,34 @@
             due();
         }
 
-        /** So many more are out. */
+        /** Adds this number, which may be negative, to the attempts in flight. */
         void out(int more) {
             out += more;
             due();
         }
 
-        /** Nothing goes before this time. */
+        /** Starts a cool-down: nothing may be sent before this time. */
         void rest(double until) {
             restUntil = until;
             timers.set(this, until);
             due();
         }
 
-        /** The first that waits, or null. */
+        /** The first waiting element, or null. */
         E first() {
             return waiting.isEmpty() ? null : waiting.iterator().next();
         }
 
-        /** How much is out, of whatever in the line. */
+        /** Number of attempts in flight, of all elements of the key. */
         int out() {
             return out;
         }
 
-        /** Until when nothing may go. */
         double restUntil() {
             return restUntil;
         }
 
-        /** It has changed, or has rested. */
+        /** Called after each change and at the end of the cool-down: reports the first element, or drops the queue. */
         @Override
         void due() {
             if (!waiting.isEmpty()) {
--- a/src/main/java/kestreldeal/Lanes.java
+++ b/src/main/java/kestreldeal/Lanes.java
@@ -9,12 +9,12 @@
 import java.util.stream.Stream;
 
 /**
- * Elements in several orders, the lanes, and within them in groups, of which some stand in their lane and some don't:
- * a group's elements are in order, and the groups that stand in a lane are in order by their first elements. To add or
- * remove an element, or to let a whole group stand or not, costs O(log n). Elements of one owner, lane and tag are in
- * one group, which exists while it has any.
+ * Priority queues in which whole groups of elements can be made eligible or ineligible at once. Elements of the same
+ * owner, queue and tag form a group, which exists while it has elements. A group keeps its elements in the order of
+ * its queue, and a queue keeps its eligible groups in the order of their first elements. Adding or removing an element
+ * and changing the eligibility of a group take O(log n).
  *
- * @param <E> the elements; a lane's order tells any two apart and does not change while they are in it
+ * @param <E> the elements; a queue's order must tell any two apart and must not change while they are in the queue
  */
 final class Lanes<E extends Lanes.Element<E>> {
     private final List<Lane<E>> lanes = new ArrayList<>();
@@ -24,12 +24,12 @@
     private final List<Owner<E>> touched = new ArrayList<>();
     private long looks;
 
-    /** What is in a group or in none: to be extended, so that its place costs no object of its own. */
+    /** Base class of the elements, which keeps the group of an element without an object for it. */
     abstract static class Element<E extends Element<E>> extends Timers.Timer {
         private Group<E> group;
     }
 
-    /** What groups belong to, which decides whether they stand: to be extended likewise. */
+    /** Base class of the owners of groups, which decide on the eligibility of their groups. */
     abstract static class Owner<E extends Element<E>> extends DueQueue.Entry {
         private final Lanes<E> lanes;
         private List<Group<E>> groups = List.of();
@@ -43,10 +43,10 @@
             return groups;
         }
 
-        /** Lets its groups stand or not, and returns when to look again by time alone, if nothing touches it before. */
+        /** Sets the levels of its groups, and returns when to do so again if nothing changes before. */
         abstract double look();
 
-        /** Something that it decides by may have changed; without a group that is of no account. */
+        /** Schedules an update, as the eligibility of its groups may have changed; nothing to do without groups. */
         final void touch() {
             if (!isTouched && (!groups.isEmpty() || at() < Double.POSITIVE_INFINITY)) {
                 isTouched = true;
@@ -83,15 +83,16 @@
     }
 
     /**
-     * Lanes with these orders, and these levels from 1 on, of which a group stands at one and thereby at all below it.
-     * An element belongs into its lane up to the given time, which rises or falls along a lane's order.
+     * Creates a queue for each order. A group has an eligibility level from 0 (ineligible) to the given number, and is
+     * included in all levels up to its own. An element expires from its queue at the given time, which must rise or
+     * fall monotonically along the order of the queue.
      */
     Lanes(List<Comparator<E>> orders, int levels, ToDoubleFunction<E> endsAt) {
         this.endsAt = endsAt;
         orders.forEach(order -> lanes.add(new Lane<>(order, levels)));
     }
 
-    /** Has those owners look at their groups that were touched or wanted to look by now. */
+    /** Updates the eligibility of the groups of all owners that were marked as changed or whose update is due. */
     void look(double now) {
         while (owners.nextAt() <= now) {
             owners.poll().touch();
@@ -100,22 +101,22 @@
         touched.clear();
     }
 
-    /** When an owner wants to look again. */
+    /** Time of the next update that an owner has scheduled. */
     double nextLook() {
         return owners.nextAt();
     }
 
-    /** For the owners' own looks at what is in no lane. */
+    /** Counts an operation that an owner did outside of the queues. */
     void countLook() {
         looks++;
     }
 
-    /** Elements put or removed, groups looked at and owners that looked so far: what the work was done on. */
+    /** Number of elements put or removed, groups visited and owners updated so far, as a measure of cost. */
     long looks() {
         return looks;
     }
 
-    /** Puts an element into its group, if it is not there, and so out of another; a new group does not stand yet. */
+    /** Puts an element into its group, removing it from another one. A new group is not eligible yet. */
     void put(E element, Owner<E> owner, int lane, long tag) {
         looks++;
         Group<E> to = owner.group(lanes.get(lane), tag);
@@ -130,7 +131,7 @@
         }
     }
 
-    /** Takes an element out of its group, if it is in one. */
+    /** Removes an element from its group, if it is in one. */
     void remove(E element) {
         Group<E> group = ((Element<E>) element).group;
         if (group == null) {
@@ -149,7 +150,7 @@
         }
     }
 
-    /** Has each element put elsewhere whose time in its lane has ended before now. */
+    /** Passes each element that has expired from its queue to the given function, which must put it into another. */
     void end(double now, Consumer<E> putElsewhere) {
         while (ending.nextAt() < now) {
             Group<E> group = ending.first();
@@ -158,13 +159,13 @@
         }
     }
 
-    /** The group whose first element comes first of those that stand at a level in one of the first lanes; or null. */
+    /** Of the groups with at least this level in the first queues, the one with the first element in order, or null. */
     Group<E> first(int ofLanes, int level, Comparator<E> order) {
         return lanes.stream().limit(ofLanes).map(lane -> lane.levels.get(level - 1)).filter(l -> !l.isEmpty())
                 .map(TreeSet::first).peek(group -> looks++).min(Comparator.comparing(Group::first, order)).orElse(null);
     }
 
-    /** The groups that stand at a level in one of the first lanes. */
+    /** The groups with at least this level in the first queues. */
     Stream<Group<E>> stream(int ofLanes, int level) {
         return lanes.stream().limit(ofLanes).flatMap(lane -> lane.levels.get(level - 1).stream()).peek(g -> looks++);
     }
@@ -185,7 +186,7 @@
         }
     }
 
-    /** Elements that stand or don't stand together. */
+    /** Elements that are eligible or ineligible together. */
     static final class Group<E extends Element<E>> extends DueQueue.Entry {
         final Owner<E> owner;
         final long tag;
@@ -200,7 +201,7 @@
             this.elements = new TreeSet<>(lane.order);
         }
 
-        /** Lets it stand at this level and all below; at 0 it does not stand. */
+        /** Sets the eligibility level; at 0 the group is ineligible. */
         void stand(int atLevel) {
             if (level != atLevel) {
                 leave();
@@ -222,7 +223,7 @@
             return elements.isEmpty();
         }
 
-        /** Its place goes by its first element, which must not change while it stands there. */
+        /** Must be called before a change of the first element, as the sets are ordered by it. */
         private void leave() {
             for (int i = 0; i < level && !isEmpty(); i++) {
                 lane.levels.get(i).remove(this);
--- a/src/main/java/kestreldeal/OutageEvidence.java
+++ b/src/main/java/kestreldeal/OutageEvidence.java
@@ -1,19 +1,19 @@
 package kestreldeal;
 
 /**
- * Evidence of an outage of all that shares one limit, in how the calls to any of its endpoints end: one
- * endpoint alone may see too few calls to tell, where each sender has little traffic. Times are milliseconds.
+ * Detects an outage of all endpoints that share a rate limit, from the results of the calls to any of them:
+ * at low traffic a single endpoint sees too few calls to tell. Times are in milliseconds.
  */
 final class OutageEvidence {
-    /** Evidence, 0 to 1: each bad end closes this share of the gap to 1, each good one multiplies it. */
+    /** The failure score, 0 to 1: a failure closes this share of the gap to 1, a delivery multiplies it. */
     private static final double BAD_WEIGHT = 0.2;
     private static final double GOOD_FACTOR = 0.6;
-    /** From here on it is an outage: five bad ends in a row. */
+    /** Score from which there is an outage: five failures in a row. */
     private static final double OUTAGE_AT = 0.6;
 
-    /** One failure alone is no sign: calls fail now and then. */
+    /** Number of failed or overdue calls that raises suspicion; a single call may fail at any time. */
     private static final int LEAST_FAILURES = 2;
-    /** Bad ends in a row, over the least length of an outage, mean one as well. */
+    /** This many failures in a row, over the minimum length of an outage, are an outage at any score. */
     private static final int MOST_FRUITLESS = 3;
 
     private final double leastMs;
@@ -22,21 +22,20 @@
     private double score;
     private int failures;
     private boolean seenGood;
-    /** The last good end, or when the watch began. */
+    /** Time of the last delivery, or at first of this object's creation. */
     private double lastGood;
 
-    /** Evidence from now on of outages of at least this length: a shorter one leaves nothing cold. */
+    /** Observes from now on; a shorter outage than this is ignored, as no slow start is needed after it. */
     OutageEvidence(double now, double leastMs) {
         this.lastGood = now;
         this.leastMs = leastMs;
     }
 
-    /** An earlier life has sent there before: its last good end may be long ago. */
+    /** A message of a previous process was restored: its last delivery there may be long ago. */
     void resumed() {
         lastGood = seenGood ? lastGood : Double.NEGATIVE_INFINITY;
     }
 
-    /** A call was delivered. */
     void good(double now) {
         lastGood = now;
         seenGood = true;
@@ -45,7 +44,6 @@
         score *= GOOD_FACTOR;
     }
 
-    /** A call has failed. */
     void failed(double now) {
         failures++;
         score += (1 - score) * BAD_WEIGHT;
@@ -54,17 +52,16 @@
         }
     }
 
-    /** A call that was sent then has no answer, and is overdue. */
+    /** A call is overdue; it counts if nothing was delivered since it was sent. */
     void overdue(double sentAt) {
         failures += lastGood < sentAt ? 1 : 0;
     }
 
-    /** Whether an outage may be on: the last ends are bad, and the last good one is long ago. */
+    /** Whether there may be an outage: recent calls failed, and the last delivery is long ago. */
     boolean isSuspect(double now) {
         return failures >= LEAST_FAILURES && now - lastGood >= leastMs;
     }
 
-    /** Whether one is on. */
     boolean isOutage(double now) {
         return isSuspect(now) && score >= OUTAGE_AT
                 || fruitless >= MOST_FRUITLESS && now - fruitlessSince >= leastMs;
--- a/src/main/java/kestreldeal/Rate.java
+++ b/src/main/java/kestreldeal/Rate.java
@@ -1,8 +1,8 @@
 package kestreldeal;
 
-/** Events a millisecond over the last stretch of time in which they were watched, older ones of less weight. */
+/** Rate of events per millisecond, as an exponentially weighted moving average over the observed time. */
 final class Rate {
-    /** Whole parts of an event. */
+    /** Fixed-point units in one event. */
     private static final double PARTS = 1 << 30;
 
     private final Span span;
@@ -11,21 +11,21 @@
     private double over;
     private double at;
 
-    /** The events of several rates, in whole parts of an event, lest the sum drift. */
+    /** The sum of the weighted events of several rates, in fixed-point units, so that rounding does not add up. */
     static final class Total {
         private long parts;
     }
 
-    /** The time over which events are averaged, and the shortest that counts. */
+    /** Time constant of the average, and the shortest observed time by which events are divided. */
     record Span(double averagedMs, double leastMs) {
     }
 
-    /** None yet, watched from now on. */
+    /** No events yet, observed from now on. */
     Rate(double now, Span span) {
         this(now, span, null);
     }
 
-    /** One whose share in a total is asked for. */
+    /** The same, as part of a total. */
     Rate(double now, Span span, Total total) {
         this.at = now;
         this.span = span;
@@ -39,18 +39,18 @@
         at = now;
     }
 
-    /** Goes on from a rate that another process saw. */
+    /** Continues from a rate that a previous process recorded. */
     void recall(double perMs) {
         set(perMs * span.averagedMs());
         over = span.averagedMs();
     }
 
-    /** The time since the last event does not count. */
+    /** Excludes the time since the last event from the observed time. */
     void skipTo(double now) {
         at = now;
     }
 
-    /** Its share in the events of the total; not a number where there is none. */
+    /** Share of the total's events; NaN if the total has none. */
     double share() {
         return (double) parts() / total.parts;
     }
--- a/src/main/java/kestreldeal/Timers.java
+++ b/src/main/java/kestreldeal/Timers.java
@@ -2,24 +2,24 @@
 
 import java.util.function.DoubleConsumer;
 
-/** What is due later, and the one wake that is asked for it. */
+/** Timers in the order in which they are due, and the single wake-up that is requested for the first. */
 final class Timers extends DueQueue<Timers.Timer> {
     private final double margin;
     private final DoubleConsumer wakeAt;
     private double asked = Double.POSITIVE_INFINITY;
 
-    /** Something that is due later. */
+    /** Base class of timers. */
     abstract static class Timer extends DueQueue.Entry {
         abstract void due();
     }
 
-    /** A wake counts as come within this margin, as clocks are rounded. */
+    /** A wake-up may come earlier than requested by this margin, as clocks are rounded. */
     Timers(double margin, DoubleConsumer wakeAt) {
         this.margin = margin;
         this.wakeAt = wakeAt;
     }
 
-    /** Sets a new timer. */
+    /** Adds a timer that runs this action. */
     Timer add(double at, Runnable action) {
         Timer timer = new Timer() {
             @Override
@@ -31,14 +31,14 @@
         return timer;
     }
 
-    /** Runs what is due, in the order of its time, with what it sets for now. */
+    /** Fires all timers that are due, in the order of their times, including those that they set for now. */
     void run(double now) {
         while (nextAt() <= now) {
             poll().due();
         }
     }
 
-    /** Asks for a wake at the first timer or, if it comes sooner, at this opening, unless it is asked for. */
+    /** Requests a wake-up at the first timer or at this time, whichever is earlier, unless that was done before. */
     void ask(double now, double opening) {
         double next = Math.min(opening, nextAt());
         if (asked <= now + margin || next < asked) {
--- a/src/main/java/kestreldeal/Times.java
+++ b/src/main/java/kestreldeal/Times.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.stream.IntStream;
 
-/** Times in the order in which they came, the oldest first: a ring buffer without boxes, made with the first time. */
+/** A FIFO queue of timestamps, oldest first: a ring buffer of primitive values, allocated with the first one. */
 final class Times {
     private static final double[] NONE = {};
 
@@ -23,7 +23,7 @@
         ring[(head + size++) % ring.length] = time;
     }
 
-    /** Forgets the times before this one. */
+    /** Removes the timestamps before this one. */
     void trim(double before) {
         while (size > 0 && ring[head] < before) {
             head = (head + 1) % ring.length;
@@ -39,12 +39,12 @@
         return size;
     }
 
-    /** The newest; there has to be one. */
+    /** The newest timestamp; the queue must not be empty. */
     double last() {
         return get(size - 1);
     }
 
-    /** How long ago each was. */
+    /** The age of each timestamp, oldest first. */
     List<Double> ago(double now) {
         return IntStream.range(0, size).mapToObj(i -> now - get(i)).toList();
     }
--- a/src/test/java/kestreldeal/DueQueueTest.java
+++ b/src/test/java/kestreldeal/DueQueueTest.java
@@ -9,7 +9,7 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
-/** The queue beside a plain list in which the first is searched for. */
+/** Random operations on the queue, compared with a list that is searched for its first entry. */
 class DueQueueTest {
     private static final class Item extends DueQueue.Entry {
     }
--- a/src/test/java/kestreldeal/ReferenceScheduler.java
+++ b/src/test/java/kestreldeal/ReferenceScheduler.java
@@ -945,16 +945,16 @@
                 case FULL -> full(call, end.retryAfterMs());
                 case UNREACHABLE -> bad(UNREACHABLE_WEIGHT, "refuses connections");
                 case ERROR -> {
-                    bad(BAD_WEIGHT, "fails calls");
+                    bad(BAD_WEIGHT, "answers with errors");
                     failing |= state == EndpointState.DOWN;
                 }
                 default -> {
                     connections.lost(call);
-                    bad(BAD_WEIGHT, "loses calls");
+                    bad(BAD_WEIGHT, "times out or drops connections");
                 }
             }
             if (state == EndpointState.WARMING && clock - warmSince >= settings.slowStart().rampUpMs()) {
-                up("is warm");
+                up("completed its slow start");
             }
         }
         private void good(Call call, AttemptResult end) {
@@ -976,9 +976,9 @@
                 warm();
             } else if (state == EndpointState.DOWN && silentOnly && call.sentAt < downAt
                     && end.durationMs() < SHUT_MS) {
-                up("was slow, not silent");
+                up("was slow but did answer, is up again");
             } else if (state == EndpointState.DOWN && blip) {
-                up("was not out");
+                up("failed only briefly, is up again");
             } else if (state == EndpointState.DOWN) {
                 latency = end.durationMs();
                 warm();
@@ -993,7 +993,7 @@
             limit.turnedAway(waitMs);
         }
         private void shut() {
-            down("is shut");
+            down("refuses all messages");
             failing = true;
         }
         private boolean noneGood() {
@@ -1015,7 +1015,7 @@
             limit.evidence.overdue(call.sentAt);
             if (lastGood < call.sentAt && ++silentCalls >= SILENT_CALLS) {
                 boolean wasDown = state == EndpointState.DOWN;
-                down("is silent");
+                down("does not answer");
                 silentOnly = !wasDown;
             }
         }
@@ -1023,7 +1023,7 @@
             state = EndpointState.WARMING;
             warmSince = clock;
             nextAt = clock + 1 / allowedRate();
-            actions.log("endpoint " + entry.id() + " answers again, warming");
+            actions.log("endpoint " + entry.id() + " answers again, slow start begins");
             remember();
         }
         private void up(String symptom) {
@@ -1040,7 +1040,7 @@
                 failing = false;
                 downAt = clock;
                 nextAt = Math.max(clock, limit.waitUntil) + random.nextDouble() / allowedRate();
-                actions.log("endpoint " + entry.id() + " " + symptom + ", trials only");
+                actions.log("endpoint " + entry.id() + " " + symptom + ", only probes are sent");
                 remember();
             }
         }
