--- a/src/main/java/kestreldeal/DeliveryScheduler.java
+++ b/src/main/java/kestreldeal/DeliveryScheduler.java
@@ -14,7 +14,7 @@
 import java.util.function.Consumer;
 import java.util.stream.DoubleStream;
 import java.util.stream.IntStream;
-import kestreldeal.Lanes.Group;
+import kestreldeal.GroupedQueues.Group;
 import kestreldeal.Timers.Timer;
 
 /**
@@ -133,7 +133,7 @@
     // Idle connections.
     /** A connection that was not used for this long counts as idle. */
     private static final double IDLE_LEAST_MS = 100;
-    /** After a loss: the share of its idle time up to which connections are reused, and how long that holds. */
+    /** After a loss: share of its idle time up to which connections are reused, and how long that holds. */
     private static final double TRUST_CUT = 0.25;
     private static final double TRUST_MEMORY_MS = 30_000;
 
@@ -177,7 +177,7 @@
     private final Map<Long, Consumer<Target>> recalled = new LinkedHashMap<>();
     private final Map<Long, Delivery> deliveries = new HashMap<>();
     /** Messages that may be sent once an endpoint is ready, by class and segment; refused messages last. */
-    final Lanes<Delivery> waiting;
+    final GroupedQueues<Delivery> waiting;
     private final Rate.Total asked = new Rate.Total();
     private final Set<Attempt> out = new LinkedHashSet<>();
     private final Times firstSends = new Times();
@@ -185,7 +185,7 @@
     private final Throttle retries = new Throttle(RETRY_BASE, RETRY_SHARE);
     private final Connections connections = new Connections();
     /** Ordered messages by key: one at a time, with a cool-down after an attempt that may still run. */
-    final KeyLines<Delivery> lines;
+    final KeyLines<Delivery> keyQueues;
     private final Timers timers;
     private int slotsUsed;
     private long turn;
@@ -198,10 +198,10 @@
         this.actions = actions;
         this.random = new Random(seed);
         this.timers = new Timers(CLOCK_MARGIN_MS, actions::wakeAt);
-        this.lines = new KeyLines<>(timers, this::place);
+        this.keyQueues = new KeyLines<>(timers, this::place);
         int count = 2 * settings.classes().size() * PIECES;
-        this.waiting = new Lanes<>(IntStream.range(0, count).mapToObj(DeliveryScheduler::order).toList(),
-                JOINABLE, Delivery::pieceEnd);
+        this.waiting = new GroupedQueues<>(
+                IntStream.range(0, count).mapToObj(DeliveryScheduler::order).toList(), JOINABLE, Delivery::pieceEnd);
     }
 
     private static Comparator<Delivery> order(int lane) {
@@ -227,7 +227,7 @@
             }
         }
         // A list may omit an endpoint by mistake, so its learned state is kept for a while.
-        leaving.stream().peek(t -> waiting.countLook()).takeWhile(t -> clock > t.goneAt + GONE_MS)
+        leaving.stream().peek(t -> waiting.countOperation()).takeWhile(t -> clock > t.goneAt + GONE_MS)
                 .filter(t -> t.calls.isEmpty() && t.limit.waitUntil <= clock).toList().forEach(target -> {
                     leaving.remove(target);
                     targets.remove(target.entry.id());
@@ -247,7 +247,7 @@
         tick(now);
         Delivery d = take(message);
         d.destination.targets.forEach(t -> t.limit.resumed());
-        d.destination.touch();
+        d.destination.markChanged();
         for (EarlierAttempt earlier : attempts) {
             Optional<Target> target = Optional.ofNullable(targets.get(earlier.endpoint()));
             Attempt attempt = new Attempt(d, target, earlier.sentAtMs());
@@ -287,7 +287,7 @@
             recalled.merge(endpoint, recall, Consumer::andThen);
         } else {
             recall.accept(target);
-            target.destination.touch();
+            target.destination.markChanged();
         }
     }
 
@@ -387,7 +387,7 @@
         tick(now);
         timers.run(now);
         dispatch();
-        timers.ask(now, waiting.nextLook());
+        timers.ask(now, waiting.nextUpdateAt());
         turn++;
     }
 
@@ -417,14 +417,14 @@
      */
     private void dispatch() {
         waiting.end(clock, this::place);
-        waiting.look(clock);
+        waiting.updateEligibility(clock);
         List<Group<Delivery>> parked = new ArrayList<>();
         for (Group<Delivery> group = mostPressing(); group != null; group = mostPressing()) {
             Delivery d = group.first();
             Optional<Target> target = choose(d, false);
             if (target.isPresent()) {
                 send(d, target.get(), false);
-                waiting.look(clock);
+                waiting.updateEligibility(clock);
             } else if (!mayRepeat(d)) {
                 place(d);
             } else {
@@ -437,9 +437,9 @@
                 || waiting.stream(openLanes(), OPEN).anyMatch(this::lacksSlot))) {
             freeSlot();
         }
-        parked.forEach(group -> group.owner.touch());
+        parked.forEach(group -> group.owner.markChanged());
         // The calls of this turn can't be joined in the next turn.
-        waiting.stream(Integer.MAX_VALUE, JOINABLE).forEach(group -> group.owner.touch());
+        waiting.stream(Integer.MAX_VALUE, JOINABLE).forEach(group -> group.owner.markChanged());
     }
 
     /** The next group to serve, or null. Without a free slot messages can only join calls of this turn. */
@@ -507,7 +507,7 @@
 
     /** The conditions that hold for a send whether it needs a slot of its own or joins a call. */
     private boolean allows(Delivery d, Target target) {
-        waiting.countLook();
+        waiting.countOperation();
         return !d.ended && target.serving
                 && clock < d.deadline - ANSWER_MARGIN_MS
                 && d.attempts.size() < settings.maxAttempts()
@@ -637,7 +637,7 @@
     // ---- nested types ----
 
     /** A message and its attempts. */
-    private final class Delivery extends Lanes.Element<Delivery> {
+    private final class Delivery extends GroupedQueues.Element<Delivery> {
         final Message message;
         final MessageClass type;
         final Destination destination;
@@ -663,7 +663,7 @@
             this.destination = destination(message.destination());
             this.deadline = clock + message.timeLeftMs();
             this.aimAt = deadline - type.deadlineMs() + type.targetLatencyMs();
-            this.line = message.key().filter(key -> type.ordered()).map(lines::line);
+            this.line = message.key().filter(key -> type.ordered()).map(keyQueues::line);
         }
 
         @Override
@@ -795,7 +795,7 @@
             slotsUsed++;
             target.calls.add(this);
             target.destination.out++;
-            target.destination.touch();
+            target.destination.markChanged();
         }
 
         void itemEnded(AttemptResult end) {
@@ -813,7 +813,7 @@
                 target.destination.out--;
                 timers.remove(this);
             }
-            target.destination.touch();
+            target.destination.markChanged();
         }
 
         /** Sets the time from which the call is overdue; the earliest of its attempts counts. */
@@ -828,13 +828,13 @@
             if (!late && !observed && itemsOut > 0) {
                 late = true;
                 target.overdue(this);
-                target.destination.touch();
+                target.destination.markChanged();
             }
         }
     }
 
     /** A destination with its endpoints and, unless they are separate routes, their shared rate limiter. */
-    private final class Destination extends Lanes.Owner<Delivery> {
+    private final class Destination extends GroupedQueues.Owner<Delivery> {
         final List<Target> targets = new ArrayList<>(2);
         final Limit shared = new Limit(this);
         final Rate demand = new Rate(clock, CARRIED, asked);
@@ -903,7 +903,7 @@
 
         /** Many senders may restart at once: spreads the sends of their restored messages. */
         void resumed() {
-            evidence.resumed();
+            evidence.messageRestored();
             if (rate == Double.POSITIVE_INFINITY && evenPart(0) > 0) {
                 rate = evenPart(0);
                 nextAt = clock + random.nextDouble() / rate;
@@ -912,7 +912,7 @@
 
         /** Records a Retry-After wait. Messages of one call may report different ones: the longest counts. */
         void told(double waitMs) {
-            destination.touch();
+            destination.markChanged();
             waitUntil = waitMs > 0 ? Math.max(waitUntil, clock + waitMs + CLOCK_MARGIN_MS) : waitUntil;
         }
 
@@ -972,7 +972,7 @@
 
         /** One of its endpoints has failed a call: all are marked as down if the evidence is of an outage. */
         void failed(String symptom) {
-            evidence.failed(clock);
+            evidence.recordFailure(clock);
             if (evidence.isOutage(clock)) {
                 targets().forEach(t -> t.down(symptom));
             }
@@ -987,7 +987,7 @@
 
         /** One of its endpoints has delivered: if that may end an outage, slow start begins for all. */
         void good(boolean returns) {
-            evidence.good(clock);
+            evidence.recordDelivery(clock);
             if (returns) {
                 returnedAt = clock;
                 targets().stream().filter(t -> t.state == EndpointState.UP).forEach(Target::warm);
@@ -1083,14 +1083,14 @@
             serving = serves;
             goneAt = Double.POSITIVE_INFINITY;
             leaving.remove(this);
-            destination.touch();
+            destination.markChanged();
         }
 
         void leave() {
             serving = false;
             goneAt = Math.min(goneAt, clock);
             leaving.add(this);
-            destination.touch();
+            destination.markChanged();
         }
 
         /** Whether a message with this allowed zone may be sent there, apart from slots. */
@@ -1123,7 +1123,7 @@
                 limit.sent();
                 nextAt = state == EndpointState.UP ? nextAt : clock + 1 / allowedRate();
             }
-            destination.touch();
+            destination.markChanged();
             if (!isInFullService()) {
                 limit.coldNextAt = clock + 1 / limit.coldRate(this);
             }
@@ -1216,7 +1216,7 @@
 
         /** Whether it is up, and no outage is suspected of the endpoints that share its limit. */
         boolean isInFullService() {
-            return state == EndpointState.UP && !limit.evidence.isSuspect(clock);
+            return state == EndpointState.UP && !limit.evidence.isSuspected(clock);
         }
 
         void observe(Call call, AttemptResult end) {
@@ -1241,7 +1241,7 @@
         private void good(Call call, AttemptResult end) {
             // With deliveries this close together, no outage was long enough to require a slow start.
             boolean blip = !failing && clock - lastGood < SHUT_MS;
-            boolean returns = limit.evidence.isSuspect(clock);
+            boolean returns = limit.evidence.isSuspected(clock);
             limit.good(returns);
             connections.held(call);
             bad *= GOOD_FACTOR;
@@ -1298,7 +1298,7 @@
 
         void overdue(Call call) {
             connections.lost(call);
-            limit.evidence.overdue(call.sentAt);
+            limit.evidence.recordOverdue(call.sentAt);
             if (lastGood < call.sentAt && ++silentCalls >= SILENT_CALLS) {
                 boolean wasDown = state == EndpointState.DOWN;
                 down("does not answer");
--- a/src/main/java/kestreldeal/Lanes.java
+++ b/src/main/java/kestreldeal/GroupedQueues.java
@@ -16,13 +16,13 @@
  *
  * @param <E> the elements; a queue's order must tell any two apart and must not change while they are in the queue
  */
-final class Lanes<E extends Lanes.Element<E>> {
+final class GroupedQueues<E extends GroupedQueues.Element<E>> {
     private final List<Lane<E>> lanes = new ArrayList<>();
     private final ToDoubleFunction<E> endsAt;
     private final DueQueue<Group<E>> ending = new DueQueue<>();
     private final DueQueue<Owner<E>> owners = new DueQueue<>();
     private final List<Owner<E>> touched = new ArrayList<>();
-    private long looks;
+    private long operations;
 
     /** Base class of the elements, which keeps the group of an element without an object for it. */
     abstract static class Element<E extends Element<E>> extends Timers.Timer {
@@ -31,11 +31,11 @@
 
     /** Base class of the owners of groups, which decide on the eligibility of their groups. */
     abstract static class Owner<E extends Element<E>> extends DueQueue.Entry {
-        private final Lanes<E> lanes;
+        private final GroupedQueues<E> lanes;
         private List<Group<E>> groups = List.of();
         private boolean isTouched;
 
-        Owner(Lanes<E> lanes) {
+        Owner(GroupedQueues<E> lanes) {
             this.lanes = lanes;
         }
 
@@ -47,7 +47,7 @@
         abstract double look();
 
         /** Schedules an update, as the eligibility of its groups may have changed; nothing to do without groups. */
-        final void touch() {
+        final void markChanged() {
             if (!isTouched && (!groups.isEmpty() || at() < Double.POSITIVE_INFINITY)) {
                 isTouched = true;
                 lanes.touched.add(this);
@@ -55,7 +55,7 @@
         }
 
         private void lookIfNeeded() {
-            lanes.looks++;
+            lanes.operations++;
             isTouched = false;
             lanes.owners.set(this, groups.isEmpty() ? Double.POSITIVE_INFINITY : look());
         }
@@ -69,7 +69,7 @@
             Group<E> added = new Group<>(this, lane, tag);
             groups = groups.isEmpty() ? new ArrayList<>(1) : groups;
             groups.add(added);
-            touch();
+            markChanged();
             return added;
         }
 
@@ -77,7 +77,7 @@
             groups.remove(group);
             if (groups.isEmpty()) {
                 groups = List.of();
-                touch();
+                markChanged();
             }
         }
     }
@@ -87,38 +87,38 @@
      * included in all levels up to its own. An element expires from its queue at the given time, which must rise or
      * fall monotonically along the order of the queue.
      */
-    Lanes(List<Comparator<E>> orders, int levels, ToDoubleFunction<E> endsAt) {
+    GroupedQueues(List<Comparator<E>> orders, int levels, ToDoubleFunction<E> endsAt) {
         this.endsAt = endsAt;
         orders.forEach(order -> lanes.add(new Lane<>(order, levels)));
     }
 
     /** Updates the eligibility of the groups of all owners that were marked as changed or whose update is due. */
-    void look(double now) {
+    void updateEligibility(double now) {
         while (owners.nextAt() <= now) {
-            owners.poll().touch();
+            owners.poll().markChanged();
         }
         touched.forEach(Owner::lookIfNeeded);
         touched.clear();
     }
 
     /** Time of the next update that an owner has scheduled. */
-    double nextLook() {
+    double nextUpdateAt() {
         return owners.nextAt();
     }
 
     /** Counts an operation that an owner did outside of the queues. */
-    void countLook() {
-        looks++;
+    void countOperation() {
+        operations++;
     }
 
     /** Number of elements put or removed, groups visited and owners updated so far, as a measure of cost. */
-    long looks() {
-        return looks;
+    long operations() {
+        return operations;
     }
 
     /** Puts an element into its group, removing it from another one. A new group is not eligible yet. */
     void put(E element, Owner<E> owner, int lane, long tag) {
-        looks++;
+        operations++;
         Group<E> to = owner.group(lanes.get(lane), tag);
         Group<E> from = ((Element<E>) element).group;
         if (from != to) {
@@ -137,7 +137,7 @@
         if (group == null) {
             return;
         }
-        looks++;
+        operations++;
         ((Element<E>) element).group = null;
         group.leave();
         group.elements.remove(element);
@@ -162,12 +162,14 @@
     /** Of the groups with at least this level in the first queues, the one with the first element in order, or null. */
     Group<E> first(int ofLanes, int level, Comparator<E> order) {
         return lanes.stream().limit(ofLanes).map(lane -> lane.levels.get(level - 1)).filter(l -> !l.isEmpty())
-                .map(TreeSet::first).peek(group -> looks++).min(Comparator.comparing(Group::first, order)).orElse(null);
+                .map(TreeSet::first).peek(group -> operations++)
+                .min(Comparator.comparing(Group::first, order)).orElse(null);
     }
 
     /** The groups with at least this level in the first queues. */
     Stream<Group<E>> stream(int ofLanes, int level) {
-        return lanes.stream().limit(ofLanes).flatMap(lane -> lane.levels.get(level - 1).stream()).peek(g -> looks++);
+        return lanes.stream().limit(ofLanes).flatMap(lane -> lane.levels.get(level - 1).stream())
+                .peek(g -> operations++);
     }
 
     private double endOf(Group<E> group) {
--- a/src/main/java/kestreldeal/OutageEvidence.java
+++ b/src/main/java/kestreldeal/OutageEvidence.java
@@ -16,7 +16,7 @@
     /** This many failures in a row, over the minimum length of an outage, are an outage at any score. */
     private static final int MOST_FRUITLESS = 3;
 
-    private final double leastMs;
+    private final double minOutageMs;
     private int fruitless;
     private double fruitlessSince;
     private double score;
@@ -26,44 +26,44 @@
     private double lastGood;
 
     /** Observes from now on; a shorter outage than this is ignored, as no slow start is needed after it. */
-    OutageEvidence(double now, double leastMs) {
-        this.lastGood = now;
-        this.leastMs = leastMs;
+    OutageEvidence(double nowMs, double minOutageMs) {
+        this.lastGood = nowMs;
+        this.minOutageMs = minOutageMs;
     }
 
     /** A message of a previous process was restored: its last delivery there may be long ago. */
-    void resumed() {
+    void messageRestored() {
         lastGood = seenGood ? lastGood : Double.NEGATIVE_INFINITY;
     }
 
-    void good(double now) {
-        lastGood = now;
+    void recordDelivery(double nowMs) {
+        lastGood = nowMs;
         seenGood = true;
         failures = 0;
         fruitless = 0;
         score *= GOOD_FACTOR;
     }
 
-    void failed(double now) {
+    void recordFailure(double nowMs) {
         failures++;
         score += (1 - score) * BAD_WEIGHT;
         if (fruitless++ == 0) {
-            fruitlessSince = now;
+            fruitlessSince = nowMs;
         }
     }
 
     /** A call is overdue; it counts if nothing was delivered since it was sent. */
-    void overdue(double sentAt) {
+    void recordOverdue(double sentAt) {
         failures += lastGood < sentAt ? 1 : 0;
     }
 
     /** Whether there may be an outage: recent calls failed, and the last delivery is long ago. */
-    boolean isSuspect(double now) {
-        return failures >= LEAST_FAILURES && now - lastGood >= leastMs;
+    boolean isSuspected(double nowMs) {
+        return failures >= LEAST_FAILURES && nowMs - lastGood >= minOutageMs;
     }
 
-    boolean isOutage(double now) {
-        return isSuspect(now) && score >= OUTAGE_AT
-                || fruitless >= MOST_FRUITLESS && now - fruitlessSince >= leastMs;
+    boolean isOutage(double nowMs) {
+        return isSuspected(nowMs) && score >= OUTAGE_AT
+                || fruitless >= MOST_FRUITLESS && nowMs - fruitlessSince >= minOutageMs;
     }
 }
--- a/src/test/java/kestreldeal/DeliverySchedulerCostTest.java
+++ b/src/test/java/kestreldeal/DeliverySchedulerCostTest.java
@@ -66,25 +66,25 @@
 
     private static long idleTurn(Scale s) {
         s.turn();
-        long before = s.logic.waiting.looks();
+        long before = s.logic.waiting.operations();
         int sent = s.sent.size();
         for (int i = 0; i < 10; i++) {
             s.now += 1;
             s.turn();
         }
         assertEquals(sent, s.sent.size(), "nothing may go");
-        return s.logic.waiting.looks() - before;
+        return s.logic.waiting.operations() - before;
     }
 
     private static long change(Scale s) {
         s.turn();
-        long before = s.logic.waiting.looks();
+        long before = s.logic.waiting.operations();
         for (int i = 0; i < 10; i++) {
             s.now += 1;
             s.logic.endpointsChanged(s.now, false, List.of(s.entry(i, i % 2 == 0)));
             s.turn();
         }
-        return s.logic.waiting.looks() - before;
+        return s.logic.waiting.operations() - before;
     }
 
     private static long sends(Scale s, int k) {
@@ -94,10 +94,10 @@
         for (int i = 0; i < k; i++) {
             s.logic.attemptCompleted(s.now, new Relay.AttemptResult(s.sent.get(i), 0, Outcome.DELIVERED, 1, true, 0));
         }
-        long before = s.logic.waiting.looks();
+        long before = s.logic.waiting.operations();
         s.turn();
         assertEquals(SLOTS + k, s.sent.size(), "as many go as have ended");
-        return s.logic.waiting.looks() - before;
+        return s.logic.waiting.operations() - before;
     }
 
     /** A module that has so much listed and waiting. */
--- a/src/test/java/kestreldeal/DeliverySchedulerEquivalenceTest.java
+++ b/src/test/java/kestreldeal/DeliverySchedulerEquivalenceTest.java
@@ -225,10 +225,11 @@
             both(r -> r.endTurn(now));
             assertEquals(walk.endpointCounts(), logic.endpointCounts());
             if (checksLooks && random.nextInt(8) == 0) {
-                double next = logic.waiting.nextLook();
-                reachable(logic).stream().filter(o -> o instanceof Lanes.Owner).forEach(o -> ((Lanes.Owner<?>) o).touch());
-                logic.waiting.look(now);
-                assertEquals(logic.waiting.nextLook(), next, "what changed a gate must have been told");
+                double next = logic.waiting.nextUpdateAt();
+                reachable(logic).stream().filter(o -> o instanceof GroupedQueues.Owner)
+                        .forEach(o -> ((GroupedQueues.Owner<?>) o).markChanged());
+                logic.waiting.updateEligibility(now);
+                assertEquals(logic.waiting.nextUpdateAt(), next, "what changed a gate must have been told");
             }
         }
 
@@ -376,7 +377,7 @@
                     .filter(name -> name.matches(".*\\$(Delivery|Attempt|Group)")).toList());
             now += 60_000;
             turn();
-            assertEquals(0, logic.lines.size(), "lines of keys");
+            assertEquals(0, logic.keyQueues.size(), "lines of keys");
         }
 
         private void answerAll() {
--- a/src/test/java/kestreldeal/ReferenceScheduler.java
+++ b/src/test/java/kestreldeal/ReferenceScheduler.java
@@ -684,7 +684,7 @@
         }
 
         void resumed() {
-            evidence.resumed();
+            evidence.messageRestored();
             if (rate == Double.POSITIVE_INFINITY && evenPart(0) > 0) {
                 rate = evenPart(0);
                 nextAt = clock + random.nextDouble() / rate;
@@ -741,7 +741,7 @@
             return destination.targets.stream().filter(t -> t.limit == this).toList();
         }
         void failed(String symptom) {
-            evidence.failed(clock);
+            evidence.recordFailure(clock);
             if (evidence.isOutage(clock)) {
                 targets().forEach(t -> t.down(symptom));
             }
@@ -752,7 +752,7 @@
             }
         }
         void good(boolean returns) {
-            evidence.good(clock);
+            evidence.recordDelivery(clock);
             if (returns) {
                 returnedAt = clock;
                 targets().stream().filter(t -> t.state == EndpointState.UP).forEach(Target::warm);
@@ -936,7 +936,7 @@
             return RAMP_SAFETY * cold.overloadMultiple() * capacity * known;
         }
         boolean isInFullService() {
-            return state == EndpointState.UP && !limit.evidence.isSuspect(clock);
+            return state == EndpointState.UP && !limit.evidence.isSuspected(clock);
         }
 
         void observe(Call call, AttemptResult end) {
@@ -959,7 +959,7 @@
         }
         private void good(Call call, AttemptResult end) {
             boolean blip = !failing && clock - lastGood < SHUT_MS;
-            boolean returns = limit.evidence.isSuspect(clock);
+            boolean returns = limit.evidence.isSuspected(clock);
             limit.good(returns);
             connections.held(call);
             bad *= GOOD_FACTOR;
@@ -1012,7 +1012,7 @@
 
         void overdue(Call call) {
             connections.lost(call);
-            limit.evidence.overdue(call.sentAt);
+            limit.evidence.recordOverdue(call.sentAt);
             if (lastGood < call.sentAt && ++silentCalls >= SILENT_CALLS) {
                 boolean wasDown = state == EndpointState.DOWN;
                 down("does not answer");
