--- a/src/test/java/kestreldeal/ReferenceScheduler.java
+++ b/src/test/java/kestreldeal/ReferenceScheduler.java
@@ -684,7 +684,7 @@
         }
 
         void resumed() {
-            evidence.resumed();
+            evidence.messageRestored();
             if (rate == Double.POSITIVE_INFINITY && evenPart(0) > 0) {
                 rate = evenPart(0);
                 nextAt = clock + random.nextDouble() / rate;
@@ -741,7 +741,7 @@
             return destination.targets.stream().filter(t -> t.limit == this).toList();
         }
         void failed(String symptom) {
-            evidence.failed(clock);
+            evidence.recordFailure(clock);
             if (evidence.isOutage(clock)) {
                 targets().forEach(t -> t.down(symptom));
             }
@@ -752,7 +752,7 @@
             }
         }
         void good(boolean returns) {
-            evidence.good(clock);
+            evidence.recordDelivery(clock);
             if (returns) {
                 returnedAt = clock;
                 targets().stream().filter(t -> t.state == EndpointState.UP).forEach(Target::warm);
@@ -936,7 +936,7 @@
             return RAMP_SAFETY * cold.overloadMultiple() * capacity * known;
         }
         boolean isInFullService() {
-            return state == EndpointState.UP && !limit.evidence.isSuspect(clock);
+            return state == EndpointState.UP && !limit.evidence.isSuspected(clock);
         }
 
         void observe(Call call, AttemptResult end) {
@@ -945,21 +945,21 @@
                 case FULL -> full(call, end.retryAfterMs());
                 case UNREACHABLE -> bad(UNREACHABLE_WEIGHT, "refuses connections");
                 case ERROR -> {
-                    bad(BAD_WEIGHT, "fails calls");
+                    bad(BAD_WEIGHT, "answers with errors");
                     failing |= state == EndpointState.DOWN;
                 }
                 default -> {
                     connections.lost(call);
-                    bad(BAD_WEIGHT, "loses calls");
+                    bad(BAD_WEIGHT, "times out or drops connections");
                 }
             }
             if (state == EndpointState.WARMING && clock - warmSince >= settings.slowStart().rampUpMs()) {
-                up("is warm");
+                up("completed its slow start");
             }
         }
         private void good(Call call, AttemptResult end) {
             boolean blip = !failing && clock - lastGood < SHUT_MS;
-            boolean returns = limit.evidence.isSuspect(clock);
+            boolean returns = limit.evidence.isSuspected(clock);
             limit.good(returns);
             connections.held(call);
             bad *= GOOD_FACTOR;
@@ -976,9 +976,9 @@
                 warm();
             } else if (state == EndpointState.DOWN && silentOnly && call.sentAt < downAt
                     && end.durationMs() < SHUT_MS) {
-                up("was slow, not silent");
+                up("was slow but did answer, is up again");
             } else if (state == EndpointState.DOWN && blip) {
-                up("was not out");
+                up("failed only briefly, is up again");
             } else if (state == EndpointState.DOWN) {
                 latency = end.durationMs();
                 warm();
@@ -993,7 +993,7 @@
             limit.turnedAway(waitMs);
         }
         private void shut() {
-            down("is shut");
+            down("refuses all messages");
             failing = true;
         }
         private boolean noneGood() {
@@ -1012,10 +1012,10 @@
 
         void overdue(Call call) {
             connections.lost(call);
-            limit.evidence.overdue(call.sentAt);
+            limit.evidence.recordOverdue(call.sentAt);
             if (lastGood < call.sentAt && ++silentCalls >= SILENT_CALLS) {
                 boolean wasDown = state == EndpointState.DOWN;
-                down("is silent");
+                down("does not answer");
                 silentOnly = !wasDown;
             }
         }
@@ -1023,7 +1023,7 @@
             state = EndpointState.WARMING;
             warmSince = clock;
             nextAt = clock + 1 / allowedRate();
-            actions.log("endpoint " + entry.id() + " answers again, warming");
+            actions.log("endpoint " + entry.id() + " answers again, slow start begins");
             remember();
         }
         private void up(String symptom) {
@@ -1040,7 +1040,7 @@
                 failing = false;
                 downAt = clock;
                 nextAt = Math.max(clock, limit.waitUntil) + random.nextDouble() / allowedRate();
-                actions.log("endpoint " + entry.id() + " " + symptom + ", trials only");
+                actions.log("endpoint " + entry.id() + " " + symptom + ", only probes are sent");
                 remember();
             }
         }
