--- a/src/main/java/kestreldeal/scale/Fit.java
+++ b/src/main/java/kestreldeal/scale/Fit.java
@@ -7,34 +7,35 @@
 import java.util.stream.Stream;
 
 /**
- * How a cost grows with a size: the exponent of a power law (a line through the logarithms), and the standard order of
- * growth that fits best by least squares. Errors count relative to each value, else the largest size alone would decide.
+ * How a cost grows with a size: the exponent of a power law (from a linear regression of the logarithms), and the
+ * order of growth that fits best by least squares. Errors are relative to each value; with absolute errors the largest
+ * size alone would decide.
  *
  * @param growth the order of growth that fits best
  * @param exponent slope of log cost over log size
- * @param base what the cost is at size nought by this order of growth, 0 or more
- * @param factor cost for each unit of the growth's function
- * @param residual root mean square of the relative errors that this order leaves
+ * @param base constant term of the fitted function, at least 0
+ * @param factor coefficient of the growth function
+ * @param residual root mean square of the relative errors of the fitted function
  */
 record Fit(Growth growth, double exponent, double base, double factor, double residual) {
-    /** A cost whose exponent is this near to 0 does not depend on the size. */
+    /** Up to this absolute value of the exponent a cost counts as independent of the size. */
     private static final double FLAT = 0.1;
-    /** Residuals so close tell nothing apart: the slower growth is taken. */
+    /** Among orders of growth whose residuals differ by no more than this, the slowest growth is chosen. */
     private static final double ALIKE = 0.01;
 
-    /** Orders of growth, in the words of reports. */
+    /** Orders of growth; the text of each appears in results. */
     enum Growth {
         /** Does not depend on the size. */
         CONSTANT("constant", "", n -> 0),
-        /** By the logarithm of the size. */
+        /** Logarithmic. */
         LOG_N("grows as log n", "log2 n", n -> Math.log(n) / Math.log(2)),
-        /** In proportion. */
+        /** Linear. */
         LINEAR("grows as n", "n", n -> n),
-        /** A little more than in proportion. */
+        /** Linearithmic. */
         N_LOG_N("grows as n log n", "n log2 n", n -> n * Math.log(n) / Math.log(2)),
-        /** By the square. */
+        /** Quadratic. */
         SQUARE("grows as n squared", "n^2", n -> n * n),
-        /** Less at a larger size: no cost grows so, and the measurement needs a look. */
+        /** Decreasing: no real cost behaves so, and the measurement should be checked. */
         FALLS("falls", "", n -> 0);
 
         private final String words;
@@ -56,12 +57,13 @@
     /**
      * Fits costs to sizes.
      *
-     * @throws IllegalArgumentException with less than two sizes, or where one of them or a cost is not above 0
+     * @throws IllegalArgumentException if there are fewer than two different sizes, not one cost for each size, or a
+     *     size or cost that is not above 0
      */
     static Fit of(List<Double> sizes, List<Double> costs) {
         boolean positive = Stream.concat(sizes.stream(), costs.stream()).allMatch(value -> value > 0);
         if (sizes.size() != costs.size() || sizes.stream().distinct().count() < 2 || !positive) {
-            throw new IllegalArgumentException("a fit needs two sizes and costs above 0");
+            throw new IllegalArgumentException("a fit needs at least two different sizes, and sizes and costs above 0");
         }
         double exponent = exponent(sizes, costs);
         if (Math.abs(exponent) <= FLAT) {
@@ -76,11 +78,11 @@
         return all.stream().filter(fit -> fit.residual() <= best + ALIKE).findFirst().orElseThrow();
     }
 
-    /** The whole in words, as in {@code grows as n: 12.1 + 0.043 x n (exponent 1.02, residual 3%)}. */
+    /** Describes the fit, for example {@code grows as n: 12.1 + 0.043 x n (exponent 1.02, residual 3%)}. */
     String words() {
         String law = growth.function.isEmpty() ? Results.number(base)
                 : Results.number(base) + " + " + String.format(Locale.ROOT, "%.3g", factor) + " x " + growth.function;
-        // Rounded first, lest a trace under nought show as -0.00.
+        // Rounded first, because a tiny negative exponent would be printed as -0.00.
         double rounded = Math.round(100 * exponent) / 100.0;
         return String.format(Locale.ROOT, "%s: %s (exponent %.2f, residual %.0f%%)", growth, law, rounded,
                 100 * residual);
@@ -97,8 +99,8 @@
     }
 
     /**
-     * Base and factor for one order of growth, each error weighted by the cost: the normal equations of a line. A base
-     * under 0 has no meaning and is left out.
+     * Fits base and factor for one order of growth by weighted least squares (the normal equations of a line), with
+     * the inverse of each cost as its weight. A negative base has no meaning: the fit is then repeated without one.
      */
     private static Fit order(Growth growth, double exponent, List<Double> sizes, List<Double> costs) {
         double ww = 0;
--- a/src/main/java/kestreldeal/scale/Forked.java
+++ b/src/main/java/kestreldeal/scale/Forked.java
@@ -12,7 +12,10 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 
-/** Runs {@link ModuleProbe} in a JVM of its own, with a sender's collector and compiler and a heap that fits. */
+/**
+ * Runs {@link ModuleProbe} in a JVM of its own, with a sender's JVM options but a heap that is large enough for the
+ * measurement.
+ */
 final class Forked {
     private static final int HEAP_MB = 1024;
     private static final int LIMIT_S = 100;
@@ -20,7 +23,7 @@
     private Forked() {
     }
 
-    /** The probe's figures, and the options of its JVM. */
+    /** Measures once; returns the measured values and the options of the JVM. */
     static Map<String, Object> probe(Setup setup, String what, int size, long seed) throws Exception {
         List<String> options = setup.optionsWithHeap(HEAP_MB);
         List<String> command = new ArrayList<>(setup.pin());
@@ -46,7 +49,7 @@
         Process process = new ProcessBuilder(command).redirectOutput(out.toFile()).redirectError(err.toFile()).start();
         try {
             if (!process.waitFor(LIMIT_S, TimeUnit.SECONDS)) {
-                throw new Slope.Failed("not done in " + LIMIT_S + " s");
+                throw new Slope.Failed("not finished within " + LIMIT_S + " s");
             }
         } finally {
             process.destroyForcibly().waitFor();
@@ -57,6 +60,7 @@
     }
 
     private static String firstLine(Path log) throws IOException {
-        return Files.readString(log, StandardCharsets.UTF_8).lines().findFirst().orElse("ended without a word");
+        return Files.readString(log, StandardCharsets.UTF_8).lines().findFirst()
+                .orElse("failed without an error message");
     }
 }
--- a/src/main/java/kestreldeal/scale/LoadClient.java
+++ b/src/main/java/kestreldeal/scale/LoadClient.java
@@ -27,23 +27,24 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Clients of one sender: messages at a steady rate, whether or not earlier ones have been answered, over as many kept
- * connections as that takes. An answer's time counts from when its message was due. One thread does it all.
+ * Open-loop load generator for one sender: submits messages at a constant rate, whether or not earlier ones have got a
+ * response, over as many persistent connections as that needs. A response time is measured from the time at which its
+ * message was due, which avoids coordinated omission. Everything runs on one event loop.
  */
 final class LoadClient implements AutoCloseable {
-    /** The length of the example in the protocol. */
+    /** Length of the example body in the protocol description. */
     static final int BODY_BYTES = 212;
     private static final int LONGEST_ANSWER = 1 << 16;
     private static final int MOST_CONNECTIONS = 300;
     private static final long TICK_MICROS = 500;
-    /** So long a wait for an answer counts at most. */
+    /** Highest response time that the histogram records; longer ones count as this. */
     private static final long LONGEST_NANOS = 60_000_000_000L;
 
     private final EventLoopGroup loops = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = loops.next();
     private final InetSocketAddress sender;
     private final Random random;
-    /** The one that was used last is used first, so that those not needed are closed by the sender. */
+    /** A stack: the most recently used connection is reused first, so that the sender closes the surplus as idle. */
     private final Deque<Connection> idle = new ArrayDeque<>();
     private final Deque<Long> overdue = new ArrayDeque<>();
     private int connections;
@@ -52,11 +53,13 @@
     private Run run;
 
     /**
-     * What came of one run.
+     * The result of one run; messages are counted by their response.
      *
-     * @param nanos time to each answer that took a message on
-     * @param refused other answers
-     * @param broken messages whose connection ended without one
+     * @param nanos response times of accepted messages
+     * @param taken messages that were accepted, with status 200 or 202
+     * @param refused messages with another response
+     * @param broken messages whose connection closed before a response
+     * @param unanswered messages without a response at the end of the run
      */
     record Outcome(Histogram nanos, long taken, long refused, long broken, long unanswered) {
     }
@@ -144,7 +147,7 @@
         this.random = new Random(seed);
     }
 
-    /** Hands in so many messages at that rate, and waits for the answers, for so long at most after the last is due. */
+    /** Submits messages at a rate, and waits for the responses until at most the timeout after the last one is due. */
     Outcome handIn(double perSecond, long messages, IntSupplier destination, int bodyBytes, long patienceMs)
             throws Exception {
         Run mine = loop.submit(() -> {
--- a/src/main/java/kestreldeal/scale/ModuleProbe.java
+++ b/src/main/java/kestreldeal/scale/ModuleProbe.java
@@ -16,17 +16,17 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Measures the decision module alone, in a JVM of its own: {@code main} is started by {@link Forked} and prints one JSON
- * object. Bytes are what the heap holds after a collection, with what is measured and without it.
+ * Measures the decision module alone, in a JVM of its own: {@link Forked} starts {@code main}, which prints one JSON
+ * object. Memory is the difference of the used heap after garbage collections, with and without what is measured.
  */
 final class ModuleProbe implements Relay.Actions {
-    /** Time between turns: short, so that nothing falls due by time alone in a whole measurement. */
+    /** Time between turns; so short that no timer of the module expires during a whole measurement. */
     private static final double STEP_MS = 0.02;
-    /** Deadlines lie so far off that they play no part. */
+    /** Deadline of messages, too far off to matter. */
     private static final double FAR_MS = 1e9;
     private static final int DESTINATIONS = 100;
     private static final double ENDPOINTS_EACH = 1.6;
-    /** Messages that go in a turn, where the destinations are what varies. */
+    /** Messages sent in a turn, where the number of destinations varies. */
     private static final int GOING = 16;
     private static final int MOST_GOING = 1000;
     private static final int WARM_UP_TURNS = 500;
@@ -53,8 +53,8 @@
     }
 
     /**
-     * Measures once. Arguments: what (the name of a method of {@link ModuleSlopes}), size, seed, share of the usual
-     * number of turns in percent.
+     * Measures once. Arguments: the name of a slope of {@link ModuleSlopes}, size, seed, and the percentage of the
+     * usual number of turns.
      */
     public static void main(String[] args) throws Exception {
         int size = Integer.parseInt(args[1]);
@@ -78,16 +78,16 @@
                 List.of(0.0), 100, slots, 4, true, true, 0, 15_000, new Relay.SlowStart(0.2, 12_000, 2, 1500));
     }
 
-    // ---- what is measured ----
+    // ---- measurements ----
 
-    /** Messages that wait for 100 destinations while all slots are taken; a turn in which nothing can go. */
+    /** Messages wait for 100 destinations while all slots are in use; measures a turn in which none can be sent. */
     private static Map<String, Object> waiting(int size, long seed, int percent) {
         ModuleProbe probe = new ModuleProbe(DESTINATIONS, seed);
         probe.list(DESTINATIONS, 1);
         probe.handIn(DESTINATIONS, DESTINATIONS);
         probe.turn();
         if (probe.sent.size() != DESTINATIONS) {
-            throw new IllegalStateException("only " + probe.sent.size() + " slots are taken");
+            throw new IllegalStateException("only " + probe.sent.size() + " slots are in use");
         }
         long before = heldBytes();
         probe.handIn(size, DESTINATIONS);
@@ -100,7 +100,7 @@
         return values;
     }
 
-    /** Endpoints in the list with nothing waiting: an idle turn, and one in which an entry changes. */
+    /** Endpoints are listed and no message waits; measures an idle turn, and one in which an entry changes. */
     private static Map<String, Object> listed(int size, long seed, int percent) {
         ModuleProbe probe = new ModuleProbe(DESTINATIONS, seed);
         probe.turn();
@@ -117,7 +117,7 @@
         return values;
     }
 
-    /** So many endpoints listed, and as many messages that wait for all their destinations while all slots are taken. */
+    /** Listed endpoints, and as many messages that wait for all their destinations while all slots are in use. */
     private static Map<String, Object> both(int size, long seed, int percent) {
         ModuleProbe probe = new ModuleProbe(DESTINATIONS, seed);
         probe.turn();
@@ -135,7 +135,7 @@
 
     private void requireAllWaited() {
         if (sent.size() != DESTINATIONS || answers != 0) {
-            throw new IllegalStateException("not all of them waited to the end");
+            throw new IllegalStateException("not all messages waited until the end");
         }
     }
 
@@ -150,7 +150,10 @@
         });
     }
 
-    /** Destinations that have had traffic; a turn in which so many messages go, and one in which they end. */
+    /**
+     * Measures a turn in which the given number of messages is sent, with destinations that have all had traffic. The
+     * turn in which the messages complete is not part of the measured time.
+     */
     private static Map<String, Object> going(int destinations, int messages, long seed, int percent) {
         ModuleProbe probe = new ModuleProbe(4 * MOST_GOING, seed);
         probe.list(destinations, 1);
@@ -162,14 +165,14 @@
             LongStream.range(0, messages).forEach(i -> probe.message(next[at[0]++ % destinations] % destinations));
             probe.turn();
             if (probe.sent.size() != messages) {
-                throw new IllegalStateException(probe.sent.size() + " of " + messages + " messages went");
+                throw new IllegalStateException(probe.sent.size() + " of " + messages + " messages were sent");
             }
             return null;
         }, probe::endAll);
         return values;
     }
 
-    /** Each destination has a message once, a slotful at a time. */
+    /** Delivers one message to each destination, a few in each turn. */
     private void prefill(int destinations) {
         long until = System.nanoTime() + LONGEST_NANOS;
         for (int from = 0; from < destinations; from += GOING) {
@@ -181,12 +184,12 @@
             endAll();
             if (System.nanoTime() > until) {
                 throw new IllegalStateException("after " + LONGEST_NANOS / 1_000_000_000 + " s only " + end + " of "
-                        + destinations + " destinations had had a message");
+                        + destinations + " destinations had got a message");
             }
         }
     }
 
-    // ---- the caller's side ----
+    // ---- events ----
 
     private Relay.Endpoint entry(int i, double each) {
         return new Relay.Endpoint(i, (long) (i / each), 0, 0, true, 1 + random.nextInt(100), false);
@@ -216,7 +219,7 @@
         return null;
     }
 
-    /** Ends all that is out as delivered, in one turn. */
+    /** Reports all attempts in flight as delivered, in one turn. */
     private void endAll() {
         List<Sent> ended = new ArrayList<>(sent);
         sent.clear();
@@ -234,7 +237,12 @@
         measure(name, percent, values, turn, () -> { });
     }
 
-    /** Median and 99th percentile in microseconds, and bytes allocated in the mean, which are a count of work. */
+    /**
+     * Repeats a turn after a warm-up, and adds to the values its median and 99th percentile in microseconds and the
+     * mean of the bytes that it allocated, which measure its work independently of the clock.
+     *
+     * @param after runs after each turn, and is not measured
+     */
     private void measure(String name, int percent, Map<String, Object> values, Supplier<Void> turn, Runnable after) {
         repeat(WARM_UP_TURNS * percent / 100, WARM_UP_NANOS * percent / 100, () -> {
             turn.get();
@@ -257,7 +265,7 @@
         values.put(name + "s", turns);
     }
 
-    /** As often as asked, or for as long, but a few times at least. */
+    /** Repeats an action until the count or the time is reached, but a minimum number of times. */
     private static int repeat(int times, long forNanos, Runnable action) {
         long until = System.nanoTime() + forNanos;
         int done = 0;
@@ -268,9 +276,9 @@
         return done;
     }
 
-    /** Bytes on the heap after a collection: several, as what one finds dead the next may free. */
+    /** Used heap after garbage collections; several, because one may free only what the one before found dead. */
     private static long heldBytes() {
-        // Got before: the first look at it leaves megabytes of garbage.
+        // Called once before the collections, because the first call leaves megabytes of garbage.
         MemoryMXBean memory = ManagementFactory.getMemoryMXBean();
         memory.getHeapMemoryUsage();
         for (int i = 0; i < COLLECTIONS; i++) {
@@ -279,7 +287,7 @@
         return memory.getHeapMemoryUsage().getUsed();
     }
 
-    // ---- what the module asks ----
+    // ---- actions of the module ----
 
     @Override
     public void send(long message, long endpoint, double timeoutMs) {
@@ -288,7 +296,7 @@
 
     @Override
     public void cancel(long message, int attempt) {
-        throw new IllegalStateException("a call was called off");
+        throw new IllegalStateException("an attempt was cancelled");
     }
 
     @Override
--- a/src/main/java/kestreldeal/scale/Results.java
+++ b/src/main/java/kestreldeal/scale/Results.java
@@ -18,9 +18,9 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Where results go: one JSON object a line to a file, if there is one, and short tables to the terminal. Each line
- * says what it takes to run it again: seed, sizes, options of the JVM that measured, Java's version and the revision
- * of the program. May be used by several threads.
+ * Writes results: one JSON object per line to a file, if one is given, and short tables to the terminal. Each line
+ * contains what is needed to repeat the run: seed, sizes, options of the JVM that measured, Java version and revision
+ * of the program. Thread-safe.
  */
 public final class Results implements AutoCloseable {
     private static final String UNKNOWN = "unknown";
@@ -37,10 +37,10 @@
     }
 
     /**
-     * Opens the file anew, if one is given.
+     * Creates or truncates the file, if one is given.
      *
-     * @param command what was run, such as {@code slopes}
-     * @param sizes the sizes that were asked for
+     * @param command the subcommand that runs, such as {@code slopes}
+     * @param sizes the sizes given on the command line
      * @throws IOException if the file can't be written
      */
     public static Results open(Optional<Path> file, String command, long seed, List<Integer> sizes)
@@ -59,10 +59,11 @@
     }
 
     /**
-     * Writes one line; a value of the same name goes before a common one, as where another JVM measured. A line with a
-     * figure says its unit under {@code unit}, or has it in the figure's name.
+     * Writes one line with the given values and the ones that all lines share. A given value replaces a shared one of
+     * the same name, for example the JVM options where another JVM measured. A line with a measured value has its unit
+     * in the value's name or under {@code unit}.
      *
-     * @throws IOException if the file can't be written any more
+     * @throws IOException if the file can't be written
      */
     public synchronized void line(String kind, Map<String, ?> values) throws IOException {
         if (out.isEmpty()) {
@@ -74,11 +75,11 @@
         common.forEach(line::putIfAbsent);
         out.get().write(json.writeValueAsString(line));
         out.get().newLine();
-        // What was measured outlasts a run that is broken off.
+        // Flushed on each line, so that no result is lost if the run is aborted.
         out.get().flush();
     }
 
-    /** Prints a short table: columns as wide as their widest cell, numbers to the right. */
+    /** Prints a table to the terminal; each column is as wide as its widest cell, and numbers are right-aligned. */
     public synchronized void table(String title, List<String> heads, List<? extends List<?>> rows) {
         List<List<String>> cells = new ArrayList<>();
         cells.add(heads);
@@ -95,7 +96,7 @@
         terminal.flush();
     }
 
-    /** A line about what is going on, to standard error. */
+    /** Prints a line about the progress of the run to standard error. */
     public static void progress(String text) {
         System.err.println(text);
     }
@@ -117,7 +118,7 @@
         return value instanceof Double number ? number(number) : String.valueOf(value);
     }
 
-    /** Four digits at most behind the first, which is what the measurements are good for. */
+    /** Formats a number with no more digits than the precision of the measurements justifies. */
     static String number(double value) {
         if (Double.isNaN(value)) {
             return "-";
@@ -126,7 +127,7 @@
         return String.format(Locale.ROOT, size >= 1000 ? "%.0f" : size >= 10 ? "%.1f" : "%.3f", value);
     }
 
-    /** The commit that is checked out here, with a mark where files differ from it. */
+    /** The commit that is checked out, with {@code +changes} appended if tracked files differ from it. */
     private static String revision() {
         Optional<String> head = git("rev-parse", "--short=12", "HEAD");
         boolean differs = git("status", "--porcelain", "--untracked-files=no").filter(s -> !s.isEmpty()).isPresent();
--- a/src/main/java/kestreldeal/scale/ScaleMain.java
+++ b/src/main/java/kestreldeal/scale/ScaleMain.java
@@ -6,20 +6,21 @@
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 
-/** The command of the scale tests; a sender never loads it. */
+/** Entry point of the scale test tool, which is packaged in a jar of its own; a sender never loads it. */
 @Command(name = "kestreldeal-scale", mixinStandardHelpOptions = true,
-        description = "Measures how what a sender costs grows with what it knows, holds and does.",
+        description = "Measures how the cost of a sender grows with the size of its state and its load, and runs "
+                + "simulated and real fleets under injected faults.",
         subcommands = {SlopesCommand.class, FleetCommand.class, SoakCommand.class})
 public final class ScaleMain implements Callable<Integer> {
     private ScaleMain() {
     }
 
-    /** Runs a subcommand; bad arguments end with one plain message and exit code 2, a failed run with 1. */
+    /** Runs a subcommand; the exit code is 2 with a one-line message for invalid arguments, and 1 for a failed run. */
     public static void main(String[] args) {
         System.exit(run(args));
     }
 
-    /** The same, without the end of this process. */
+    /** Runs a subcommand and returns its exit code; this process goes on. */
     static int run(String... args) {
         return new CommandLine(new ScaleMain())
                 .setParameterExceptionHandler((fault, rest) -> {
@@ -28,16 +29,16 @@
                     return CommandLine.ExitCode.USAGE;
                 })
                 .setExecutionExceptionHandler((fault, command, parsed) -> {
-                    command.getErr().println(command.getCommandName() + " broke off: " + fault);
+                    command.getErr().println(command.getCommandName() + " aborted: " + fault);
                     return CommandLine.ExitCode.SOFTWARE;
                 })
                 .execute(args);
     }
 
-    /** Without a subcommand there is nothing to run. */
+    /** Reports an error, because a subcommand is required. */
     @Override
     public Integer call() {
-        throw new CommandLine.ParameterException(new CommandLine(this), "say what to run: one of the subcommands "
-                + "in --help");
+        throw new CommandLine.ParameterException(new CommandLine(this), "missing subcommand: --help lists the "
+                + "subcommands");
     }
 }
--- a/src/main/java/kestreldeal/scale/SenderProcess.java
+++ b/src/main/java/kestreldeal/scale/SenderProcess.java
@@ -18,13 +18,13 @@
 import java.util.stream.Stream;
 
 /**
- * A real sender as the platform starts it, on one core and loopback, with a folder of its own that lasts from life to
- * life. What it says goes to a file there.
+ * A real sender, started as the platform starts it but on loopback and pinned to one core. It has a directory of its
+ * own, which is kept when the process is restarted and also has the log.
  */
 final class SenderProcess implements AutoCloseable {
-    /** The one class of messages. */
+    /** The only message class. */
     static final String CLASS = "c";
-    /** Longer than any measurement: what can't be delivered stays held. */
+    /** Deadline of messages, longer than any measurement: a message that can't be delivered stays pending. */
     static final long GIVE_UP_MS = 600_000;
     private static final int POLL_MS = 5;
     private static final int SOCKET_MS = 2000;
@@ -36,7 +36,7 @@
     private final int operatorsPort;
     private Process process;
 
-    /** Prepares a sender that is told of this agent; {@link #start} begins its first life. */
+    /** Prepares the directory of a sender that uses the agent of this environment; {@link #start} starts it. */
     SenderProcess(Setup setup, World world, double diskMb) throws IOException {
         this.setup = setup;
         this.agent = world.agentAddress();
@@ -79,7 +79,7 @@
         return folder.resolve("state").resolve("journal");
     }
 
-    /** Begins a life; it is not ready yet. */
+    /** Starts the process, without waiting until it is ready. */
     void start() throws IOException {
         List<String> command = new ArrayList<>(setup.pin());
         command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
@@ -97,26 +97,26 @@
     }
 
     /**
-     * Waits until clients are told that it is ready; returns how long that took, in milliseconds.
+     * Waits until the health check reports that the sender is ready; returns the time that took, in milliseconds.
      *
-     * @throws Slope.Failed if it ends before, or is not ready in time
+     * @throws Slope.Failed if the process exits before, or is not ready in time
      */
     double awaitReady(long limitMs) throws Exception {
         return await(limitMs, "not ready", () -> ask(port, "GET /healthz HTTP/1.1\r\nHost: app.svc\r\n"
                 + "Connection: close\r\n\r\n").startsWith("HTTP/1.1 200"));
     }
 
-    /** Waits until it counts so many endpoints in its list; returns how long that took, in milliseconds. */
+    /** Waits until the sender's metric counts this many listed endpoints; returns the time in milliseconds. */
     double awaitListed(int endpoints, long limitMs) throws Exception {
-        return await(limitMs, "the list is not in force", () -> figure("edge_gw_members") == endpoints);
+        return await(limitMs, "the list has not been applied", () -> figure("edge_gw_members") == endpoints);
     }
 
-    /** A condition that asks the process. */
+    /** A condition that queries the process. */
     interface Condition {
         boolean holds() throws IOException;
     }
 
-    /** Asks again and again; one that can't be asked yet, or is too busy, has not come so far. */
+    /** Polls the condition; a query that fails, because the process is starting or busy, counts as not yet true. */
     double await(long limitMs, String otherwise, Condition condition) throws Exception {
         long begun = System.nanoTime();
         while (true) {
@@ -125,10 +125,10 @@
                     return (System.nanoTime() - begun) / 1e6;
                 }
             } catch (IOException e) {
-                // Asked again below, until its time is up.
+                // Polled again until the time limit.
             }
             if (!process.isAlive()) {
-                throw new Slope.Failed(otherwise + ": the process ended with " + process.exitValue() + ", "
+                throw new Slope.Failed(otherwise + ": the process exited with code " + process.exitValue() + ", "
                         + lastWords());
             }
             if (System.nanoTime() - begun > limitMs * 1_000_000) {
@@ -138,7 +138,7 @@
         }
     }
 
-    /** The figure of that name as operators see it, or -1. */
+    /** The metric of that name from the operators' port, or -1 if there is none. */
     long figure(String name) throws IOException {
         return ask(operatorsPort, "telemetry\n").lines().filter(line -> line.startsWith(name + " "))
                 .mapToLong(line -> Long.parseLong(line.substring(name.length() + 1))).findFirst().orElse(-1);
@@ -153,31 +153,31 @@
         }
     }
 
-    /** Processor time that it has used, user and system, in milliseconds; the system counts in steps of 10. */
+    /** CPU time used by the process, user and system, in milliseconds; the kernel counts in steps of 10 ms. */
     double processorMs() throws IOException {
         String stat = Files.readString(Path.of("/proc", Long.toString(process.pid()), "stat"));
-        // The second field may hold blanks, but ends with the last bracket.
+        // The second field (the command) may contain spaces, but ends with the last closing parenthesis.
         String[] fields = stat.substring(stat.lastIndexOf(')') + 2).split(" ");
         return (Long.parseLong(fields[11]) + Long.parseLong(fields[12])) * 10.0;
     }
 
-    /** Most memory that it has had resident so far, in megabytes. */
+    /** Peak resident memory of the process so far, in megabytes. */
     double peakMb() throws IOException {
         try (Stream<String> lines = Files.lines(Path.of("/proc", Long.toString(process.pid()), "status"))) {
             return lines.filter(line -> line.startsWith("VmHWM:"))
                     .mapToDouble(line -> Double.parseDouble(line.replaceAll("\\D", "")) / 1024).findFirst()
-                    .orElseThrow(() -> new IOException("no peak memory is told"));
+                    .orElseThrow(() -> new IOException("no VmHWM line in the status file of the process"));
         }
     }
 
-    /** What it said last, without the time. */
+    /** The last line of its log without the timestamp, for error messages. */
     String lastWords() throws IOException {
         List<String> lines = Files.readAllLines(folder.resolve("log"));
-        return lines.isEmpty() ? "without a word" : "last line: " + lines.get(lines.size() - 1)
+        return lines.isEmpty() ? "the log is empty" : "last log line: " + lines.get(lines.size() - 1)
                 .replaceFirst("^[0-9T:.Z-]+ ", "");
     }
 
-    /** Ends its life at once (SIGKILL); the folder stays. */
+    /** Kills the process (SIGKILL); its directory is kept. */
     void kill() throws InterruptedException {
         process.destroyForcibly().waitFor();
     }
--- a/src/main/java/kestreldeal/scale/SenderSlopes.java
+++ b/src/main/java/kestreldeal/scale/SenderSlopes.java
@@ -10,20 +10,20 @@
 import java.util.concurrent.atomic.AtomicLong;
 import org.HdrHistogram.Histogram;
 
-/** Slopes of a real sender on loopback. */
+/** The measurements of a real sender on loopback, with stubs of its agent and endpoints. */
 final class SenderSlopes {
-    /** What discovery has to tell counts as told so long after. */
+    /** Time limit within which a sender must have applied a new list. */
     private static final long IN_FORCE_MS = 6000;
     private static final long READY_MS = 20_000;
     private static final int LISTED = 100;
     private static final long ANSWER_MS = 20;
-    /** A rate that fills the journal soon and leaves the sender time to answer. */
+    /** Fills the journal quickly, but leaves the sender time to respond. */
     private static final double FILL_PER_S = 1500;
-    /** What the journal takes for a message that is held, with its room for later records and for compaction. */
+    /** Disk limit for each pending message, with room in the journal for later records and for compaction. */
     private static final double DISK_BYTES_EACH = 1150;
     private static final double DISK_BYTES_MORE = 300_000;
     private static final double MOST_DISK_MB = 12;
-    /** Long bodies, lest it take a minute until the journal has grown enough. */
+    /** Large bodies; with small ones it would take a minute until the journal has grown enough for a compaction. */
     private static final int CHURN_BODY_BYTES = 4000;
     private static final double CHURN_PER_S = 400;
     private static final long CHURN_MESSAGES = 200;
@@ -40,10 +40,10 @@
 
     static List<Slope> all() {
         return List.of(
-                new Slope("read-list", "entries of a whole list that a running sender is sent",
+                new Slope("read-list", "entries of a full list that is sent to a running sender",
                         List.of(1000, 3000, 10_000, 20_000, 30_000, 100_000), List.of(100, 1000),
                         List.of("in_force_ms", "peak_mb"), SenderSlopes::readList),
-                new Slope("journal", "messages held", List.of(100, 300, 1000, 3000, 10_000), List.of(30, 300),
+                new Slope("journal", "pending messages", List.of(100, 300, 1000, 3000, 10_000), List.of(30, 300),
                         List.of("journal_bytes", "compaction_stall_ms", "ready_ms"), SenderSlopes::journal),
                 new Slope("rate", "messages a second, 100 endpoints listed, 50 destinations",
                         List.of(10, 30, 100, 300, 1000), List.of(20, 200),
@@ -59,7 +59,10 @@
 
     // ---- the list ----
 
-    /** A running sender with a list of two is sent a whole one; in force when the operators' figures count it. */
+    /**
+     * Sends a new full list to a running sender whose list has two entries. The list counts as applied when the
+     * sender's metric of listed endpoints shows its size.
+     */
     private static Map<String, Object> readList(Setup setup, int size, long seed) throws Exception {
         try (World world = new World(ANSWER_MS); SenderProcess sender = started(setup, world, 2, MOST_DISK_MB)) {
             Map<String, Object> values = values(setup);
@@ -99,12 +102,13 @@
         return values;
     }
 
-    // ---- what is held ----
+    // ---- pending messages ----
 
     /**
-     * Messages for a destination whose endpoint drains stay held. Then others come and are delivered until the journal
-     * has been compacted: the stall is the longest wait for an answer in that time. Then it is killed and started
-     * again.
+     * Submits messages to a destination whose only endpoint is draining, so that they stay pending. Then submits
+     * messages that are delivered, until the journal has been compacted: the compaction stall is the longest response
+     * time in the round in which that happens. Finally kills the sender, restarts it, and checks that all pending
+     * messages are restored.
      */
     private static Map<String, Object> journal(Setup setup, int size, long seed) throws Exception {
         Map<String, Object> values = values(setup);
@@ -116,16 +120,18 @@
                     PATIENCE_MS);
             values.put("held", held.taken());
             if (held.taken() != size) {
-                throw new Slope.Failed("only " + held.taken() + " of " + size + " messages were taken on, "
-                        + held.refused() + " refused, " + held.broken() + " broken, " + held.unanswered()
-                        + " unanswered; the journal has " + Files.size(sender.journal()) + " bytes");
+                throw new Slope.Failed("only " + held.taken() + " of " + size + " messages were accepted, "
+                        + held.refused() + " rejected, " + held.broken() + " lost with their connection, "
+                        + held.unanswered() + " without a response; the journal has " + Files.size(sender.journal())
+                        + " bytes");
             }
             values.put("journal_bytes", Files.size(sender.journal()));
             churn(sender, client, seed, values);
             values.put("peak_held_mb", sender.peakMb());
             values.put("journal_at_kill_bytes", Files.size(sender.journal()));
-            // A client has its 202 before the message is delivered: what the churn handed in has to end first.
-            sender.await(READY_MS, "messages of the churn are held", () -> sender.figure("edge_gw_pending") == size);
+            // A client gets its 202 before the message is delivered, so the churn messages must complete first.
+            sender.await(READY_MS, "messages of the churn are still pending",
+                    () -> sender.figure("edge_gw_pending") == size);
             values.put("held_at_kill", sender.figure("edge_gw_pending"));
             sender.kill();
             sender.start();
@@ -134,13 +140,13 @@
             values.put("peak_ready_mb", sender.peakMb());
             if (sender.figure("edge_gw_pending") != size) {
                 throw new Slope.Failed("after the kill " + sender.figure("edge_gw_pending") + " of " + size
-                        + " messages are held; " + values.get("held_at_kill") + " were before it");
+                        + " messages are pending, and there were " + values.get("held_at_kill") + " before it");
             }
         }
         return values;
     }
 
-    /** Messages that are delivered at once make the journal grow, until what is over is left out of it. */
+    /** Submits messages that are delivered, which grows the journal until a compaction drops completed messages. */
     private static void churn(SenderProcess sender, LoadClient client, long seed, Map<String, Object> values)
             throws Exception {
         AtomicBoolean over = new AtomicBoolean();
@@ -155,7 +161,8 @@
                 LoadClient.Outcome outcome = client.handIn(CHURN_PER_S, CHURN_MESSAGES,
                         () -> random.nextInt(World.DESTINATIONS - 1), CHURN_BODY_BYTES, PATIENCE_MS);
                 if (outcome.taken() != CHURN_MESSAGES) {
-                    values.put("churn_failed", outcome.refused() + " refused, " + outcome.broken() + " broken");
+                    values.put("churn_failed", outcome.refused() + " rejected, " + outcome.broken()
+                            + " lost with their connection");
                 }
                 if (compactions.get() > seen) {
                     values.put("compaction_stall_ms", outcome.nanos().getMaxValue() / 1e6);
@@ -173,7 +180,7 @@
         }
     }
 
-    /** A compaction leaves a file that is shorter than the one before. */
+    /** Counts how often the journal file has become shorter, which only a compaction does. */
     private static void countCompactions(SenderProcess sender, AtomicBoolean over, AtomicLong compactions) {
         long last = 0;
         while (!over.get()) {
@@ -185,7 +192,7 @@
                 last = size;
                 Thread.sleep(WATCH_MS);
             } catch (IOException e) {
-                // Between two looks at a file that is being replaced.
+                // The file is missing for a moment while it is replaced.
             } catch (InterruptedException e) {
                 return;
             }
@@ -217,7 +224,7 @@
                 values.put("answer_p" + Double.toString(percentile).replace(".0", "").replace(".", "") + "_us",
                         outcome.nanos().getValueAtPercentile(percentile) / 1e3);
             }
-            sender.await(READY_MS, "messages are still held", () -> sender.figure("edge_gw_pending") == 0);
+            sender.await(READY_MS, "messages are still pending", () -> sender.figure("edge_gw_pending") == 0);
             values.put("delivered", world.delivered.get());
             values.put("notices", world.notices.get());
             values.put("peak_mb", sender.peakMb());
@@ -225,9 +232,9 @@
         return values;
     }
 
-    // ---- control ----
+    // ---- list updates ----
 
-    /** Bytes on the connections to the agent, both ways, once the whole list has been read. */
+    /** Counts the bytes on the agent's connections in both directions, after the full list has been sent. */
     private static Map<String, Object> control(Setup setup, int listed, int perSecond, long seed) throws Exception {
         Map<String, Object> values = values(setup);
         try (World world = new World(ANSWER_MS); SenderProcess sender = started(setup, world, listed, MOST_DISK_MB)) {
--- a/src/main/java/kestreldeal/scale/Setup.java
+++ b/src/main/java/kestreldeal/scale/Setup.java
@@ -8,24 +8,24 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The program that is measured and how: run from the root of a checkout that is built.
+ * How the measured program is started. The tool runs from the root of a checkout after the build.
  *
- * @param options of a sender's JVM
- * @param seed of the whole run
- * @param quick small and short, for a check that it works
- * @param pin how to start a process on one core, or nothing where that can't be done
+ * @param options options of a sender's JVM
+ * @param seed seed of the whole run
+ * @param quick whether measurements are short and small, to check only that they work
+ * @param pin command prefix that pins a process to one core, or empty where pinning is not possible
  */
 record Setup(List<String> options, long seed, boolean quick, List<String> pin) {
-    /** The sender, and what starts it as the platform does. */
+    /** The sender's jar and its class data sharing archive, with which the platform starts it. */
     static final Path JAR = Path.of("target", "kestreldeal.jar");
     static final Path ARCHIVE = Path.of("target", "sender.jsa");
     private static final Path OPTIONS = Path.of("deploy", "java.options");
     private static final int SECONDS = 5;
 
     /**
-     * The setup of this checkout.
+     * Reads the setup from the current directory.
      *
-     * @throws IOException if this is not the root of one
+     * @throws IOException if the current directory is not the root of a checkout
      */
     static Setup here(long seed, boolean quick) throws IOException {
         List<String> options = Files.readAllLines(OPTIONS).stream().map(String::strip)
@@ -33,7 +33,7 @@
         return new Setup(options, seed, quick, pinned());
     }
 
-    /** The options with another heap, for a process that has to hold more than a sender may. */
+    /** The options with another heap size, for a process that needs more memory than a sender is allowed. */
     List<String> optionsWithHeap(int megabytes) {
         List<String> all = new ArrayList<>(options.stream()
                 .filter(option -> !option.startsWith("-Xmx") && !option.startsWith("-Xms")).toList());
@@ -42,7 +42,7 @@
         return all;
     }
 
-    /** A sender has one core; the last one here, as the machine's own work tends to the first. */
+    /** A sender runs on one core: the last one, because the operating system's own work prefers the first. */
     private static List<String> pinned() throws IOException {
         List<String> pin = List.of("taskset", "-c", Integer.toString(Runtime.getRuntime().availableProcessors() - 1));
         List<String> trial = new ArrayList<>(pin);
--- a/src/main/java/kestreldeal/scale/Slope.java
+++ b/src/main/java/kestreldeal/scale/Slope.java
@@ -4,29 +4,29 @@
 import java.util.Map;
 
 /**
- * One thing that is measured at several sizes.
+ * A set of costs that is measured at several sizes, so that their growth with the size can be fitted.
  *
- * @param name as it is asked for on the command line
+ * @param name name on the command line and in results
  * @param by what the size counts
- * @param sizes over two decades where it fits
- * @param quick few and small ones
- * @param fitted the names of the figures that are fitted, their unit at the end
+ * @param sizes default sizes, which span two decades where that is feasible
+ * @param quick few and small sizes, for {@code --quick}
+ * @param fitted names of the measured values to fit; each name ends with its unit
+ * @param measurement measures all values at one size
  */
 record Slope(String name, String by, List<Integer> sizes, List<Integer> quick, List<String> fitted,
              Measurement measurement) {
-    /** One run at one size. */
     interface Measurement {
         /**
-         * Measures once.
+         * Measures once at one size.
          *
-         * @return figures by name; what is not fitted is told all the same
-         * @throws Failed if there is no figure at this size, with the reason
-         * @throws Exception if the tool itself is at fault
+         * @return values by name, including values that are reported only and not fitted
+         * @throws Failed if nothing could be measured at this size, with the reason
+         * @throws Exception if the tool itself fails
          */
         Map<String, Object> measure(Setup setup, int size, long seed) throws Exception;
     }
 
-    /** What was to be measured did not happen: a result, too. */
+    /** The measured program did not do what was to be measured; this is recorded as the result at this size. */
     static final class Failed extends Exception {
         private static final long serialVersionUID = 1;
 
--- a/src/main/java/kestreldeal/scale/SlopesCommand.java
+++ b/src/main/java/kestreldeal/scale/SlopesCommand.java
@@ -17,10 +17,10 @@
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Spec;
 
-/** Measures costs at several sizes, several times each, and says how each grows. */
+/** Measures costs at several sizes, several times each, and fits their growth with the size. */
 @Command(name = "slopes", mixinStandardHelpOptions = true, showDefaultValues = true,
-        description = "Measures what a sender costs by what it knows, holds and does, at several sizes, and says how "
-                + "it grows. Runs from the root of a checkout that is built.")
+        description = "Measures the costs of a sender at several sizes of its list, its pending messages and its "
+                + "load, and fits how they grow. Runs from the root of a checkout after the build.")
 final class SlopesCommand implements Callable<Integer> {
     private static final int MOST_REPEATS = 20;
     private static final int MOST = 1_000_000;
@@ -28,28 +28,28 @@
     @Spec
     private CommandSpec spec;
 
-    @Option(names = "--only", split = ",", paramLabel = "SLOPE", description = "which slopes; all if not given")
+    @Option(names = "--only", split = ",", paramLabel = "SLOPE", description = "slopes to measure; default: all")
     private List<String> only = List.of();
 
-    @Option(names = "--sizes", split = ",", paramLabel = "N", description = "sizes, in place of each slope's own")
+    @Option(names = "--sizes", split = ",", paramLabel = "N", description = "sizes that replace each slope's own")
     private List<Integer> sizes = List.of();
 
     @Option(names = "--repeats", description = "runs at each size")
     private int repeats = 3;
 
-    @Option(names = "--seed", description = "all that is drawn comes from it")
+    @Option(names = "--seed", description = "seed of all random numbers")
     private long seed = 1;
 
-    @Option(names = "--out", paramLabel = "FILE", description = "write results there, a JSON object a line")
+    @Option(names = "--out", paramLabel = "FILE", description = "file for the results, one JSON object per line")
     private Path out;
 
     @Option(names = "--quick", description = "small sizes, one short run each")
     private boolean quick;
 
-    @Option(names = "--limit-s", paramLabel = "S", description = "begin no further run after so many seconds")
+    @Option(names = "--limit-s", paramLabel = "S", description = "start no further run after this many seconds")
     private int limitS = 3600;
 
-    /** The repeats of one figure, by size. */
+    /** The repeated measurements of one value, by size. */
     private static final class Series {
         private final Map<Integer, List<Double>> bySize = new TreeMap<>();
 
@@ -65,7 +65,7 @@
             return (sorted.get((sorted.size() - 1) / 2) + sorted.get(sorted.size() / 2)) / 2;
         }
 
-        /** Every run counts, not the medians alone, so that the residual tells their scatter too. */
+        /** Fits all runs and not only the medians, so that the residual includes the scatter between runs. */
         Optional<Fit> fit() {
             List<Double> x = new ArrayList<>();
             List<Double> y = new ArrayList<>();
@@ -77,7 +77,7 @@
         }
     }
 
-    /** All that can be asked for. */
+    /** All slopes that can be measured. */
     static List<Slope> slopes() {
         return Stream.of(ModuleSlopes.all(), SenderSlopes.all()).flatMap(List::stream).toList();
     }
@@ -98,21 +98,21 @@
     private List<Slope> check() {
         List<String> known = slopes().stream().map(Slope::name).toList();
         only.stream().filter(name -> !known.contains(name)).findFirst().ifPresent(name ->
-                refuse("no slope '" + name + "': there are " + String.join(", ", known)));
+                refuse("no slope '" + name + "': the slopes are " + String.join(", ", known)));
         if (repeats < 1 || repeats > MOST_REPEATS) {
-            refuse("--repeats is from 1 to " + MOST_REPEATS);
+            refuse("--repeats must be from 1 to " + MOST_REPEATS);
         }
         if (sizes.stream().anyMatch(size -> size < 1 || size > MOST)) {
-            refuse("--sizes are from 1 to " + MOST);
+            refuse("--sizes must be from 1 to " + MOST);
         }
         if (!sizes.isEmpty() && sizes.stream().distinct().count() < 2) {
-            refuse("--sizes needs two sizes at least, else nothing can be fitted");
+            refuse("--sizes needs at least two different sizes, or growth can't be fitted");
         }
         if (limitS < 1) {
-            refuse("--limit-s is 1 at least");
+            refuse("--limit-s must be at least 1");
         }
         if (!Files.isReadable(Setup.JAR)) {
-            refuse("no " + Setup.JAR + " here: run this from the root of a checkout, after the build");
+            refuse("no " + Setup.JAR + " here: run this from the root of a checkout after the build");
         }
         return slopes().stream().filter(slope -> only.isEmpty() || only.contains(slope.name())).toList();
     }
@@ -126,7 +126,7 @@
         Map<String, Series> series = new LinkedHashMap<>();
         Object jvm = setup.options();
         slope.fitted().forEach(figure -> series.put(figure, new Series()));
-        // Sizes in the inner loop: what drifts with time then touches all of them alike.
+        // Sizes are the inner loop, so that a drift over time affects all sizes alike.
         for (int repeat = 0; repeat < (quick ? 1 : repeats); repeat++) {
             for (int size : at) {
                 Map<String, Object> line = once(slope, setup, size, repeat, until);
@@ -152,7 +152,7 @@
         line.put("pinned", !setup.pin().isEmpty());
         line.put("sizes", sizes.isEmpty() ? quick ? slope.quick() : slope.sizes() : sizes);
         if (System.nanoTime() > until) {
-            line.put("failed", "not run: the time set by --limit-s was over");
+            line.put("failed", "not run: the time limit set by --limit-s was reached");
         } else {
             try {
                 line.putAll(slope.measurement().measure(setup, size, seed + repeat));
@@ -172,7 +172,7 @@
         return String.join(", ", parts);
     }
 
-    /** The units stand at the end of the names; a line says them once more, in full. */
+    /** The unit of each fitted value in full; the names of values end with an abbreviation of it. */
     private static Map<String, String> units(Slope slope) {
         Map<String, String> units = new LinkedHashMap<>();
         slope.fitted().forEach(figure -> units.put(figure, figure.endsWith("_us") ? "microseconds"
@@ -196,7 +196,7 @@
         List<List<Object>> fits = new ArrayList<>();
         for (Map.Entry<String, Series> figure : series.entrySet()) {
             Optional<Fit> fit = figure.getValue().fit();
-            fits.add(List.of(figure.getKey(), fit.map(Fit::words).orElse("too few sizes were measured")));
+            fits.add(List.of(figure.getKey(), fit.map(Fit::words).orElse("fewer than two sizes were measured")));
             if (fit.isPresent()) {
                 results.line("fit", fitLine(slope, at, figure.getKey(), fit.get(), jvm));
             }
--- a/src/main/java/kestreldeal/scale/World.java
+++ b/src/main/java/kestreldeal/scale/World.java
@@ -33,13 +33,13 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Stand-ins for what surrounds one sender: its agent with the list of endpoints, and the endpoints, all behind two
- * addresses on loopback. The agent answers at once, the endpoints deliver after a set time.
+ * Stub servers for the environment of one sender, on two loopback addresses: the agent, which serves the list of
+ * endpoints, and all endpoints. The agent responds immediately, the endpoints after a fixed delay.
  */
 final class World implements AutoCloseable {
-    /** Where clients send the messages of destinations that have traffic. */
+    /** Destinations of a list of 100 endpoints; clients send messages to all but the last. */
     static final int DESTINATIONS = 50;
-    /** Every endpoint of the destinations from here on is draining: what is handed in for them stays held. */
+    /** The only endpoint of this destination is draining, so messages to it stay pending. */
     static final int DRAINING = 1_000_000;
     private static final int LONGEST = 1 << 20;
     private static final double ENDPOINTS_EACH = 2;
@@ -57,13 +57,13 @@
     private final List<Watch> watches = new ArrayList<>();
     private List<String> list = List.of();
     private long generation = 1;
-    /** The generation that the whole list was last replaced in. */
+    /** Generation of the last replacement of the full list. */
     private long replaced = 1;
 
     private record Watch(ChannelHandlerContext ctx, long after) {
     }
 
-    /** Begins to listen; endpoints answer after so many milliseconds. */
+    /** Starts both servers; endpoints respond after the given delay. */
     World(long answerMs) {
         this.answerMs = answerMs;
         agent = listen(true);
@@ -95,7 +95,7 @@
 
     // ---- the list ----
 
-    /** Puts a list of so many endpoints in place of the one before; a destination has two. */
+    /** Replaces the list with one of the given number of endpoints, two for each destination. */
     synchronized void replaceList(int size) {
         List<String> entries = new ArrayList<>();
         for (int i = 0; i < size; i++) {
@@ -119,7 +119,7 @@
         return entry(index, (long) (index / ENDPOINTS_EACH), lifecycle, weight);
     }
 
-    /** As wide as in a real list: some 190 bytes. */
+    /** An entry of about 190 bytes, as in a real list. */
     private String entry(int index, long destination, String lifecycle, int weight) {
         return String.format(Locale.ROOT, "{\"instanceId\":\"s-%08x\",\"hostPort\":\"%s\",\"zone\":\"a\","
                 + "\"machineType\":\"m\",\"cell\":%d,\"lifecycle\":\"%s\",\"weight\":%d.0,\"startedAtMs\":0}", index,
@@ -132,7 +132,7 @@
         due.forEach(watch -> answerSince(watch.ctx(), watch.after()));
     }
 
-    /** The whole list to who has not had it yet, else what changed. */
+    /** Responds with the full list if the requester's generation is older than it, else with the changes since. */
     private void answerSince(ChannelHandlerContext ctx, long after) {
         boolean whole = after < replaced;
         List<String> entries = whole ? list : new ArrayList<>(changes.tailMap(after, false).values());
@@ -165,7 +165,7 @@
 
     // ---- connections ----
 
-    /** Counts what goes over the agent's connections, both ways. */
+    /** Counts the bytes on the agent's connections in both directions. */
     private final class Meter extends ChannelDuplexHandler {
         @Override
         public void channelRead(ChannelHandlerContext ctx, Object read) {
@@ -194,7 +194,7 @@
             watch(ctx, number(query, "after"), number(query, "wait_ms"));
         }
 
-        /** Absent in the first question, which the whole list answers at once. */
+        /** A parameter, or 0 if absent: the first request has none and gets the full list immediately. */
         private long number(QueryStringDecoder query, String name) {
             return query.parameters().containsKey(name) ? Long.parseLong(query.parameters().get(name).get(0)) : 0;
         }
--- a/src/main/java/kestreldeal/scale/fleet/Broken.java
+++ b/src/main/java/kestreldeal/scale/fleet/Broken.java
@@ -2,11 +2,11 @@
 
 import java.util.Locale;
 
-/** An invariant does not hold; the text names the message, if it is one's, and the time. */
+/** Violation of an invariant; its text has the simulated time and the id of the message, if one is concerned. */
 final class Broken extends RuntimeException {
     private static final long serialVersionUID = 1;
 
     Broken(double nowMs, String what) {
-        super(String.format(Locale.ROOT, "broken at %.3f s: %s", nowMs / 1000, what));
+        super(String.format(Locale.ROOT, "invariant violated at %.3f s: %s", nowMs / 1000, what));
     }
 }
--- a/src/main/java/kestreldeal/scale/fleet/Call.java
+++ b/src/main/java/kestreldeal/scale/fleet/Call.java
@@ -4,15 +4,15 @@
 import java.util.List;
 import kestreldeal.Relay;
 
-/** Messages that travel as one from one life of a sender to an endpoint. */
+/** A request with one or more attempts from one process of a sender to an endpoint. */
 final class Call {
     final HollowSender sender;
     final int life;
     final HollowEndpoint endpoint;
-    /** What its sender held the endpoint to be when it decided on it. */
+    /** The state that the sender assumed for the endpoint when it decided on the call. */
     final Relay.EndpointState heldAs;
     final List<Item> items = new ArrayList<>();
-    /** When its request was written; before that it waits for its connection. */
+    /** When the request was written; infinite while it waits for a connection. */
     double writtenAt = Double.POSITIVE_INFINITY;
 
     Call(HollowSender sender, int life, HollowEndpoint endpoint, Relay.EndpointState heldAs) {
@@ -22,12 +22,12 @@
         this.heldAs = heldAs;
     }
 
-    /** Whether anybody waits for its answer. */
+    /** Whether an attempt of the call is still in flight. */
     boolean isAwaited() {
         return items.stream().anyMatch(item -> item.attempt.outcome.isEmpty());
     }
 
-    /** One message of it. */
+    /** One attempt in the call, with its number within its message. */
     record Item(SimMessage message, int number, SimMessage.Attempt attempt) {
     }
 }
--- a/src/main/java/kestreldeal/scale/fleet/Clients.java
+++ b/src/main/java/kestreldeal/scale/fleet/Clients.java
@@ -6,12 +6,12 @@
 import kestreldeal.scale.fleet.SimMessage.Asked;
 
 /**
- * Clients behind a front: messages at a rate, uneven between destinations and between senders, some in clumps for one
- * destination. A client comes once more after a refusal, when it was told to; and to another sender when its own is
- * dead, of which the front hears late.
+ * Clients behind a load balancer. Messages arrive as a Poisson process, spread unevenly over destinations and senders;
+ * some arrive in bursts for one destination. Some clients retry once after a rejection, no earlier than the rejection
+ * asks. Clients of a sender that is down go to another one; the load balancer notices late that a sender is down.
  */
 final class Clients {
-    /** The front looks for a sender that is not known to be dead so many times. */
+    /** How often the load balancer draws another sender, if the drawn one is known to be down. */
     private static final int FRONT_DRAWS = 8;
 
     private final Fleet fleet;
@@ -25,7 +25,7 @@
     private final double meanClump;
     private long lastId;
 
-    /** Clients of these destinations' traffic by part, until that time. */
+    /** Creates clients that submit messages until the end time, with the given distribution over destinations. */
     Clients(Fleet fleet, Parts partnerParts, double end, Random random) {
         this.fleet = fleet;
         this.world = fleet.world();
@@ -48,7 +48,7 @@
         this.meanClump = clump;
     }
 
-    /** Begins both streams. */
+    /** Starts the arrivals of single messages and of bursts. */
     void start() {
         double perMs = fleet.settings().messagesPerSecond() / 1000;
         next(perMs * (1 - model.clumpShare()), this::single);
@@ -70,7 +70,7 @@
         handIn(asked(partner), senderParts.draw(random));
     }
 
-    /** Many at once, half of the times all by one client's sender. */
+    /** Submits a burst at one time; half of the bursts go to a single sender. */
     private void clump() {
         Partner partner = fleet.partners().get(partnerParts.draw(random));
         int size = clumpSize(partner, model.clumpS().draw(random));
@@ -93,7 +93,7 @@
         return new Asked(messageClass, partner, world.now(), world.now() + deadline, tries);
     }
 
-    /** To that sender, or by the front to another where it is known to be dead. */
+    /** Submits to the given sender, or to another one if the load balancer knows that this one is down. */
     private void handIn(Asked asked, int first) {
         HollowSender sender = fleet.senders().get(first);
         for (int i = 0; i < FRONT_DRAWS && isKnownDead(sender); i++) {
@@ -123,7 +123,7 @@
         }
     }
 
-    /** Comes again, if there will be time left; else what it came to nothing by is counted. */
+    /** Retries after a delay, or records the failure if the deadline would have passed by then. */
     private void later(Asked asked, double ms, Runnable nothing) {
         if (world.now() + ms >= asked.deadline) {
             nothing.run();
@@ -132,7 +132,7 @@
         }
     }
 
-    /** A sender has given a message back. */
+    /** A sender has rejected a message. */
     void refused(SimMessage message, double waitMs) {
         Asked asked = message.asked;
         if (asked.triesLeft-- > 0) {
@@ -142,7 +142,7 @@
         }
     }
 
-    /** A sender has given a message up; it does not come again. */
+    /** A sender has reported a message as failed; clients do not retry it. */
     void failed(SimMessage message) {
         fleet.counts().failed++;
     }
--- a/src/main/java/kestreldeal/scale/fleet/ColdReturn.java
+++ b/src/main/java/kestreldeal/scale/fleet/ColdReturn.java
@@ -6,9 +6,11 @@
 import kestreldeal.Relay;
 
 /**
- * A destination's return from an outage, and the rule on it: in each span that the settings name, no more than N + 2
- * x root of N + 2 calls, N being the settings' multiple of what the destination can do in it. Every call that reaches
- * it counts, those turned away too, one of several messages as one. Before the return it counts as cold as at it.
+ * A destination's recovery from an outage, in which its capacity ramps up, and the load budget that applies in it:
+ * in any sliding window (of the length in the slow start settings), at most N + 2 sqrt(N) + 2 calls may arrive, where N
+ * is a multiple (also from the settings) of the calls that the destination can serve in the window. Every call that
+ * arrives counts once, whether it is refused or not and however many messages it has. For the part of a window before
+ * the recovery, the capacity counts as it is at the start of the recovery.
  */
 final class ColdReturn {
     private final double capacityPerMs;
@@ -24,12 +26,15 @@
     }
 
     /**
-     * Calls in the span that ends at a time, and what may come in it at most.
+     * The calls in one window.
      *
-     * @param told calls from senders that had been told of the outage
-     * @param heldUp calls from senders that held the endpoint to be in service
-     * @param trials calls from senders that held it to be down
-     * @param after what the outage was like
+     * @param endMs end of the window
+     * @param calls calls that arrived in the window
+     * @param most maximum number of calls by the load budget
+     * @param told calls from senders that had learned of the outage, by a call that failed or was refused
+     * @param heldUp calls from senders that assumed that the endpoint was in service
+     * @param trials calls from senders that assumed that it was in an outage, which are probe attempts
+     * @param after kind of outage before the recovery
      */
     record Window(double endMs, int calls, double most, int told, int heldUp, int trials, HollowEndpoint.State after) {
         static final Window NONE = new Window(0, 0, 0, 0, 0, 0, HollowEndpoint.State.SERVING);
@@ -38,7 +43,7 @@
             return most == 0 ? 0 : calls / most;
         }
 
-        /** Whether over two thirds of it came from senders that had been told of the outage. */
+        /** Whether more than two thirds of the calls came from senders that had learned of the outage. */
         boolean isTold() {
             return told * 3 > calls * 2;
         }
@@ -55,13 +60,13 @@
         return now >= returnedAt + rule.rampUpMs();
     }
 
-    /** The share of its capacity that it has. */
+    /** The share of its capacity that the destination has at a time. */
     double share(double now) {
         double warm = Math.min(1, Math.max(0, (now - returnedAt) / rule.rampUpMs()));
         return rule.initialCapacityShare() + (1 - rule.initialCapacityShare()) * warm;
     }
 
-    /** A call has come; the window that ends with it. */
+    /** Records a call that has arrived; returns the window that ends with it. */
     Window arrived(double now, boolean told, Relay.EndpointState heldAs) {
         window.add(new Arrival(now, told, heldAs));
         while (window.peek().at <= now - rule.overloadMs()) {
@@ -82,7 +87,7 @@
         return (int) window.stream().filter(which).count();
     }
 
-    /** N + 2 x root of N + 2 for the span that ends now. */
+    /** The load budget N + 2 sqrt(N) + 2 of the window that ends now. */
     double most(double now) {
         double n = rule.overloadMultiple() * capacityPerMs * (capacityUntil(now)
                 - capacityUntil(now - rule.overloadMs()));
@@ -93,12 +98,12 @@
         return worstWindow;
     }
 
-    /** Whether a window was over its budget by the doing of senders that had been told of the outage. */
+    /** Whether a window exceeded its budget mostly by calls of senders that had learned of the outage. */
     boolean isBroken() {
         return broken;
     }
 
-    /** Its share of capacity, summed over the time from the return. */
+    /** The integral of {@link #share} from the start of the recovery to a time; negative for a time before it. */
     private double capacityUntil(double time) {
         double since = time - returnedAt;
         if (since <= 0) {
--- a/src/main/java/kestreldeal/scale/fleet/Counts.java
+++ b/src/main/java/kestreldeal/scale/fleet/Counts.java
@@ -6,51 +6,61 @@
 import java.util.Map;
 import org.HdrHistogram.Histogram;
 
-/** What a run has counted over the whole fleet. */
+/** Counters and histograms of a simulation run, over the whole fleet. */
 final class Counts {
     private static final long MOST_MS = 3_600_000;
 
-    /** What clients wanted delivered, and what they handed in for it. */
+    /** Requests of clients, and the submissions that senders accepted for them; a retry is another submission. */
     long asked;
     long handedIn;
+    /** Requests whose last submission was rejected because the sender had too many pending messages. */
     long turnedAway;
-    /** Given up by their clients, as no sender that they came to was alive. */
+    /** Requests given up because the last sender tried was down and too little time was left to try another. */
     long unanswered;
+    /** Requests delivered within and after the target latency of their class. */
     long inTime;
     long late;
+    /** Requests whose last submission was accepted, but then rejected by the module. */
     long refusedToClients;
     long failed;
     long deliveredAfterEnd;
-    /** Calls by senders, and those that reached an endpoint that takes connections. */
+    /** Calls written by senders, and those that reached an endpoint that accepts connections. */
     long callsWritten;
     long callsReceived;
     long connects;
+    /** Calls refused by endpoints, and those of them that were refused by a rate limit. */
     long refused;
     long refusedAboveLimit;
+    /** Attempts to an endpoint that the sender assumes to be in an outage. */
     long trials;
     long firstSends;
     long copies;
-    /** Messages in calls that were worked through to the end. */
+    /** Messages in calls that an endpoint processed to the end. */
     long itemsRun;
     long outages;
+    /** Collapses of recovering destinations under more calls than their load budget. */
     long falls;
-    /** Falls by the doing of senders that had been told of the outage. */
+    /** Collapses that were mostly caused by senders that had learned of the outage. */
     long brokenReturns;
-    /** Returns with a window over the budget of which over two thirds came from such senders. */
+    /** Recoveries with a window over budget, more than two thirds of it from senders that had learned of the outage. */
     long toldOverBudget;
     long restarts;
     long changes;
+    /** Attempts to draining or removed endpoints after their sender was notified, and the longest time after that. */
     long callsAfterWord;
     double afterWordMs;
+    /** The same, counted from the publication by discovery. */
     long callsAfterPublished;
     double afterPublishedMs;
-    /** From handing in to delivery, and from a change to its being in force, per sender and at the last of them. */
+    /** Time from the first submission of a request to its delivery. */
     final Histogram deliveryMs = new Histogram(MOST_MS, 3);
+    /** Time from the publication of a change until a sender's agent has it, for each agent and for the last one. */
     final Histogram inForceMs = new Histogram(MOST_MS, 3);
     final Histogram inForceAtAllMs = new Histogram(MOST_MS, 3);
+    /** The worst window of each recovery. */
     final List<ColdReturn.Window> coldReturns = new ArrayList<>();
 
-    /** A message was delivered, so long after its client first wanted it. */
+    /** Records a delivery, with the time since the first submission of the request. */
     void delivered(double tookMs, boolean wantedBy) {
         inTime += wantedBy ? 1 : 0;
         late += wantedBy ? 0 : 1;
@@ -62,13 +72,13 @@
         toldOverBudget += seen.isBroken() ? 1 : 0;
     }
 
-    /** The window with the highest ratio of calls to what may come; one of nothing if there was none. */
+    /** The window with the highest ratio of calls to its budget, or {@link ColdReturn.Window#NONE}. */
     ColdReturn.Window worstWindow() {
         return coldReturns.stream().reduce(ColdReturn.Window.NONE,
                 (a, b) -> b.ratio() > a.ratio() ? b : a);
     }
 
-    /** Returns of which a window had more than may come. */
+    /** Number of recoveries with a window over its budget. */
     long overBudget() {
         return coldReturns.stream().filter(window -> window.ratio() > 1).count();
     }
@@ -81,12 +91,12 @@
         return share(copies, firstSends);
     }
 
-    /** Messages that were worked on without being delivered by it, by all worked on. */
+    /** The share of processed messages whose processing did not deliver them. */
     double wastedShare() {
         return share(itemsRun - inTime - late, itemsRun);
     }
 
-    /** All figures by their names, with units. */
+    /** All values by their names in the results. */
     Map<String, Object> figures() {
         Map<String, Object> all = new LinkedHashMap<>();
         all.put("asked", asked);
--- a/src/main/java/kestreldeal/scale/fleet/Directory.java
+++ b/src/main/java/kestreldeal/scale/fleet/Directory.java
@@ -8,9 +8,9 @@
 import kestreldeal.Relay;
 
 /**
- * Discovery: a list that all senders begin with, and changes that each sender's agent hears late, by a drawn delay.
- * What the agent has counts as told to a sender that lives. An agent that is cut off from where a change is made, or
- * whose machine is gone, hears it after that.
+ * Discovery: an initial list that all agents have, and changes that reach the agent of each sender after a random
+ * delay. A sender that runs has an update as soon as its agent has it. An agent that is partitioned from the zone of a
+ * change, or whose machine is down, gets the change afterwards.
  */
 final class Directory {
     private final Fleet fleet;
@@ -19,16 +19,16 @@
     private final Map<Long, Relay.Endpoint> first = new LinkedHashMap<>();
     private final List<Agent> agents = new ArrayList<>();
 
-    /** An agent's own knowledge: what differs from the first list. */
+    /** The list of one agent, as the changes to the initial list that it has received. */
     private static final class Agent {
         final Map<Long, Change> heard = new LinkedHashMap<>();
         final List<Change> missed = new ArrayList<>();
         boolean lost;
-        /** Since when changes can reach it. */
+        /** Since when missed changes can reach it, after a partition or a failure. */
         double reachedSince;
     }
 
-    /** A change as discovery has it, by a zone's word, and how many agents have yet to hear it. */
+    /** A published change of an endpoint in a zone, and how many agents have not received it yet. */
     private static final class Change {
         final Relay.Endpoint entry;
         final int zone;
@@ -55,12 +55,12 @@
         }
     }
 
-    /** An endpoint that all know from the start. */
+    /** Adds an endpoint to the initial list. */
     void add(HollowEndpoint endpoint) {
         first.put(endpoint.id, entry(endpoint, true, false));
     }
 
-    /** Something was changed there; discovery has it a while later. */
+    /** Changes the entry of an endpoint; discovery publishes the change after a delay. */
     void change(HollowEndpoint endpoint, boolean serving, boolean gone) {
         Relay.Endpoint entry = entry(endpoint, serving, gone);
         world.in(fleet.settings().model().noticeMs().draw(random), () -> publish(entry, endpoint.zone));
@@ -94,7 +94,7 @@
         inForce(change, world.now() - Math.max(change.at, agent.reachedSince));
     }
 
-    /** The time counts from when the agent could have it. */
+    /** Records the propagation time of a change to one agent, which counts from when the agent was reachable. */
     private void inForce(Change change, double ms) {
         fleet.counts().inForceMs.recordValue(Math.round(ms));
         change.latest = Math.max(change.latest, ms);
@@ -103,12 +103,12 @@
         }
     }
 
-    /** A sender's machine is gone, or back. */
+    /** Notes that the machine of a sender, with its agent, has failed or is back. */
     void machine(HollowSender sender, boolean lost) {
         agents.get(sender.number).lost = lost;
     }
 
-    /** What agents have missed while they were cut off or gone can reach them now. */
+    /** Delivers, after the usual delay, what agents have missed while they were partitioned or down. */
     void reachable() {
         for (HollowSender sender : fleet.senders()) {
             Agent agent = agents.get(sender.number);
@@ -118,7 +118,7 @@
         }
     }
 
-    /** The whole list as a sender's agent has it. */
+    /** The full list of a sender's agent, without removed entries. */
     List<Relay.Endpoint> listAt(HollowSender sender) {
         Map<Long, Relay.Endpoint> list = new LinkedHashMap<>(first);
         agents.get(sender.number).heard.forEach((id, change) -> list.put(id, change.entry));
--- a/src/main/java/kestreldeal/scale/fleet/Faults.java
+++ b/src/main/java/kestreldeal/scale/fleet/Faults.java
@@ -5,13 +5,13 @@
 import java.util.List;
 import java.util.Random;
 
-/** What goes wrong, when and where, by scenario. All is over when clients end. */
+/** Injects the faults of a scenario. All faults are over before clients stop submitting messages. */
 final class Faults {
-    /** Faults begin after this share of the run, and are over before this one. */
+    /** The part of the run in which faults occur, as shares of its length. */
     private static final double FIRST = 0.1;
     private static final double LAST = 0.9;
     private static final double DOWN_SHARE = 0.021;
-    /** Restarts of senders a day, by their number. */
+    /** Restarts per sender and day: 340 per day in a fleet of 5800 senders. */
     private static final double RESTARTS_A_DAY = 340.0 / 5800;
     private static final double DAY_S = 86_400;
     private static final int LEAST_RESTARTS = 4;
@@ -58,7 +58,7 @@
         return runMs * (FIRST + (LAST - FIRST) * random.nextDouble());
     }
 
-    /** Endpoints are replaced in order: a new one, word that the old one drains, its end, word of that. */
+    /** Replaces some endpoints gracefully: a new one is listed, the old one drains, ends and is removed. */
     private void replaceSome() {
         int many = Math.max(LEAST_REPLACED, (int) Math.round(model.replacedShare() * fleet.endpoints().size()));
         List<HollowEndpoint> all = new ArrayList<>(fleet.endpoints());
@@ -73,7 +73,7 @@
         }
         fleet.directory().change(next, true, false);
         fleet.directory().change(old, false, false);
-        // It drains from when its word is out, which takes a while too.
+        // The drain time starts when the change has certainly been published.
         world.in(model.noticeMs().most() + model.drainMs().draw(random), () -> {
             old.end();
             fleet.directory().change(old, false, true);
@@ -87,7 +87,7 @@
         }
     }
 
-    /** One destination after another: as soon as one is back the next goes, until the end is near. */
+    /** Starts an outage of one destination, and the next outage when it ends, until faults must be over. */
     private void nextOutage() {
         double ms = model.outageMs().draw(random);
         if (world.now() + ms > share(LAST)) {
@@ -100,13 +100,13 @@
         world.in(ms, this::nextOutage);
     }
 
-    /** An outage in one of five ways. */
+    /** Starts an outage of a random kind. */
     private void outage(Partner partner, double until) {
         HollowEndpoint.State[] ways = HollowEndpoint.State.values();
         outage(partner, ways[1 + random.nextInt(ways.length - 1)], until);
     }
 
-    /** All endpoints of a destination go and come back together. */
+    /** Starts an outage of all endpoints of a destination, which ends for all of them at the same time. */
     void outage(Partner partner, HollowEndpoint.State way, double until) {
         List.copyOf(partner.endpoints).forEach(endpoint -> endpoint.become(way, until));
         world.at(until, () -> serveAgain(partner.endpoints));
@@ -156,7 +156,7 @@
             });
             endpoints(zone).forEach(endpoint -> endpoint.become(HollowEndpoint.State.SILENT, 0));
         });
-        // Machines are back, with their agents, just before the senders' processes.
+        // Machines and their agents are back 1 ms before the senders' processes start.
         world.at(share(FIRST) + lostMs - 1, () -> {
             senders(zone).forEach(sender -> fleet.directory().machine(sender, false));
             fleet.directory().reachable();
--- a/src/main/java/kestreldeal/scale/fleet/Fleet.java
+++ b/src/main/java/kestreldeal/scale/fleet/Fleet.java
@@ -10,9 +10,10 @@
 import kestreldeal.Relay;
 
 /**
- * A hollow fleet: many instances of the real decision module on one simulated clock, with small models of clients,
- * network, endpoints and discovery. Equal settings give equal counts; nothing is read from real clocks, and each part
- * draws from a stream of its own, so that one that draws more does not move the others.
+ * A discrete-event simulation of a fleet of senders: many instances of the real decision module on one simulated
+ * clock, with simple models of clients, network, endpoints and discovery. It is deterministic: equal settings give
+ * equal counts, no real clock is read, and each part has a random number generator of its own, so that a part that
+ * draws more numbers does not change the others.
  */
 final class Fleet {
     private static final double AFTERWARDS_MS = 25_000;
@@ -35,7 +36,7 @@
     private final Map<Long, HollowEndpoint> endpoints = new LinkedHashMap<>();
     private final List<HollowSender> senders = new ArrayList<>();
 
-    /** Makes the module's instances; tests put a doctored one here. */
+    /** Creates instances of the decision module; tests use it to make them break a rule. */
     interface RelayFactory {
         Relay create(Relay.Settings settings, long seed, Relay.Actions actions);
     }
@@ -83,9 +84,9 @@
     }
 
     /**
-     * Runs to the end of all messages and tells what was counted.
+     * Runs until all messages have a final result, and returns the counts.
      *
-     * @throws Broken at the first rule that does not hold
+     * @throws Broken at the first violation of an invariant
      */
     Counts run(World.Watch watch) {
         senders.forEach(HollowSender::start);
@@ -93,20 +94,20 @@
         faults.start();
         world.run(settings.seconds() * 1000 + AFTERWARDS_MS, watch);
         if (ledger.open() > 0) {
-            throw new Broken(world.now(), ledger.open() + " messages have no final answer at the end of the run");
+            throw new Broken(world.now(), ledger.open() + " messages have no final result at the end of the run");
         }
         partners.forEach(Partner::coldReturnOver);
         return counts;
     }
 
-    /** A cold destination got more than it bears: it is out once more. */
+    /** A recovering destination got more calls than its load budget: it collapses into another outage. */
     void fall(Partner partner, ColdReturn.Window window) {
         counts.falls++;
         counts.brokenReturns += window.isTold() ? 1 : 0;
         faults.outage(partner, HollowEndpoint.State.REFUSING, world.now() + settings.model().outageMs().most());
     }
 
-    /** A further endpoint, as able as the others of its destination; no list names it yet. */
+    /** Adds an endpoint with the same capacity as the others of its destination; it is not in any list yet. */
     HollowEndpoint newEndpoint(Partner partner, int zone) {
         return newEndpoint(partner, zone, partner.endpoints.size());
     }
@@ -118,7 +119,7 @@
         return endpoint;
     }
 
-    /** The module of a sender's life, with a seed of its own. */
+    /** Creates the decision module for one process of a sender, with a seed of its own. */
     Relay newRelay(int sender, int life, Relay.Actions actions) {
         long seed = new Random(settings.seed() * 31 + sender).nextLong() + life;
         return factory.create(relaySettings, seed, actions);
--- a/src/main/java/kestreldeal/scale/fleet/FleetCommand.java
+++ b/src/main/java/kestreldeal/scale/fleet/FleetCommand.java
@@ -18,29 +18,32 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** Plays hollow fleets of several sizes, and shows how their sum grows with the senders that share a destination. */
+/**
+ * Simulates fleets of several sizes, and shows how their total load grows with the number of senders that share the
+ * destinations.
+ */
 @Command(name = "fleet", mixinStandardHelpOptions = true, sortOptions = false,
-        description = "Plays a hollow fleet, which is many instances of the decision module on one simulated clock, and"
-                + " checks the rules. Ends with 1 at the first rule that does not hold.")
+        description = "Simulates a fleet, which is many instances of the decision module on one simulated clock, and"
+                + " checks invariants. Exits with code 1 at the first violation.")
 public final class FleetCommand implements Callable<Integer> {
-    /** What an endpoint known to one sender takes, with room to spare, and what is there besides. */
+    /** Generous estimates of the heap needed for each endpoint of each sender, for each sender, and for the rest. */
     private static final long BYTES_AN_ENTRY = 1200;
     private static final long BYTES_A_SENDER = 50_000;
     private static final long BYTES_BESIDES = 100_000_000;
-    /** Endpoints a destination, replaced ones counted. */
+    /** Mean number of endpoints of a destination, including replaced ones. */
     private static final double ENDPOINTS_A_DESTINATION = 1.8;
     private static final double PROGRESS_NANOS = 5e9;
     private static final int MOST_SENDERS = 10_000;
 
     private static final List<String> HEADS = List.of("senders", "asked", "in time", "late", "refused", "failed",
             "away", "calls", "calls refused", "trials", "copies", "wasted", "returns", "over", "told", "worst",
-            "calls/most", "fell", "in force ms", "after word");
+            "calls/most", "fell", "propagation ms", "after drain");
 
     @Spec
     private CommandSpec spec;
 
     @Parameters(arity = "0..*", paramLabel = "SCENARIO",
-            description = "What goes wrong: ${COMPLETION-CANDIDATES}. Default: all.")
+            description = "Injected faults: ${COMPLETION-CANDIDATES}. Default: all.")
     private List<Scenario> scenarios = new ArrayList<>();
 
     @Option(names = "--senders", split = ",", defaultValue = "10,30,100,300,1000",
@@ -50,41 +53,41 @@
     @Option(names = "--destinations", defaultValue = "30", description = "Default: ${DEFAULT-VALUE}.")
     private int destinations;
 
-    @Option(names = "--rate", defaultValue = "4", description = "Messages a second for a destination, in the mean and"
-            + " from all senders together. Default: ${DEFAULT-VALUE}.")
+    @Option(names = "--rate", defaultValue = "4", description = "Mean messages per second for each destination, from"
+            + " all senders together. Default: ${DEFAULT-VALUE}.")
     private double rate;
 
-    @Option(names = "--rate-a-sender", paramLabel = "RATE", description = "Messages a second for each sender, instead"
-            + " of --rate: destinations then grow with the senders.")
+    @Option(names = "--rate-a-sender", paramLabel = "RATE", description = "Messages per second of each sender,"
+            + " instead of --rate: the load of a destination then grows with the number of senders.")
     private Optional<Double> rateASender = Optional.empty();
 
     @Option(names = "--seconds", defaultValue = "120",
-            description = "Simulated seconds in which messages come. Default: ${DEFAULT-VALUE}.")
+            description = "Simulated seconds in which clients submit messages. Default: ${DEFAULT-VALUE}.")
     private double seconds;
 
     @Option(names = "--seed", defaultValue = "1",
-            description = "Everything is drawn from it. Default: ${DEFAULT-VALUE}.")
+            description = "Seed of all random numbers. Default: ${DEFAULT-VALUE}.")
     private long seed;
 
-    @Option(names = "--no-falls", description = "Cold destinations stand what is over their budget, so that the worst"
-            + " window is seen whole.")
+    @Option(names = "--no-falls", description = "Recovering destinations do not collapse when they get more calls than"
+            + " their load budget, so that the whole worst window is seen.")
     private boolean noFalls;
 
     @Option(names = "--most-real-seconds", defaultValue = "600",
-            description = "Ends with a message after so many seconds of real time. Default: ${DEFAULT-VALUE}.")
+            description = "Aborts after this many seconds of real time. Default: ${DEFAULT-VALUE}.")
     private double mostRealSeconds;
 
-    @Option(names = "--out", paramLabel = "FILE", description = "Results go there, one JSON object a line.")
+    @Option(names = "--out", paramLabel = "FILE", description = "File for the results, one JSON object per line.")
     private Optional<Path> out = Optional.empty();
 
     private final long begun = System.nanoTime();
 
-    /** The run takes more real time than it may. */
+    /** The run has used up its real time. */
     private static final class OutOfTime extends RuntimeException {
         private static final long serialVersionUID = 1;
     }
 
-    /** Plays each scenario with each number of senders. */
+    /** Runs each scenario with each number of senders. */
     @Override
     public Integer call() throws IOException {
         check();
@@ -98,25 +101,25 @@
         } catch (Broken e) {
             err.println(e.getMessage());
         } catch (OutOfTime e) {
-            err.println("stopped: it takes more than " + plain(mostRealSeconds) + " s of real time; ask for"
-                    + " fewer senders, destinations or seconds, or for more with --most-real-seconds");
+            err.println("aborted: the run takes more than " + plain(mostRealSeconds) + " s of real time; use fewer"
+                    + " senders, destinations or seconds, or a higher --most-real-seconds");
         }
         return CommandLine.ExitCode.SOFTWARE;
     }
 
     private void check() {
         require(!senders.isEmpty() && senders.stream().allMatch(n -> n >= 1 && n <= MOST_SENDERS),
-                "--senders are numbers from 1 to " + MOST_SENDERS);
-        require(destinations >= 1, "--destinations is 1 at least");
-        require(isRate(rate), "--rate is above 0");
-        require(rateASender.map(FleetCommand::isRate).orElse(true), "--rate-a-sender is above 0");
-        require(seconds >= 1 && seconds <= 86_400, "--seconds is from 1 to 86400");
-        require(mostRealSeconds > 0, "--most-real-seconds is above 0");
+                "--senders must be numbers from 1 to " + MOST_SENDERS);
+        require(destinations >= 1, "--destinations must be at least 1");
+        require(isRate(rate), "--rate must be above 0");
+        require(rateASender.map(FleetCommand::isRate).orElse(true), "--rate-a-sender must be above 0");
+        require(seconds >= 1 && seconds <= 86_400, "--seconds must be from 1 to 86400");
+        require(mostRealSeconds > 0, "--most-real-seconds must be above 0");
         long entries = (long) (destinations * ENDPOINTS_A_DESTINATION);
         int most = senders.stream().mapToInt(n -> n).max().orElseThrow();
         long needed = BYTES_BESIDES + most * (BYTES_A_SENDER + entries * BYTES_AN_ENTRY);
         require(needed <= Runtime.getRuntime().maxMemory(), String.format(Locale.ROOT, "%d senders with %d"
-                + " destinations need some %d MB of heap, and -Xmx allows %d MB", most, destinations,
+                + " destinations need about %d MB of heap, but -Xmx allows only %d MB", most, destinations,
                 needed >> 20, Runtime.getRuntime().maxMemory() >> 20));
     }
 
@@ -153,8 +156,8 @@
             results.line("fleet", line);
             rows.add(row(size, counts));
         }
-        String load = rateASender.map(each -> plain(each) + " messages/s a sender")
-                .orElse(plain(rate) + " messages/s for each");
+        String load = rateASender.map(each -> plain(each) + " messages/s per sender")
+                .orElse(plain(rate) + " messages/s per destination");
         results.table(String.format(Locale.ROOT, "%s: %d destinations, %s, %s s, seed %d", scenario, destinations, load,
                 plain(seconds), seed), HEADS, rows);
     }
@@ -177,7 +180,7 @@
         return value == Math.rint(value) ? String.valueOf((long) value) : String.valueOf(value);
     }
 
-    /** Tells how far a run is now and then, and ends it when it has taken too long. */
+    /** Prints the progress of a run now and then, and aborts it when its real time is used up. */
     private World.Watch watch(String run) {
         double[] toldAt = {System.nanoTime()};
         return (now, events) -> {
--- a/src/main/java/kestreldeal/scale/fleet/FleetSettings.java
+++ b/src/main/java/kestreldeal/scale/fleet/FleetSettings.java
@@ -1,22 +1,24 @@
 package kestreldeal.scale.fleet;
 
 /**
- * One run of a hollow fleet.
+ * Settings of one simulation run.
  *
- * @param senders hollow senders, which share all destinations
- * @param destinations destinations
- * @param rate messages a second for a destination, in the mean and from all senders together
- * @param seconds simulated time in which messages come; what is open then may still end
- * @param seed everything is drawn from it
- * @param falls a cold destination that gets more than its budget falls over; otherwise it stands, and its
- *     worst window is seen whole
+ * @param senders number of senders, which share all destinations
+ * @param destinations number of destinations
+ * @param rate mean messages per second for each destination, from all senders together
+ * @param seconds simulated time in which clients submit messages; pending messages can complete after it
+ * @param seed seed of all random numbers
+ * @param scenario injected faults
+ * @param falls whether a recovering destination collapses when it gets more calls than its load budget; otherwise it
+ *     serves them, so that the whole worst window is seen
+ * @param model parameters of the simulated environment
  */
 record FleetSettings(int senders, int destinations, double rate, double seconds, long seed, Scenario scenario,
                      boolean falls, Model model) {
-    /** Checks that there is something to run. */
+    /** Checks that the numbers are positive. */
     FleetSettings {
         if (senders < 1 || destinations < 1 || !(rate > 0) || !(seconds > 0)) {
-            throw new IllegalArgumentException("senders, destinations, rate and seconds are above 0");
+            throw new IllegalArgumentException("senders, destinations, rate and seconds must be above 0");
         }
     }
 
--- a/src/main/java/kestreldeal/scale/fleet/HollowEndpoint.java
+++ b/src/main/java/kestreldeal/scale/fleet/HollowEndpoint.java
@@ -12,11 +12,11 @@
 import kestreldeal.Relay.Outcome;
 
 /**
- * An endpoint: some cores with a queue before them, behind its destination's limit, and what may be wrong with it.
- * While its destination is cold its work takes longer.
+ * A simulated endpoint: a number of cores with a bounded queue, behind the rate limit of its destination, with
+ * injected faults. Its service times are longer while its destination recovers from an outage.
  */
 final class HollowEndpoint {
-    /** A quick error takes so long. */
+    /** Service time of a call that fails with an injected error. */
     private static final double ERROR_MS = 20;
 
     final long id;
@@ -34,23 +34,23 @@
     private double failShare;
     private double shutUntil;
     private boolean gone;
-    /** Counts the times at which all its work was lost. */
+    /** Counts how often all queued and running calls were lost. */
     private int epoch;
     private int resets;
 
-    /** What an endpoint is like. */
+    /** The state of an endpoint; each except the first is a kind of outage. */
     enum State {
-        /** It takes calls. */
+        /** Serves calls. */
         SERVING,
-        /** Its process is not there, but its machine is. */
+        /** The process is down but the machine is up, so connections are refused. */
         REFUSING,
-        /** Its machine can't be reached. */
+        /** The machine can't be reached, so packets to it are dropped. */
         SILENT,
-        /** It takes connections and never answers. */
+        /** Accepts connections but never responds. */
         HUNG,
-        /** Most calls fail. */
+        /** Fails most calls with an error. */
         FAILING,
-        /** It turns all calls away. */
+        /** Refuses all calls, sometimes with a Retry-After wait. */
         SHUT
     }
 
@@ -79,17 +79,21 @@
         return state;
     }
 
-    /** Takes connections; else they are refused, or nothing is said if it is silent. */
+    /** Whether it accepts connections; otherwise they are refused, or dropped if it is {@link State#SILENT}. */
     boolean accepts() {
         return state != State.REFUSING && state != State.SILENT && !gone;
     }
 
-    /** How often its connections were reset; those of before are no more. */
+    /** How often its connections were reset; a connection from before the last reset is closed. */
     int resets() {
         return resets;
     }
 
-    /** Something begins, or is over; while it is shut it opens again at that time. */
+    /**
+     * Changes the state.
+     *
+     * @param opensAt for {@link State#SHUT}: when the endpoint will serve again, for its Retry-After waits
+     */
     void become(State next, double opensAt) {
         if (gone) {
             return;
@@ -105,14 +109,14 @@
         partner.endpointChanged(fleet.world().now(), next);
     }
 
-    /** Its process ends, after a drain. */
+    /** Ends the process for good, after a drain. */
     void end() {
         gone = true;
         reset();
         partner.endpointChanged(fleet.world().now(), State.REFUSING);
     }
 
-    /** What it has is reset, and so are connections that rest. */
+    /** Resets all connections, those of queued and running calls and idle ones. */
     private void reset() {
         List<Call> lost = new ArrayList<>(running);
         lost.addAll(queue);
@@ -127,7 +131,7 @@
         running.clear();
     }
 
-    /** A call's last byte has come. */
+    /** Handles a call that has arrived completely. */
     void receive(Call call) {
         double now = fleet.world().now();
         if (!accepts()) {
@@ -198,7 +202,7 @@
         }
     }
 
-    /** Sends an answer, or a reset, on its way. */
+    /** Sends a response, or a connection reset, to the sender of a call. */
     private void answer(Call call, Outcome outcome, double waitMs) {
         Relay.LoadReport report = outcome == Outcome.DELIVERED || outcome == Outcome.FULL
                 ? partner.report(fleet.world().now()) : Relay.LoadReport.NONE;
--- a/src/main/java/kestreldeal/scale/fleet/HollowSender.java
+++ b/src/main/java/kestreldeal/scale/fleet/HollowSender.java
@@ -11,14 +11,14 @@
 import kestreldeal.Relay.Outcome;
 
 /**
- * A sender without a body: the decision module with what a process would do for it. It gathers the events of one
- * moment into a turn, sends what a turn decides, opens connections and times attempts out. What a journal would keep
- * outlasts a life: messages held with their attempts, and the health told by the module.
+ * A simulated sender: the real decision module with a model of the process around it. It collects the events of the
+ * same time into a turn, sends the calls that a turn decides, opens connections and times attempts out. What a journal
+ * would store survives a restart: pending messages with their attempts, and the endpoint health saved by the module.
  */
 final class HollowSender implements Relay.Actions {
-    /** A keyed repeat is not written any more so shortly before its window ends. */
+    /** A repeated attempt of a keyed message is no longer written this short a time before its window ends. */
     private static final double WRITTEN_MARGIN_MS = 100;
-    /** A sender that ends in order decides on calls for so long, and is killed after so long. */
+    /** In a graceful restart: time until the announced end, until the kill, and from the kill to the next start. */
     private static final double CLOSING_MS = 3000;
     private static final double KILLED_AFTER_MS = 3700;
     private static final double NEXT_LIFE_MS = 600;
@@ -28,11 +28,11 @@
     private final Fleet fleet;
     private final World world;
     private final Map<Long, SimMessage> held = new LinkedHashMap<>();
-    /** The same, and those over of which an attempt is still out. */
+    /** The pending messages, and completed ones that still have an attempt in flight. */
     private final Map<Long, SimMessage> known = new HashMap<>();
     private final Map<Long, Relay.EndpointHealth> health = new LinkedHashMap<>();
     private final Map<Long, Connections> connections = new HashMap<>();
-    /** The calls that this turn forms, by endpoint. */
+    /** The calls decided in this turn, which start at its end, by endpoint. */
     private final Map<Long, List<Call>> forming = new LinkedHashMap<>();
     private Optional<Relay> relay = Optional.empty();
     private Optional<Relay.LearnedState> memory = Optional.empty();
@@ -43,7 +43,7 @@
     private boolean turnOpen;
     private long wakesAsked;
 
-    /** Its idle connections to one endpoint. */
+    /** The idle connections to one endpoint. */
     private static final class Connections {
         int idle;
         int resets;
@@ -70,9 +70,9 @@
         this.world = fleet.world();
     }
 
-    // ---- life ----
+    // ---- start and stop ----
 
-    /** Begins a life, with what an earlier one left. */
+    /** Starts a process and restores the state left by the previous one. */
     void start() {
         double now = world.now();
         readyAt = now;
@@ -95,7 +95,7 @@
                 .map(a -> new Relay.EarlierAttempt(a.endpoint.id, a.sentAt, a.mayHaveRun())).toList());
     }
 
-    /** Ends its life without warning: connections are reset, and what is out may have run. */
+    /** Kills the process: connections are reset, and attempts in flight may have run. */
     void kill() {
         if (relay.isEmpty()) {
             return;
@@ -114,7 +114,7 @@
         fleet.ledger().restarted(this);
     }
 
-    /** Kills it, and starts it again after so long. */
+    /** Kills the process, and starts another after a time. */
     void restartAfter(double ms) {
         if (relay.isPresent()) {
             fleet.counts().restarts++;
@@ -123,7 +123,10 @@
         }
     }
 
-    /** Ends in order: takes no more, lets calls end, and the next life takes over what this one knew. */
+    /**
+     * Restarts gracefully: accepts no more messages, lets calls complete, and hands the module's learned state to the
+     * next process.
+     */
     void restartInOrder() {
         int lifeThen = life;
         takes = false;
@@ -141,7 +144,7 @@
         return relay.isPresent();
     }
 
-    /** Whether it lives and has done so since that time. */
+    /** Whether the process runs and was started no later than the given time. */
     boolean isReadySince(double time) {
         return isAlive() && readyAt <= time;
     }
@@ -150,7 +153,7 @@
         return takes;
     }
 
-    /** When it last stopped taking messages. */
+    /** When the sender last stopped accepting messages. */
     double stoppedAt() {
         return diedAt;
     }
@@ -161,7 +164,7 @@
 
     // ---- events ----
 
-    /** Tells the module, in the turn of this moment; a dead sender hears nothing. */
+    /** Passes an event to the module in the turn of the current time; does nothing while the sender is down. */
     private void event(Consumer<Relay> event) {
         relay.ifPresent(r -> {
             event.accept(r);
@@ -185,7 +188,7 @@
         calls.forEach(this::begin);
     }
 
-    /** Takes a message. */
+    /** Accepts a message from a client. */
     void take(SimMessage message) {
         held.put(message.id, message);
         known.put(message.id, message);
@@ -198,7 +201,7 @@
                 m.asked.partner.id);
     }
 
-    /** Its agent has a change of the list. */
+    /** Applies a list update from the agent. */
     void listed(Relay.Endpoint entry) {
         if (isAlive()) {
             fleet.ledger().listed(this, entry);
@@ -206,7 +209,10 @@
         }
     }
 
-    /** An answer, or a reset, has come; one to a call that nobody waits for finds its connection closed. */
+    /**
+     * Handles a response or a connection reset. It is ignored for a call whose attempts have all completed, because
+     * the sender has closed the connection of such a call.
+     */
     void answered(Call call, Outcome outcome, double waitMs, Relay.LoadReport report) {
         if (call.life != life || !isAlive() || !call.isAwaited()) {
             return;
@@ -286,7 +292,7 @@
         endAll(call, Outcome.UNREACHABLE, 0, Relay.LoadReport.NONE);
     }
 
-    /** Since it was decided a connect may have passed: what may not go any more doesn't. */
+    /** Writes a call, without the attempts that may no longer be sent: opening the connection took time. */
     private void write(Call call) {
         List<Call.Item> dropped = call.items.stream()
                 .filter(item -> item.attempt().outcome.isPresent() || !mayStillGo(item)).toList();
@@ -319,7 +325,7 @@
                         && world.now() > a.sentAt + type.dedupWindowMs() - WRITTEN_MARGIN_MS);
     }
 
-    // ---- what the module asks for ----
+    // ---- actions of the module ----
 
     @Override
     public void send(long id, long endpointId, double timeoutMs) {
@@ -359,7 +365,7 @@
 
     @Override
     public void cancel(long id, int number) {
-        SimMessage message = known(id, "called off");
+        SimMessage message = known(id, "cancelled");
         SimMessage.Attempt attempt = message.attempts.get(number);
         int lifeThen = life;
         world.at(world.now(), () -> {
@@ -404,14 +410,14 @@
         return message;
     }
 
-    /** What has neither a place in the journal nor an attempt out is known no more. */
+    /** Stops tracking a message that is completed and has no attempt in flight. */
     private void forgetIfOver(SimMessage message) {
         if (!held.containsKey(message.id) && message.out() == 0) {
             known.remove(message.id);
         }
     }
 
-    /** A later wake goes before an earlier one: the module asks for the next only. */
+    /** Schedules a wake-up; it replaces an earlier request, because the module requests only the next one. */
     @Override
     public void wakeAt(double time) {
         long asked = ++wakesAsked;
@@ -434,6 +440,6 @@
 
     @Override
     public void log(String text) {
-        // Lines for the people on call of a thousand senders are read by nobody.
+        // Dropped: nobody reads the operator log of a thousand simulated senders.
     }
 }
--- a/src/main/java/kestreldeal/scale/fleet/Ledger.java
+++ b/src/main/java/kestreldeal/scale/fleet/Ledger.java
@@ -9,18 +9,19 @@
 import kestreldeal.Relay;
 
 /**
- * Holds every message and call against the rules, from what it is told by the world and not by the module: one final
- * answer in time, no second run of what must not run twice, repeats within their window, nothing new to what drains,
- * told waits kept. Ends the run by {@link Broken}.
+ * Checks the invariants of every message and call, from what the simulated environment observes and independently of
+ * the decision module: one final result in time, no second run of a message that must not run twice, repeats only
+ * within their deduplication window, no calls to a draining endpoint, Retry-After waits observed. Throws {@link Broken}
+ * at a violation, which ends the run.
  */
 final class Ledger {
-    /** A final answer may come so long after the time of its message. */
+    /** A final result may come this long after the deadline of its message. */
     private static final double GRACE_MS = 20;
-    /** Nothing is overdue for so long after a sender is ready again. */
+    /** A restarted sender has this long to complete messages whose deadline has passed. */
     private static final double READY_GRACE_MS = 1500;
-    /** Nothing new goes to an endpoint later than this after word that it drains. */
+    /** Calls may be written this long after the sender was notified that the endpoint drains. */
     private static final double DRAIN_GRACE_MS = 1000;
-    /** Each limit in time is so much longer. */
+    /** Tolerance that is added to the drain limit. */
     private static final double SLACK_MS = 50;
 
     private final World world;
@@ -30,7 +31,7 @@
     private final Map<Long, Double> drainPublished = new HashMap<>();
     private final Map<Long, SimMessage> open = new HashMap<>();
 
-    /** What one sender has been told. */
+    /** What one sender has been notified of. */
     private static final class Word {
         final Map<Integer, Wait> waits = new HashMap<>();
         final Map<Long, Double> drains = new HashMap<>();
@@ -48,15 +49,15 @@
         }
     }
 
-    /** A sender has taken a message: it owes its end. */
+    /** Records that a sender has accepted a message, which must now get a final result. */
     void taken(SimMessage message) {
         if (open.put(message.id, message) != null) {
-            throw broken(message, "taken twice");
+            throw broken(message, "accepted twice");
         }
         dueAt(message, message.deadline + GRACE_MS);
     }
 
-    /** A message of an earlier life is there again; waits end with a life. */
+    /** Records that a restarted sender has restored a message of its previous process. */
     void resumed(SimMessage message) {
         dueAt(message, Math.max(message.deadline + GRACE_MS, world.now() + READY_GRACE_MS));
     }
@@ -67,7 +68,7 @@
 
     private void dueAt(SimMessage message, double time) {
         world.at(time, () -> {
-            // What a dead sender holds falls due after its return.
+            // The messages of a sender that is down become due after its restart.
             if (message.ended || !message.sender.isAlive()) {
                 return;
             }
@@ -75,15 +76,15 @@
                 dueAt(message, world.now() + READY_GRACE_MS);
                 return;
             }
-            throw broken(message, String.format(Locale.ROOT, "no final answer %.0f ms after its time",
+            throw broken(message, String.format(Locale.ROOT, "no final result %.0f ms after its deadline",
                     world.now() - message.deadline));
         });
     }
 
-    /** An attempt is decided; it is not yet among those of the message. */
+    /** Checks an attempt that the module has decided; it is not yet in the message's list of attempts. */
     void sent(SimMessage message, HollowEndpoint endpoint) {
         if (message.ended) {
-            throw broken(message, "sent after its end");
+            throw broken(message, "sent after its final result");
         }
         if (endpoint.partner != message.asked.partner) {
             throw broken(message, "sent to another destination's endpoint " + endpoint.id);
@@ -96,12 +97,15 @@
             throw broken(message, "sent again, though it must not run twice and may have run");
         }
         if (!settings.hedging() && message.out() > 0) {
-            throw broken(message, "sent while an attempt is out");
+            throw broken(message, "sent while another attempt is in flight");
         }
         keepWindow(message, message.attempts.size(), "sent");
     }
 
-    /** A repeat is both decided and written within the window of the first attempt that may have run. */
+    /**
+     * Checks that an attempt of a keyed message is within the deduplication window, which starts with the first attempt
+     * that may have run. Both the decision and the write of an attempt must be in it.
+     */
     private void keepWindow(SimMessage message, int attempt, String what) {
         Relay.MessageClass type = type(message);
         if (type.effect() != Relay.Effect.KEYED) {
@@ -110,23 +114,24 @@
         double now = world.now();
         message.attempts.subList(0, attempt).stream().filter(SimMessage.Attempt::mayHaveRun).findFirst()
                 .filter(first -> now > first.sentAt + type.dedupWindowMs()).ifPresent(first -> {
-                    throw broken(message, String.format(Locale.ROOT, "%s %.0f ms after it may have run, out of its "
+                    throw broken(message, String.format(Locale.ROOT, "%s %.0f ms after it may have run, outside its "
                             + "window", what, now - first.sentAt));
                 });
     }
 
-    /** An attempt, which is among those of the message, is being written to its endpoint. */
+    /** Checks an attempt that is written to its endpoint; it is in the message's list of attempts. */
     void written(SimMessage message, int number, HollowEndpoint endpoint) {
         double now = world.now();
         if (message.ended) {
-            throw broken(message, "written after its end");
+            throw broken(message, "written after its final result");
         }
         keepWindow(message, number, "written");
         Word word = words.get(message.sender.number);
         Optional.ofNullable(word.waits.get(endpoint.partner.id)).filter(w -> now > w.toldAt && now < w.until)
                 .ifPresent(w -> {
                     throw broken(message, String.format(Locale.ROOT, "written to destination %d by sender %d, %.1f ms "
-                            + "before a told wait ends", endpoint.partner.id, message.sender.number, w.until - now));
+                            + "before a Retry-After wait ends", endpoint.partner.id, message.sender.number,
+                            w.until - now));
                 });
         Optional.ofNullable(word.drains.get(endpoint.id)).ifPresent(told -> afterWord(message, endpoint, now - told));
         Optional.ofNullable(drainPublished.get(endpoint.id)).ifPresent(at -> {
@@ -139,22 +144,22 @@
         counts.callsAfterWord++;
         counts.afterWordMs = Math.max(counts.afterWordMs, ms);
         if (ms > DRAIN_GRACE_MS + SLACK_MS) {
-            throw broken(message, String.format(Locale.ROOT, "written to endpoint %d by sender %d %.0f ms after word "
-                    + "that it drains or is gone", endpoint.id, message.sender.number, ms));
+            throw broken(message, String.format(Locale.ROOT, "written to endpoint %d by sender %d %.0f ms after the "
+                    + "notification that it drains or is removed", endpoint.id, message.sender.number, ms));
         }
     }
 
-    /** Discovery has a change. */
+    /** Records that discovery has published a change. */
     void published(Relay.Endpoint entry) {
         mark(drainPublished, entry);
     }
 
-    /** A sender has been told an entry of the list. */
+    /** Records that a sender has been notified of a list entry. */
     void listed(HollowSender sender, Relay.Endpoint entry) {
         mark(words.get(sender.number).drains, entry);
     }
 
-    /** The time of the first word counts; one that serves again is free. */
+    /** Notes since when an entry is draining or removed, where the first notification counts, or that it serves. */
     private void mark(Map<Long, Double> since, Relay.Endpoint entry) {
         if (entry.removed() || !entry.serving()) {
             since.putIfAbsent(entry.id(), world.now());
@@ -163,7 +168,7 @@
         }
     }
 
-    /** An answer with a wait has reached a sender. */
+    /** Records that a response with a Retry-After wait has reached a sender; the longest wait counts. */
     void waitTold(HollowSender sender, Partner partner, double waitMs) {
         double now = world.now();
         words.get(sender.number).waits.merge(partner.id, new Wait(now, now + waitMs),
@@ -178,7 +183,7 @@
         end(message);
         boolean unsafe = type(message).effect() == Relay.Effect.UNSAFE;
         if (unsafe && message.attempts.stream().anyMatch(SimMessage.Attempt::mayHaveRun)) {
-            throw broken(message, "refused, though it must not run twice and may have run");
+            throw broken(message, "rejected, though it must not run twice and may have run");
         }
     }
 
@@ -188,13 +193,13 @@
 
     private void end(SimMessage message) {
         if (message.ended) {
-            throw broken(message, "a second final answer");
+            throw broken(message, "a second final result");
         }
         message.ended = true;
         open.remove(message.id);
     }
 
-    /** Messages that have no end yet. */
+    /** Number of messages without a final result. */
     int open() {
         return open.size();
     }
--- a/src/main/java/kestreldeal/scale/fleet/Limit.java
+++ b/src/main/java/kestreldeal/scale/fleet/Limit.java
@@ -1,21 +1,21 @@
 package kestreldeal.scale.fleet;
 
-/** What a destination takes from all senders together; what it refuses does not count against it. */
+/** The rate limit of a destination for the calls of all senders together; refused calls do not use it up. */
 interface Limit {
-    /** Lets a call through, if there is room for it. */
+    /** Admits a call if the limit allows it. */
     boolean take(double now);
 
-    /** Milliseconds until there is room, if nobody else takes it. */
+    /** Milliseconds until the next call would be admitted, if no other call comes before. */
     double roomIn(double now);
 
-    /** The share that is left, 0 to 1. */
+    /** The unused share of the limit, 0 to 1. */
     double left(double now);
 
     /**
-     * A plain rate.
+     * A token bucket.
      *
-     * @param perMs calls a millisecond
-     * @param depth calls that it lets through at once, one at least
+     * @param perMs refill rate in calls per millisecond
+     * @param depth bucket size in calls; treated as 1 if smaller
      */
     static Limit byRate(double perMs, double depth) {
         return new Limit() {
@@ -50,10 +50,10 @@
     }
 
     /**
-     * A count in each span.
+     * A fixed-window counter.
      *
-     * @param perMs calls a millisecond in the mean
-     * @param spanMs length of a span; the first begins at 0
+     * @param perMs mean calls per millisecond
+     * @param spanMs length of a window; the first starts at time 0
      */
     static Limit byCount(double perMs, double spanMs) {
         return new Limit() {
--- a/src/main/java/kestreldeal/scale/fleet/Model.java
+++ b/src/main/java/kestreldeal/scale/fleet/Model.java
@@ -4,47 +4,48 @@
 import kestreldeal.Relay;
 
 /**
- * All figures of the simulated world; {@link #STANDARD} is the tool's own. They are near those of a deployment for
- * partners that belong to others: uneven traffic, limits shared by all senders, lists that come late. Times in
- * milliseconds, {@code S} in seconds, shares from 0 to 1.
+ * All parameters of the simulated environment; {@link #STANDARD} has the values that the tool uses. They resemble a
+ * deployment whose destinations belong to other parties: uneven traffic, rate limits shared by all senders, delayed
+ * list updates. Times are in milliseconds, or in seconds where the name ends with {@code S}; shares are from 0 to 1.
  *
- * @param regions regions of equal size
- * @param zonesPerRegion zones in each
- * @param oneWayMs within a zone, between zones of a region, between regions
- * @param jitter what a way takes longer, at most
- * @param zipf exponent of the traffic of destinations by rank
- * @param senderSpread standard deviation of the logarithm of a sender's part of the traffic
- * @param moreEndpoints chance of one more endpoint, up to four: 0.4 makes 1.6 in the mean
- * @param headroom limit by the destination's mean traffic
- * @param leastLimit least limit, calls a second
- * @param spare what a destination can do by its limit
- * @param windowMs span of a limit by count
- * @param depthS what a limit by rate lets through at once
- * @param waitMs least wait told above a limit by rate
- * @param kinds the kinds of destination, dealt by rank in turn
+ * @param regions number of regions, which are of equal size
+ * @param zonesPerRegion number of zones of each region
+ * @param oneWayMs one-way network delay within a zone, between zones of a region, and between regions
+ * @param jitter maximum increase of a network delay, as a share of it
+ * @param zipf exponent of the Zipf distribution of traffic over destinations
+ * @param senderSpread standard deviation of the logarithm of a sender's share of the traffic
+ * @param moreEndpoints probability of each further endpoint of a destination, up to four endpoints: 0.4 gives a mean
+ *     of 1.6
+ * @param headroom rate limit of a destination as a multiple of its mean traffic
+ * @param leastLimit lower bound of the rate limit, in calls per second
+ * @param spare capacity of a destination as a multiple of its rate limit
+ * @param windowMs window of a fixed-window rate limit
+ * @param depthS bucket size of a token bucket, in seconds of its rate
+ * @param waitMs minimum Retry-After wait above a token bucket limit
+ * @param kinds kinds of destination; destinations take them in turn, in the order of their traffic
  * @param workMs mean service time of an endpoint
- * @param workSpread standard deviation of the logarithm of one service time
- * @param itemCost what each further message of a call adds to its work
- * @param queuePerCore calls that wait at an endpoint
- * @param errorRate calls that fail on a good day
- * @param listedError a listed rate is so far off, at most
- * @param reportMs how long a report stands before it is drawn anew
- * @param reportNoise error of a report
- * @param unsafeShare messages that must not run twice, by all
- * @param clumpShare messages that come in clumps
- * @param clumpS size of a clump, in seconds of its destination's limit
- * @param comesAgain clients that come once more after a refusal
- * @param backoffMs after so long, or the told wait
- * @param againMs after so long from a dead sender to another
- * @param frontNoticeMs the front deals to a dead sender for so long
- * @param noticeMs from a change to discovery's knowing it
- * @param spreadMs from there to an agent
- * @param drainMs from the word that an endpoint drains to its end
+ * @param workSpread standard deviation of the logarithm of a service time
+ * @param itemCost share by which each further message of a call increases its service time
+ * @param queuePerCore queue length of an endpoint for each core
+ * @param errorRate share of calls that fail without an injected fault
+ * @param listedError maximum relative error of the rate in the list
+ * @param reportMs how long a destination repeats a load report before it makes a new one
+ * @param reportNoise maximum relative error of a load report
+ * @param unsafeShare share of messages that must not run twice
+ * @param clumpShare share of messages that arrive in bursts
+ * @param clumpS size of a burst, in seconds of its destination's rate limit
+ * @param comesAgain share of clients that retry once after a rejection
+ * @param backoffMs minimum delay of that retry; the wait in the rejection may be longer
+ * @param againMs delay until a client of a sender that is down tries another one
+ * @param frontNoticeMs how long the load balancer still routes clients to a sender that is down
+ * @param noticeMs delay from a change of an endpoint to its publication by discovery
+ * @param spreadMs delay from the publication to an agent
+ * @param drainMs time that an endpoint drains before its process ends
  * @param outageMs length of an outage
- * @param failShare share of calls that fail in an outage by errors
- * @param senderDownMs time from a sender's death to its start
- * @param connectTimeoutMs a connect is given up
- * @param replacedShare endpoints that are replaced in a run, three at least
+ * @param failShare share of calls that fail during an outage with errors
+ * @param senderDownMs time from the kill of a sender to its restart
+ * @param connectTimeoutMs connect timeout
+ * @param replacedShare share of endpoints that are replaced in a run; at least three are
  */
 record Model(int regions, int zonesPerRegion, List<Double> oneWayMs, double jitter, double zipf, double senderSpread,
              double moreEndpoints, Range headroom, Range leastLimit, Range spare, Range windowMs, Range depthS,
@@ -70,14 +71,20 @@
 
     private static final int LEAST_SLOTS = 4;
     private static final double SLOTS_ROOM = 2.1;
-    /** What a call takes in the mean, with its way. */
+    /** Mean duration of a call, network delay included. */
     private static final double CALL_S = 0.35;
     private static final int LEAST_OPEN = 8;
     private static final double OPEN_S = 9;
     private static final int MOST_ATTEMPTS = 12;
     private static final double KEEP_ALIVE_MS = 15_000;
 
-    /** A kind of destination; the settings of the module name each once. */
+    /**
+     * A kind of destination; each is one kind in the settings of the decision module.
+     *
+     * @param batch maximum number of messages of a call
+     * @param byCount whether the rate limit is a fixed-window counter and not a token bucket
+     * @param tellsWait probability that a refusal has a Retry-After wait, drawn for each destination
+     */
     record Kind(int batch, boolean byCount, Range tellsWait) {
     }
 
@@ -89,7 +96,7 @@
         return zone / zonesPerRegion;
     }
 
-    /** The settings of each sender, for the load that the fleet has in the mean. */
+    /** The settings of each sender's decision module, for the mean load of the fleet. */
     Relay.Settings settings(int senders, double messagesPerSecond) {
         double load = messagesPerSecond / senders;
         List<Relay.MessageClass> classes = List.of(
@@ -102,7 +109,7 @@
                 true, true, 500, KEEP_ALIVE_MS, new Relay.SlowStart(0.2, 12_000, 2, 3000));
     }
 
-    /** Messages that a sender may hold; further ones are turned away before it. */
+    /** Maximum number of pending messages of a sender; clients get further ones rejected. */
     int mostOpen(int senders, double messagesPerSecond) {
         return Math.max(LEAST_OPEN, (int) Math.ceil(OPEN_S * messagesPerSecond / senders));
     }
--- a/src/main/java/kestreldeal/scale/fleet/Network.java
+++ b/src/main/java/kestreldeal/scale/fleet/Network.java
@@ -2,7 +2,7 @@
 
 import java.util.Random;
 
-/** Ways between zones, and cuts: what crosses one is gone, and nothing is said. */
+/** Network delays between zones, and partitions: a packet that would cross a partition is dropped silently. */
 final class Network {
     private static final int NONE = -1;
 
@@ -15,13 +15,13 @@
         this.random = random;
     }
 
-    /** One way, in milliseconds, drawn anew each time. */
+    /** Draws a one-way delay between two zones, in milliseconds. */
     double delay(int from, int to) {
         int distance = from == to ? 0 : model.region(from) == model.region(to) ? 1 : 2;
         return model.oneWayMs().get(distance) * (1 + model.jitter() * random.nextDouble());
     }
 
-    /** Cuts a region off from all others. */
+    /** Separates a region from all others. */
     void isolate(int region) {
         isolated = region;
     }
--- a/src/main/java/kestreldeal/scale/fleet/Partner.java
+++ b/src/main/java/kestreldeal/scale/fleet/Partner.java
@@ -8,18 +8,18 @@
 import kestreldeal.Relay;
 
 /**
- * A destination: its endpoints, the limit that they share, and its outages. It is out while none of its endpoints
- * serves, and cold when one does again.
+ * A destination: its endpoints, the rate limit that they share, and its outages. It is in an outage while none of its
+ * endpoints serves, and recovers from it when one serves again.
  */
 final class Partner {
     final int id;
     final int kind;
     final Model.Kind type;
     final Limit limit;
-    /** Calls a second that its limit takes, and that the list says it takes. */
+    /** The rate limit in calls per second, and the inaccurate value of it in the list. */
     final double limitPerSecond;
     final double listedPerSecond;
-    /** Calls a millisecond that it can do when warm, by the rule. */
+    /** Capacity after recovery, in calls per millisecond. */
     final double capacityPerMs;
     final List<HollowEndpoint> endpoints = new ArrayList<>();
     private final Model model;
@@ -37,7 +37,7 @@
     private Relay.LoadReport report = Relay.LoadReport.NONE;
     private double reportUntil;
 
-    /** A destination that gets so many messages a second in the mean. */
+    /** Creates a destination for the given mean traffic. */
     Partner(int id, double messagesPerSecond, FleetSettings settings, Relay.SlowStart rule, Counts counts,
             Random random) {
         this.id = id;
@@ -59,7 +59,7 @@
                 : Limit.byRate(perMs, limitPerSecond * model.depthS().draw(random));
     }
 
-    /** The wait that a refusal above the limit tells: honest, or 0 for none. */
+    /** The Retry-After wait of a call refused by the rate limit, or 0 for none; it is always long enough. */
     double waitAboveLimit(double now) {
         if (random.nextDouble() >= tellsWait) {
             return 0;
@@ -68,12 +68,12 @@
         return Math.ceil(type.byCount() ? room : Math.max(waitMs, room));
     }
 
-    /** The wait that a refusal tells while it is shut until then, or 0 for none. */
+    /** The Retry-After wait of a call refused by an endpoint that is shut until a known time, or 0 for none. */
     double waitUntil(double now, double opening) {
         return random.nextDouble() < tellsWait ? Math.ceil(Math.max(0, opening - now)) : 0;
     }
 
-    /** What its answers tell; a report stands for a while. */
+    /** The load report of its responses; the same report is sent for a while. */
     Relay.LoadReport report(double now) {
         if (now >= reportUntil) {
             double left = Math.min(1, Math.max(0, limit.left(now) + noise()));
@@ -87,7 +87,7 @@
         return model.reportNoise() * (2 * random.nextDouble() - 1);
     }
 
-    /** The share of its capacity that it has now. */
+    /** The share of its capacity that is available now. */
     double share(double now) {
         return cold.map(c -> c.share(now)).orElse(1.0);
     }
@@ -96,7 +96,7 @@
         return out;
     }
 
-    /** An endpoint serves, or does no longer. */
+    /** Updates the outage after an endpoint has started or stopped serving. */
     void endpointChanged(double now, HollowEndpoint.State state) {
         boolean serves = endpoints.stream().anyMatch(HollowEndpoint::serves);
         if (serves == !out) {
@@ -116,14 +116,14 @@
         }
     }
 
-    /** A sender has learned that a call there failed or was refused; it tells of the outage if it was made in it. */
+    /** Notes that a sender has learned of the outage, by a failed or refused call that it made during it. */
     void told(HollowSender sender, double calledAt) {
         if (calledAt >= outAt && calledAt < backAt) {
             toldSenders.set(sender.number);
         }
     }
 
-    /** A call has reached it; the window that is over the budget by that, if it is cold and one is. */
+    /** Records a call that has arrived; returns the window that it takes over the load budget, if it does. */
     Optional<ColdReturn.Window> arrived(double now, Call call) {
         if (cold.filter(c -> c.isOver(now)).isPresent()) {
             coldReturnOver();
@@ -132,7 +132,7 @@
                 .filter(window -> window.ratio() > 1);
     }
 
-    /** What was seen of a return that is over, or that the run has ended. */
+    /** Adds a recovery that has ended, by itself or with the run, to the counts. */
     void coldReturnOver() {
         cold.ifPresent(counts::coldReturnOver);
         cold = Optional.empty();
--- a/src/main/java/kestreldeal/scale/fleet/Parts.java
+++ b/src/main/java/kestreldeal/scale/fleet/Parts.java
@@ -3,24 +3,24 @@
 import java.util.Arrays;
 import java.util.Random;
 
-/** Numbers from 0 on that are drawn by their parts of the whole. */
+/** Draws numbers from 0 up with given weights. */
 final class Parts {
     private final double[] sums;
 
-    /** Parts by number, each 0 or more, in any measure. */
+    /** Creates a sampler from the weight of each number; weights are at least 0 and need not add up to 1. */
     Parts(double[] parts) {
         sums = parts.clone();
         Arrays.parallelPrefix(sums, Double::sum);
     }
 
-    /** So many, each smaller than the one before by this exponent of the rank. */
+    /** Creates a sampler with weights of a Zipf distribution: the weight falls with this power of the rank. */
     static Parts zipf(int count, double exponent) {
         double[] parts = new double[count];
         Arrays.setAll(parts, rank -> Math.pow(rank + 1.0, -exponent));
         return new Parts(parts);
     }
 
-    /** The part of one, by the whole. */
+    /** The probability of a number. */
     double of(int number) {
         return (sums[number] - (number == 0 ? 0 : sums[number - 1])) / sums[sums.length - 1];
     }
--- a/src/main/java/kestreldeal/scale/fleet/Range.java
+++ b/src/main/java/kestreldeal/scale/fleet/Range.java
@@ -2,12 +2,12 @@
 
 import java.util.Random;
 
-/** Figures are drawn evenly from here; the unit is that of the figure. */
+/** Bounds of a uniform distribution, in the unit of the parameter that it belongs to. */
 record Range(double least, double most) {
-    /** Checks that there is something between the two. */
+    /** Checks the order of the bounds. */
     Range {
         if (!(least <= most)) {
-            throw new IllegalArgumentException("a range goes from the least to the most: " + least + ", " + most);
+            throw new IllegalArgumentException("the lower bound of a range is above the upper: " + least + ", " + most);
         }
     }
 
--- a/src/main/java/kestreldeal/scale/fleet/Scenario.java
+++ b/src/main/java/kestreldeal/scale/fleet/Scenario.java
@@ -1,18 +1,18 @@
 package kestreldeal.scale.fleet;
 
-/** What goes wrong in a run; in each, some endpoints are replaced in order. */
+/** The faults that are injected in a run; in every scenario some endpoints are also replaced gracefully. */
 enum Scenario {
-    /** Nothing else. */
+    /** No faults. */
     STEADY,
-    /** 2.1% of the destinations are down at any time, one at least. */
+    /** 2.1% of the destinations, and at least one, are in an outage at any time. */
     DOWN,
-    /** Senders are restarted, half of them in order, and a rack of them at once. */
+    /** Senders are restarted, half of them gracefully; also, the senders of one rack are killed at the same time. */
     RESTARTS,
-    /** A zone is lost with its senders and endpoints, and comes back. */
+    /** A zone with its senders and endpoints fails and comes back. */
     ZONE,
-    /** A region and the rest of the world are cut off from each other for 40% of the run. */
+    /** A network partition separates one region from the others for 40% of the run. */
     REGIONS,
-    /** Three in ten destinations are out and seven in ten senders dead, and all come back at one moment. */
+    /** 30% of the destinations are in an outage and 70% of the senders down, and all come back at the same time. */
     RETURN;
 
     @Override
--- a/src/main/java/kestreldeal/scale/fleet/SimMessage.java
+++ b/src/main/java/kestreldeal/scale/fleet/SimMessage.java
@@ -5,7 +5,7 @@
 import java.util.Optional;
 import kestreldeal.Relay;
 
-/** A message as one sender has taken it: what a journal would keep, and what the ledger knows of it. */
+/** A message that a sender has accepted, with what a journal would store of it; it outlasts the sender's process. */
 final class SimMessage {
     final long id;
     final Asked asked;
@@ -25,7 +25,7 @@
         return (int) attempts.stream().filter(a -> a.outcome.isEmpty()).count();
     }
 
-    /** What a client wants delivered, however often it is handed in. */
+    /** What a client wants delivered; a retry submits the same request again, as another message. */
     static final class Asked {
         final int messageClass;
         final Partner partner;
@@ -42,7 +42,7 @@
         }
     }
 
-    /** One attempt; out for as long as it has no outcome. */
+    /** One attempt, which is in flight until it has an outcome. */
     static final class Attempt {
         final HollowEndpoint endpoint;
         final double sentAt;
--- a/src/main/java/kestreldeal/scale/fleet/World.java
+++ b/src/main/java/kestreldeal/scale/fleet/World.java
@@ -4,11 +4,11 @@
 import java.util.PriorityQueue;
 
 /**
- * The one clock of a run and all that is due on it, in milliseconds from the run's start. Events of one moment come
- * in the order in which they were asked for, so that equal seeds give equal runs. One thread.
+ * The simulated clock of a run with its event queue; times are in milliseconds from the start of the run. Events of the
+ * same time run in the order in which they were scheduled, so that equal seeds give equal runs. Not thread-safe.
  */
 final class World {
-    /** The real clock is read once in so many events. */
+    /** The observer, which reads the real clock, is called once in this many events. */
     private static final int EVENTS_A_LOOK = 4096;
 
     private final PriorityQueue<Due> due =
@@ -20,7 +20,7 @@
     private record Due(double at, long number, Runnable event) {
     }
 
-    /** Looked at now and then while time passes; may end the run by an exception. */
+    /** Called now and then during a run; may abort it by an exception. */
     interface Watch {
         void look(double now, long events);
     }
@@ -29,12 +29,12 @@
         return now;
     }
 
-    /** How many events have come so far. */
+    /** Number of events that have run so far. */
     long events() {
         return done;
     }
 
-    /** Asks for an event; one of the past comes at this moment, after those already due now. */
+    /** Schedules an event; one in the past runs at the current time, after those already scheduled for it. */
     void at(double time, Runnable event) {
         due.add(new Due(Math.max(time, now), asked++, event));
     }
@@ -43,7 +43,7 @@
         at(now + ms, event);
     }
 
-    /** Lets time pass up to this moment, that included. */
+    /** Runs all events up to the end time, inclusive, and advances the clock to it. */
     void run(double end, Watch watch) {
         while (!due.isEmpty() && due.peek().at <= end) {
             Due next = due.remove();
--- a/src/test/java/kestreldeal/scale/FitTest.java
+++ b/src/test/java/kestreldeal/scale/FitTest.java
@@ -50,7 +50,7 @@
     void aBaseUnderNoughtIsLeftOut() {
         Fit fit = fit(n -> n - 900);
         assertTrue(fit.base() >= 0, fit.words());
-        assertTrue(fit.residual() > 0.01, "the line that meets all has a base of -900: " + fit.words());
+        assertTrue(fit.residual() > 0.01, "the exact fit has a base of -900: " + fit.words());
     }
 
     @Test
--- a/src/test/java/kestreldeal/scale/JarsIT.java
+++ b/src/test/java/kestreldeal/scale/JarsIT.java
@@ -11,7 +11,10 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** What the packaged jars hold and name: a sender can't load what its jar neither has nor names. */
+/**
+ * Checks the contents and class path of the packaged jars: the sender's jar must neither contain the scale tests nor
+ * have their libraries on its class path, so that a sender can't load them.
+ */
 class JarsIT {
     private static final Path TARGET = Path.of("target");
 
--- a/src/test/java/kestreldeal/scale/ResultsTest.java
+++ b/src/test/java/kestreldeal/scale/ResultsTest.java
@@ -37,7 +37,8 @@
         assertTrue(first.get("jvm").isArray());
         assertFalse(first.get("revision").asText().isEmpty());
         JsonNode second = new ObjectMapper().readTree(lines.get(1));
-        assertEquals("[\"-Xmx48m\"]", second.get("jvm").toString(), "the JVM that measured goes first");
+        assertEquals("[\"-Xmx48m\"]", second.get("jvm").toString(),
+                "the options of the JVM that measured replace the shared ones");
     }
 
     @Test
--- a/src/test/java/kestreldeal/scale/ScaleMainTest.java
+++ b/src/test/java/kestreldeal/scale/ScaleMainTest.java
@@ -35,13 +35,13 @@
     @CsvSource(delimiter = ';', value = {
         "'';subcommands",
         "nothing;nothing",
-        "slopes --only nix;no slope 'nix': there are waiting, listed",
+        "slopes --only nix;no slope 'nix': the slopes are waiting, listed",
         "slopes --sizes 10,x;'x' is not an int",
-        "slopes --sizes 10;two sizes at least",
-        "slopes --sizes 10,10;two sizes at least",
+        "slopes --sizes 10;at least two different sizes",
+        "slopes --sizes 10,10;at least two different sizes",
         "slopes --sizes 0,10;from 1 to 1000000",
         "slopes --repeats 0;from 1 to 20",
-        "slopes --limit-s 0;1 at least",
+        "slopes --limit-s 0;at least 1",
         "slopes --seed later;'later' is not a long",
         "slopes --nix;--nix",
     })
--- a/src/test/java/kestreldeal/scale/SlopesIT.java
+++ b/src/test/java/kestreldeal/scale/SlopesIT.java
@@ -16,14 +16,14 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A small run of each slope with the packaged jars, bounded by counts: messages, bytes, and bytes allocated, which
- * stand for work. No bound is on a clock, so that a busy machine gets the same verdict.
+ * Runs each slope with small sizes and the packaged jars, and checks counts: messages, bytes, and allocated bytes as a
+ * measure of work. No bound depends on elapsed time, so that the result is the same on a busy machine.
  */
 class SlopesIT {
     private static final Path TARGET = Path.of("target");
     private static final Path OUT = TARGET.resolve("scale-quick.jsonl");
     private static final Path LOG = TARGET.resolve("scale-quick.log");
-    /** Ends a run that hangs; far above what it takes. */
+    /** Time limit of the whole run, far above what it needs, in case it hangs. */
     private static final int LIMIT_S = 300;
 
     private static final List<JsonNode> LINES = new ArrayList<>();
@@ -35,7 +35,7 @@
                 .redirectErrorStream(true).redirectOutput(LOG.toFile()).start();
         boolean ended = run.waitFor(LIMIT_S, TimeUnit.SECONDS);
         run.destroyForcibly().waitFor();
-        assertTrue(ended, "it did not end");
+        assertTrue(ended, "the run did not end within its time limit");
         assertEquals(0, run.exitValue(), Files.readString(LOG));
         for (String line : Files.readAllLines(OUT)) {
             LINES.add(new ObjectMapper().readTree(line));
--- a/src/test/java/kestreldeal/scale/fleet/ColdReturnTest.java
+++ b/src/test/java/kestreldeal/scale/fleet/ColdReturnTest.java
@@ -7,9 +7,9 @@
 import kestreldeal.Relay;
 import org.junit.jupiter.api.Test;
 
-/** The rule on cold destinations, against figures reckoned by hand. */
+/** Compares the load budget of a recovering destination with values calculated by hand. */
 class ColdReturnTest {
-    /** Ten calls a second, cold from 10 s to 22 s at a fifth, twice that for 3 s. */
+    /** Capacity 10 calls/s; ramps up from 20% at 10 s to 100% at 22 s; budget: twice the capacity in windows of 3 s. */
     private final ColdReturn cold = new ColdReturn(0.01, new Relay.SlowStart(0.2, 12_000, 2, 3000), 10_000,
             HollowEndpoint.State.SHUT);
 
@@ -20,7 +20,7 @@
     @Test
     void theBudgetGrowsWithWhatItCanDo() {
         assertEquals(most(12), cold.most(10_000), 1e-9);
-        // The share goes from 0.2 to 0.4 in these 3 s: 0.3 in the mean.
+        // The capacity share rises from 0.2 to 0.4 in these 3 s, with a mean of 0.3.
         assertEquals(most(18), cold.most(13_000), 1e-9);
         assertEquals(most(60), cold.most(25_000), 1e-9);
         assertEquals(0.6, cold.share(16_000), 1e-9);
@@ -39,9 +39,9 @@
         assertEquals(17, cold.worst().trials());
         assertEquals(HollowEndpoint.State.SHUT, cold.worst().after());
         assertTrue(cold.worst().isTold());
-        assertFalse(cold.worst().ratio() > 1, "20.9 are allowed");
+        assertFalse(cold.worst().ratio() > 1, "the budget is 20.9 calls");
         assertTrue(cold.arrived(10_020, false, Relay.EndpointState.WARMING).ratio() > 1);
-        assertFalse(cold.worst().isTold(), "14 of 21 are not over two thirds");
+        assertFalse(cold.worst().isTold(), "14 of 21 calls are not more than two thirds");
         assertEquals(1, cold.arrived(13_020, false, Relay.EndpointState.WARMING).calls());
         assertFalse(cold.isBroken());
     }
@@ -53,6 +53,6 @@
         }
         assertFalse(cold.isBroken());
         cold.arrived(10_020, false, Relay.EndpointState.WARMING);
-        assertTrue(cold.isBroken(), "15 of 21 are over two thirds");
+        assertTrue(cold.isBroken(), "15 of 21 calls are more than two thirds");
     }
 }
--- a/src/test/java/kestreldeal/scale/fleet/Doctored.java
+++ b/src/test/java/kestreldeal/scale/fleet/Doctored.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import kestreldeal.Relay;
 
-/** The real module with something told to it wrongly; tests say what. */
+/** Forwards all events to the real decision module; tests override methods to change or drop some of them. */
 class Doctored implements Relay {
     private final Relay real;
 
@@ -81,7 +81,7 @@
         real.endTurn(now);
     }
 
-    /** What the module asks for, passed on; tests leave out or double some of it. */
+    /** Forwards all actions of the module; tests override methods to drop or repeat some of them. */
     static class Passing implements Actions {
         private final Actions to;
 
--- a/src/test/java/kestreldeal/scale/fleet/FleetCommandTest.java
+++ b/src/test/java/kestreldeal/scale/fleet/FleetCommandTest.java
@@ -79,6 +79,6 @@
     @Test
     void aRunThatTakesTooLongEndsWithAMessage() {
         assertEquals(1, run("steady", "--senders", "10", "--most-real-seconds", "0.000001"));
-        assertTrue(err.toString().startsWith("stopped: it takes more than"), err.toString());
+        assertTrue(err.toString().startsWith("aborted: the run takes more than"), err.toString());
     }
 }
--- a/src/test/java/kestreldeal/scale/fleet/FleetTest.java
+++ b/src/test/java/kestreldeal/scale/fleet/FleetTest.java
@@ -10,7 +10,10 @@
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Small fleets: every scenario holds the rules, with bounds on counts and on their growth by senders. */
+/**
+ * Simulates small fleets in every scenario: all invariants must hold, and the counts and their growth with the number
+ * of senders must stay within bounds.
+ */
 class FleetTest {
     private static Counts play(int senders, Scenario scenario, long seed) {
         return play(senders, 15, 40, scenario, seed);
@@ -45,7 +48,7 @@
         assertNoneIsOverItsBudget(scenario);
     }
 
-    /** A method of its own, as it fails where the others hold. */
+    /** Separate from the other scenarios, because it can fail where they pass. */
     @Test
     void coldReturnsInALostZoneStayWithinTheirBudget() {
         assertNoneIsOverItsBudget(Scenario.ZONE);
@@ -74,13 +77,13 @@
         assertNotEquals(play(20, Scenario.RETURN, 9).figures(), play(20, Scenario.RETURN, 10).figures());
     }
 
-    /** What a hundred senders do to the same destinations is not ten times what ten do. */
+    /** The load of a hundred senders on the same destinations must be far less than ten times that of ten senders. */
     @Test
     void theSumGrowsSlowerThanTheSenders() {
         Counts few = play(10, 30, 60, Scenario.RETURN, 4);
         Counts many = play(100, 30, 60, Scenario.RETURN, 4);
-        assertTrue(few.trials > 0 && many.trials < 3 * few.trials, few.trials + " trials, then " + many.trials);
-        assertTrue(many.refused < 4 * few.refused, few.refused + " refused, then " + many.refused);
-        assertTrue(many.connects > few.connects, "thin streams find fewer connections open");
+        assertTrue(few.trials > 0 && many.trials < 3 * few.trials, few.trials + " probes, then " + many.trials);
+        assertTrue(many.refused < 4 * few.refused, few.refused + " refused calls, then " + many.refused);
+        assertTrue(many.connects > few.connects, "senders with less traffic each reuse fewer idle connections");
     }
 }
--- a/src/test/java/kestreldeal/scale/fleet/LedgerTest.java
+++ b/src/test/java/kestreldeal/scale/fleet/LedgerTest.java
@@ -10,7 +10,10 @@
 import kestreldeal.Relay;
 import org.junit.jupiter.api.Test;
 
-/** Each rule ends the run when the module is made to break it; the same runs hold with the module as it is. */
+/**
+ * Checks that a violation of each invariant ends the run, with a decision module that is made to violate it, and that
+ * the same runs pass with the unmodified module.
+ */
 class LedgerTest {
     private static FleetSettings settings(Scenario scenario) {
         return new FleetSettings(20, 12, 4, 30, 5, scenario, false, Model.STANDARD);
@@ -23,7 +26,7 @@
     private static void breaks(Scenario scenario, Fleet.RelayFactory doctored, String how) {
         Fleet fleet = new Fleet(settings(scenario), doctored);
         Broken broken = assertThrows(Broken.class, () -> fleet.run((now, events) -> { }));
-        assertTrue(broken.getMessage().matches("broken at [0-9.]+ s: message [0-9]+: .*" + how + ".*"),
+        assertTrue(broken.getMessage().matches("invariant violated at [0-9.]+ s: message [0-9]+: .*" + how + ".*"),
                 broken.getMessage());
     }
 
@@ -38,9 +41,9 @@
         breaks(Scenario.RETURN, (s, seed, actions) -> Relay.create(s, seed, new Doctored.Passing(actions) {
             @Override
             public void reject(long message, double waitMs) {
-                // Left out.
+                // Dropped, so that the message never gets a final result.
             }
-        }), "no final answer [0-9]+ ms after its time");
+        }), "no final result [0-9]+ ms after its deadline");
     }
 
     @Test
@@ -59,7 +62,7 @@
                         new Message(m.id(), m.messageClass(), m.tenant(), m.key(), m.timeLeftMs() + 60,
                         m.destination()), attempts);
             }
-        }, "no final answer 20 ms after its time");
+        }, "no final result 20 ms after its deadline");
     }
 
     @Test
@@ -73,7 +76,7 @@
         }), "failed by sender [0-9]+, which does not have it");
     }
 
-    /** Tells ends that leave open whether a message has run as such that don't. */
+    /** Reports outcomes after which a message of one class may have run as outcomes after which it can't have. */
     private static final class TellsNeverRan extends Doctored {
         private final int messageClass;
         private final Set<Long> ofClass = new HashSet<>();
@@ -109,7 +112,7 @@
     @Test
     void aRepeatOutOfItsWindowIsFound() {
         breaks(Scenario.RETURN, (s, seed, actions) -> new TellsNeverRan(Relay.create(s, seed, actions), Model.KEYED),
-                "sent [0-9]+ ms after it may have run, out of its window");
+                "sent [0-9]+ ms after it may have run, outside its window");
     }
 
     @Test
@@ -119,7 +122,7 @@
             public void endpointsChanged(double now, boolean whole, List<Endpoint> entries) {
                 super.endpointsChanged(now, whole, entries.stream().filter(Endpoint::serving).toList());
             }
-        }, "after word that it drains or is gone");
+        }, "after the notification that it drains or is removed");
     }
 
     @Test
@@ -130,10 +133,10 @@
                 super.attemptCompleted(now, new AttemptResult(e.message(), e.attempt(), e.outcome(), e.durationMs(),
                         e.messageFinished(), 0, e.report()));
             }
-        }, "before a told wait ends");
+        }, "before a Retry-After wait ends");
     }
 
-    /** Each sender takes itself for the only one, and the rule for a wider one. */
+    /** Each sender assumes that it is the only one, and that the load budget of a recovery is far higher than it is. */
     @Test
     void tooManyCallsInAColdReturnAreSeenAndPushOver() {
         Fleet.RelayFactory alone = (s, seed, actions) -> Relay.create(new Relay.Settings(s.classes(), s.kinds(),
--- a/src/test/java/kestreldeal/scale/fleet/LimitTest.java
+++ b/src/test/java/kestreldeal/scale/fleet/LimitTest.java
@@ -6,7 +6,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Limits take what they say, and the waits that they tell are honest. */
+/** Rate limits admit exactly their rate, and a call is admitted after the wait that a limit reports. */
 class LimitTest {
     @Test
     void aRateTakesItsDepthAtOnceAndThenItsPace() {
