--- a/src/main/java/kestreldeal/scale/ModuleSlopes.java
+++ b/src/main/java/kestreldeal/scale/ModuleSlopes.java
@@ -18,18 +18,18 @@
 
     static List<Slope> all() {
         return List.of(
-                slope(WAITING, "messages waiting, 100 destinations, all slots in use", TWO_DECADES, SMALL,
+                slope(WAITING, "messages waiting, 100 destinations, all slots taken", TWO_DECADES, SMALL,
                         List.of("turn_us", "turn_allocated_bytes", "bytes_each")),
                 slope(LISTED, "endpoints listed, 1.6 a destination, nothing waiting", TWO_DECADES, SMALL,
                         List.of("turn_us", "turn_allocated_bytes", "change_us", "change_allocated_bytes",
                                 "bytes_each")),
-                slope(BOTH, "endpoints listed and as many messages waiting for all destinations, all slots in use",
+                slope(BOTH, "endpoints listed and as many messages waiting for all destinations, all slots taken",
                         TWO_DECADES, List.of(300, 10_000), List.of("turn_us", "turn_allocated_bytes", "change_us",
                                 "change_allocated_bytes", "bytes_each")),
-                slope(TRAFFIC, "destinations with traffic, 16 messages sent in a turn",
+                slope(TRAFFIC, "destinations with traffic, 16 messages go in a turn",
                         List.of(100, 300, 1000, 3000, 10_000), List.of(30, 300),
                         List.of("turn_us", "turn_allocated_bytes")),
-                slope(GOING, "messages sent in a turn, 1,000 destinations with traffic",
+                slope(GOING, "messages that go in a turn, 1,000 destinations with traffic",
                         List.of(10, 30, 100, 300, 1000), List.of(10, 100),
                         List.of("turn_us", "turn_allocated_bytes")));
     }
--- a/src/main/java/kestreldeal/scale/SenderSlopes.java
+++ b/src/main/java/kestreldeal/scale/SenderSlopes.java
@@ -40,10 +40,10 @@
 
     static List<Slope> all() {
         return List.of(
-                new Slope("read-list", "entries of a full list that is sent to a running sender",
+                new Slope("read-list", "entries of a whole list that a running sender is sent",
                         List.of(1000, 3000, 10_000, 20_000, 30_000, 100_000), List.of(100, 1000),
                         List.of("in_force_ms", "peak_mb"), SenderSlopes::readList),
-                new Slope("journal", "pending messages", List.of(100, 300, 1000, 3000, 10_000), List.of(30, 300),
+                new Slope("journal", "messages held", List.of(100, 300, 1000, 3000, 10_000), List.of(30, 300),
                         List.of("journal_bytes", "compaction_stall_ms", "ready_ms"), SenderSlopes::journal),
                 new Slope("rate", "messages a second, 100 endpoints listed, 50 destinations",
                         List.of(10, 30, 100, 300, 1000), List.of(20, 200),
--- a/src/main/java/kestreldeal/scale/fleet/Faults.java
+++ b/src/main/java/kestreldeal/scale/fleet/Faults.java
@@ -46,7 +46,7 @@
             case ZONE -> loseZone(random.nextInt(model.zones()));
             case REGIONS -> cutRegion(random.nextInt(model.regions()));
             case RETURN -> returnAtOnce();
-            default -> throw new IllegalStateException("no such scenario: " + fleet.settings().scenario());
+            default -> throw new IllegalStateException("unknown scenario: " + fleet.settings().scenario());
         }
     }
 
--- a/src/main/java/kestreldeal/scale/fleet/FleetCommand.java
+++ b/src/main/java/kestreldeal/scale/fleet/FleetCommand.java
@@ -35,6 +35,11 @@
     private static final double PROGRESS_NANOS = 5e9;
     private static final int MOST_SENDERS = 10_000;
 
+    /**
+     * Columns of the table. Among them: "away", requests rejected at capacity or without a sender that is up; "over",
+     * recoveries with a window over its load budget; "told", those of them that are mostly due to senders that had
+     * learned of the outage; "worst", highest ratio of calls to the load budget; "fell", collapses.
+     */
     private static final List<String> HEADS = List.of("senders", "asked", "in time", "late", "refused", "failed",
             "away", "calls", "calls refused", "trials", "copies", "wasted", "returns", "over", "told", "worst",
             "calls/most", "fell", "propagation ms", "after drain");
@@ -50,7 +55,8 @@
             description = "Numbers of senders that share all destinations. Default: ${DEFAULT-VALUE}.")
     private List<Integer> senders;
 
-    @Option(names = "--destinations", defaultValue = "30", description = "Default: ${DEFAULT-VALUE}.")
+    @Option(names = "--destinations", defaultValue = "30",
+            description = "Number of destinations. Default: ${DEFAULT-VALUE}.")
     private int destinations;
 
     @Option(names = "--rate", defaultValue = "4", description = "Mean messages per second for each destination, from"
--- a/src/main/java/kestreldeal/scale/fleet/Model.java
+++ b/src/main/java/kestreldeal/scale/fleet/Model.java
@@ -54,7 +54,7 @@
              double clumpShare, Range clumpS, double comesAgain, Range backoffMs, Range againMs, Range frontNoticeMs,
              Range noticeMs, Range spreadMs, Range drainMs, Range outageMs, Range failShare, Range senderDownMs,
              double connectTimeoutMs, double replacedShare) {
-    /** Index of the class whose repeats are dropped for a time, and of the one that must not run twice. */
+    /** Indexes in the settings of the message class with an idempotency key, and of the one that must not run twice. */
     static final int KEYED = 0;
     static final int UNSAFE = 1;
 
