--- a/src/main/java/kestreldeal/scale/Fit.java
+++ b/src/main/java/kestreldeal/scale/Fit.java
@@ -80,8 +80,8 @@
 
     /** Describes the fit, for example {@code grows as n: 12.1 + 0.043 x n (exponent 1.02, residual 3%)}. */
     String words() {
-        String law = growth.function.isEmpty() ? Results.number(base)
-                : Results.number(base) + " + " + String.format(Locale.ROOT, "%.3g", factor) + " x " + growth.function;
+        String law = growth.function.isEmpty() ? ResultWriter.number(base)
+                : ResultWriter.number(base) + " + " + String.format(Locale.ROOT, "%.3g", factor) + " x " + growth.function;
         // Rounded first, because a tiny negative exponent would be printed as -0.00.
         double rounded = Math.round(100 * exponent) / 100.0;
         return String.format(Locale.ROOT, "%s: %s (exponent %.2f, residual %.0f%%)", growth, law, rounded,
--- a/src/main/java/kestreldeal/scale/Results.java
+++ b/src/main/java/kestreldeal/scale/ResultWriter.java
@@ -22,7 +22,7 @@
  * contains what is needed to repeat the run: seed, sizes, options of the JVM that measured, Java version and revision
  * of the program. Thread-safe.
  */
-public final class Results implements AutoCloseable {
+public final class ResultWriter implements AutoCloseable {
     private static final String UNKNOWN = "unknown";
     private static final long GIT_SECONDS = 5;
 
@@ -31,7 +31,7 @@
     private final PrintStream terminal;
     private final Map<String, Object> common = new LinkedHashMap<>();
 
-    private Results(Optional<BufferedWriter> out, PrintStream terminal) {
+    private ResultWriter(Optional<BufferedWriter> out, PrintStream terminal) {
         this.out = out;
         this.terminal = terminal;
     }
@@ -43,11 +43,11 @@
      * @param sizes the sizes given on the command line
      * @throws IOException if the file can't be written
      */
-    public static Results open(Optional<Path> file, String command, long seed, List<Integer> sizes)
+    public static ResultWriter open(Optional<Path> file, String command, long seed, List<Integer> sizes)
             throws IOException {
         Optional<BufferedWriter> out = file.isEmpty() ? Optional.empty()
                 : Optional.of(Files.newBufferedWriter(file.get(), StandardCharsets.UTF_8));
-        Results results = new Results(out, System.out);
+        ResultWriter results = new ResultWriter(out, System.out);
         results.common.put("command", command);
         results.common.put("seed", seed);
         results.common.put("sizes", List.copyOf(sizes));
@@ -65,7 +65,7 @@
      *
      * @throws IOException if the file can't be written
      */
-    public synchronized void line(String kind, Map<String, ?> values) throws IOException {
+    public synchronized void writeLine(String kind, Map<String, ?> values) throws IOException {
         if (out.isEmpty()) {
             return;
         }
@@ -80,10 +80,10 @@
     }
 
     /** Prints a table to the terminal; each column is as wide as its widest cell, and numbers are right-aligned. */
-    public synchronized void table(String title, List<String> heads, List<? extends List<?>> rows) {
+    public synchronized void printTable(String title, List<String> headers, List<? extends List<?>> rows) {
         List<List<String>> cells = new ArrayList<>();
-        cells.add(heads);
-        rows.forEach(row -> cells.add(row.stream().map(Results::cell).toList()));
+        cells.add(headers);
+        rows.forEach(row -> cells.add(row.stream().map(ResultWriter::cell).toList()));
         terminal.println();
         terminal.println(title);
         for (List<String> row : cells) {
@@ -97,7 +97,7 @@
     }
 
     /** Prints a line about the progress of the run to standard error. */
-    public static void progress(String text) {
+    public static void printProgress(String text) {
         System.err.println(text);
     }
 
--- a/src/main/java/kestreldeal/scale/SlopesCommand.java
+++ b/src/main/java/kestreldeal/scale/SlopesCommand.java
@@ -87,7 +87,7 @@
         List<Slope> chosen = check();
         long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(limitS);
         Setup setup = Setup.here(seed, quick);
-        try (Results results = Results.open(Optional.ofNullable(out), "slopes", seed, sizes)) {
+        try (ResultWriter results = ResultWriter.open(Optional.ofNullable(out), "slopes", seed, sizes)) {
             for (Slope slope : chosen) {
                 run(slope, setup, results, until);
             }
@@ -121,7 +121,7 @@
         throw new ParameterException(spec.commandLine(), why);
     }
 
-    private void run(Slope slope, Setup setup, Results results, long until) throws Exception {
+    private void run(Slope slope, Setup setup, ResultWriter results, long until) throws Exception {
         List<Integer> at = !sizes.isEmpty() ? sizes : quick ? slope.quick() : slope.sizes();
         Map<String, Series> series = new LinkedHashMap<>();
         Object jvm = setup.options();
@@ -130,7 +130,7 @@
         for (int repeat = 0; repeat < (quick ? 1 : repeats); repeat++) {
             for (int size : at) {
                 Map<String, Object> line = once(slope, setup, size, repeat, until);
-                results.line("point", line);
+                results.writeLine("point", line);
                 jvm = line.getOrDefault("jvm", jvm);
                 series.forEach((figure, s) -> {
                     if (line.get(figure) instanceof Number value) {
@@ -161,14 +161,14 @@
             }
         }
         Object said = line.containsKey("failed") ? line.get("failed") : figures(slope, line);
-        Results.progress(slope.name() + " " + size + " (" + (repeat + 1) + "): " + said);
+        ResultWriter.printProgress(slope.name() + " " + size + " (" + (repeat + 1) + "): " + said);
         return line;
     }
 
     private static String figures(Slope slope, Map<String, Object> line) {
         List<String> parts = new ArrayList<>();
         slope.fitted().forEach(figure -> parts.add(figure + " " + (line.get(figure) instanceof Number value
-                ? Results.number(value.doubleValue()) : "-")));
+                ? ResultWriter.number(value.doubleValue()) : "-")));
         return String.join(", ", parts);
     }
 
@@ -182,7 +182,7 @@
     }
 
     private static void tell(Slope slope, List<Integer> at, Map<String, Series> series, Object jvm,
-            Results results)
+            ResultWriter results)
             throws Exception {
         List<List<Object>> rows = new ArrayList<>();
         for (int size : at) {
@@ -192,16 +192,16 @@
         }
         List<String> heads = new ArrayList<>(List.of("size"));
         heads.addAll(series.keySet());
-        results.table(slope.name() + ": by " + slope.by() + " (medians)", heads, rows);
+        results.printTable(slope.name() + ": by " + slope.by() + " (medians)", heads, rows);
         List<List<Object>> fits = new ArrayList<>();
         for (Map.Entry<String, Series> figure : series.entrySet()) {
             Optional<Fit> fit = figure.getValue().fit();
             fits.add(List.of(figure.getKey(), fit.map(Fit::words).orElse("fewer than two sizes were measured")));
             if (fit.isPresent()) {
-                results.line("fit", fitLine(slope, at, figure.getKey(), fit.get(), jvm));
+                results.writeLine("fit", fitLine(slope, at, figure.getKey(), fit.get(), jvm));
             }
         }
-        results.table("", List.of("figure", "growth"), fits);
+        results.printTable("", List.of("figure", "growth"), fits);
     }
 
     private static Map<String, Object> fitLine(Slope slope, List<Integer> at, String figure, Fit fit,
--- a/src/main/java/kestreldeal/scale/fleet/FleetCommand.java
+++ b/src/main/java/kestreldeal/scale/fleet/FleetCommand.java
@@ -10,7 +10,7 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.concurrent.Callable;
-import kestreldeal.scale.Results;
+import kestreldeal.scale.ResultWriter;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
@@ -99,7 +99,7 @@
         check();
         List<Scenario> played = scenarios.isEmpty() ? List.of(Scenario.values()) : scenarios;
         PrintWriter err = spec.commandLine().getErr();
-        try (Results results = Results.open(out, "fleet", seed, senders)) {
+        try (ResultWriter results = ResultWriter.open(out, "fleet", seed, senders)) {
             for (Scenario scenario : played) {
                 play(scenario, results);
             }
@@ -139,7 +139,7 @@
         }
     }
 
-    private void play(Scenario scenario, Results results) throws IOException {
+    private void play(Scenario scenario, ResultWriter results) throws IOException {
         List<List<?>> rows = new ArrayList<>();
         for (int size : senders) {
             double rateOfEach = rateASender.map(each -> each * size / destinations).orElse(rate);
@@ -159,12 +159,12 @@
             line.putAll(counts.figures());
             line.put("events", fleet.world().events());
             line.put("realMs", (System.nanoTime() - startedAt) / 1_000_000);
-            results.line("fleet", line);
+            results.writeLine("fleet", line);
             rows.add(row(size, counts));
         }
         String load = rateASender.map(each -> plain(each) + " messages/s per sender")
                 .orElse(plain(rate) + " messages/s per destination");
-        results.table(String.format(Locale.ROOT, "%s: %d destinations, %s, %s s, seed %d", scenario, destinations, load,
+        results.printTable(String.format(Locale.ROOT, "%s: %d destinations, %s, %s s, seed %d", scenario, destinations, load,
                 plain(seconds), seed), HEADS, rows);
     }
 
@@ -196,7 +196,7 @@
             }
             if (real - toldAt[0] > PROGRESS_NANOS) {
                 toldAt[0] = real;
-                Results.progress(String.format(Locale.ROOT, "%s: %.0f s, %d events", run, now / 1000, events));
+                ResultWriter.printProgress(String.format(Locale.ROOT, "%s: %.0f s, %d events", run, now / 1000, events));
             }
         };
     }
--- a/src/main/java/kestreldeal/scale/soak/SoakCommand.java
+++ b/src/main/java/kestreldeal/scale/soak/SoakCommand.java
@@ -9,7 +9,7 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.concurrent.Callable;
-import kestreldeal.scale.Results;
+import kestreldeal.scale.ResultWriter;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
@@ -50,7 +50,7 @@
     public Integer call() throws Exception {
         Path folder = Files.createTempDirectory("soak");
         Optional<Path> library = noFaults || calm || growth ? Optional.empty() : Shim.build(folder);
-        try (Results results = Results.open(out, "soak", seed, List.of(senders))) {
+        try (ResultWriter results = ResultWriter.open(out, "soak", seed, List.of(senders))) {
             return growth ? grow(folder, results) : soak(folder, library, results);
         }
     }
@@ -60,13 +60,13 @@
                 Files.createDirectories(folder.resolve("run-" + runSeed + "-" + each)));
     }
 
-    private int soak(Path folder, Optional<Path> library, Results results) throws Exception {
+    private int soak(Path folder, Optional<Path> library, ResultWriter results) throws Exception {
         long broken = 0;
         for (long runSeed = seed; runSeed < seed + runs; runSeed++) {
             SoakSettings settings = settings(folder, runSeed, endpointsEach, !calm, library.isPresent());
             try (Soak soak = new Soak(settings, command())) {
                 Map<String, Object> figures = soak.run(library);
-                results.line("run", figures);
+                results.writeLine("run", figures);
                 System.out.println(figures);
                 List<String> report = soak.report();
                 report.stream().limit(MOST_LINES).forEach(System.out::println);
@@ -77,7 +77,7 @@
         return broken == 0 ? 0 : 1;
     }
 
-    private int grow(Path folder, Results results) throws Exception {
+    private int grow(Path folder, ResultWriter results) throws Exception {
         Map<Integer, Map<String, Double>> costs = new LinkedHashMap<>();
         for (int factor : new int[] {1, GROWTH}) {
             SoakSettings settings = settings(folder, seed, endpointsEach * factor, false, false);
@@ -88,7 +88,7 @@
                 costs.put(factor, means);
                 Map<String, Object> line = new LinkedHashMap<>(figures);
                 line.putAll(means);
-                results.line("growth", line);
+                results.writeLine("growth", line);
                 System.out.println(line);
             }
         }
--- a/src/test/java/kestreldeal/scale/ResultsTest.java
+++ b/src/test/java/kestreldeal/scale/ResultsTest.java
@@ -21,9 +21,9 @@
     @Test
     void aLineSaysWhatItTakesToRunItAgain() throws Exception {
         Path file = folder.resolve("out.jsonl");
-        try (Results results = Results.open(Optional.of(file), "slopes", 42, List.of(10, 100))) {
-            results.line("point", Map.of("turn_us", 1.5, "unit", "microseconds"));
-            results.line("fit", Map.of("growth", "grows as n", "jvm", List.of("-Xmx48m")));
+        try (ResultWriter results = ResultWriter.open(Optional.of(file), "slopes", 42, List.of(10, 100))) {
+            results.writeLine("point", Map.of("turn_us", 1.5, "unit", "microseconds"));
+            results.writeLine("fit", Map.of("growth", "grows as n", "jvm", List.of("-Xmx48m")));
         }
         List<String> lines = Files.readAllLines(file);
         assertEquals(2, lines.size());
@@ -44,17 +44,17 @@
     @Test
     void whatWasMeasuredIsInTheFileBeforeTheRunEnds() throws Exception {
         Path file = folder.resolve("out.jsonl");
-        try (Results results = Results.open(Optional.of(file), "slopes", 1, List.of())) {
-            results.line("point", Map.of("size", 1));
+        try (ResultWriter results = ResultWriter.open(Optional.of(file), "slopes", 1, List.of())) {
+            results.writeLine("point", Map.of("size", 1));
             assertEquals(1, Files.readAllLines(file).size());
         }
     }
 
     @Test
     void numbersHaveThreeOrFourDigits() {
-        assertEquals("12346", Results.number(12345.6));
-        assertEquals("12.3", Results.number(12.345));
-        assertEquals("1.234", Results.number(1.2344));
-        assertEquals("-", Results.number(Double.NaN));
+        assertEquals("12346", ResultWriter.number(12345.6));
+        assertEquals("12.3", ResultWriter.number(12.345));
+        assertEquals("1.234", ResultWriter.number(1.2344));
+        assertEquals("-", ResultWriter.number(Double.NaN));
     }
 }
