--- a/src/main/java/kestreldeal/scale/LoadClient.java
+++ b/src/main/java/kestreldeal/scale/LoadGenerator.java
@@ -31,7 +31,7 @@
  * response, over as many persistent connections as that needs. A response time is measured from the time at which its
  * message was due, which avoids coordinated omission. Everything runs on one event loop.
  */
-final class LoadClient implements AutoCloseable {
+final class LoadGenerator implements AutoCloseable {
     /** Length of the example body in the protocol description. */
     static final int BODY_BYTES = 212;
     private static final int LONGEST_ANSWER = 1 << 16;
@@ -61,7 +61,7 @@
      * @param broken messages whose connection closed before a response
      * @param unanswered messages without a response at the end of the run
      */
-    record Outcome(Histogram nanos, long taken, long refused, long broken, long unanswered) {
+    record LoadResult(Histogram nanos, long taken, long refused, long broken, long unanswered) {
     }
 
     private final class Run {
@@ -142,13 +142,13 @@
         }
     }
 
-    LoadClient(InetSocketAddress sender, long seed) {
+    LoadGenerator(InetSocketAddress sender, long seed) {
         this.sender = sender;
         this.random = new Random(seed);
     }
 
     /** Submits messages at a rate, and waits for the responses until at most the timeout after the last one is due. */
-    Outcome handIn(double perSecond, long messages, IntSupplier destination, int bodyBytes, long patienceMs)
+    LoadResult handIn(double perSecond, long messages, IntSupplier destination, int bodyBytes, long patienceMs)
             throws Exception {
         Run mine = loop.submit(() -> {
             run = new Run(perSecond, messages, destination, bodyBytes);
@@ -161,7 +161,7 @@
             while (System.nanoTime() < until && !loop.submit(mine::isOver).get()) {
                 Thread.sleep(2);
             }
-            return loop.submit(() -> new Outcome(mine.nanos, mine.taken, mine.refused, mine.broken,
+            return loop.submit(() -> new LoadResult(mine.nanos, mine.taken, mine.refused, mine.broken,
                     mine.messages - mine.taken - mine.refused - mine.broken)).get();
         } finally {
             ticks.cancel(false);
--- a/src/main/java/kestreldeal/scale/Setup.java
+++ b/src/main/java/kestreldeal/scale/MeasurementSetup.java
@@ -15,7 +15,7 @@
  * @param quick whether measurements are short and small, to check only that they work
  * @param pin command prefix that pins a process to one core, or empty where pinning is not possible
  */
-record Setup(List<String> options, long seed, boolean quick, List<String> pin) {
+record MeasurementSetup(List<String> options, long seed, boolean quick, List<String> pin) {
     /** The sender's jar and its class data sharing archive, with which the platform starts it. */
     static final Path JAR = Path.of("target", "kestreldeal.jar");
     static final Path ARCHIVE = Path.of("target", "sender.jsa");
@@ -27,10 +27,10 @@
      *
      * @throws IOException if the current directory is not the root of a checkout
      */
-    static Setup here(long seed, boolean quick) throws IOException {
+    static MeasurementSetup here(long seed, boolean quick) throws IOException {
         List<String> options = Files.readAllLines(OPTIONS).stream().map(String::strip)
                 .filter(line -> !line.isEmpty() && !line.startsWith("#")).toList();
-        return new Setup(options, seed, quick, pinned());
+        return new MeasurementSetup(options, seed, quick, pinned());
     }
 
     /** The options with another heap size, for a process that needs more memory than a sender is allowed. */
--- a/src/main/java/kestreldeal/scale/ModuleProbe.java
+++ b/src/main/java/kestreldeal/scale/ModuleBenchmark.java
@@ -16,10 +16,10 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Measures the decision module alone, in a JVM of its own: {@link Forked} starts {@code main}, which prints one JSON
+ * Measures the decision module alone, in a JVM of its own: {@link ModuleBenchmarkProcess} starts {@code main}, which prints one JSON
  * object. Memory is the difference of the used heap after garbage collections, with and without what is measured.
  */
-final class ModuleProbe implements Relay.Actions {
+final class ModuleBenchmark implements Relay.Actions {
     /** Time between turns; so short that no timer of the module expires during a whole measurement. */
     private static final double STEP_MS = 0.02;
     /** Deadline of messages, too far off to matter. */
@@ -37,17 +37,17 @@
     private static final long LONGEST_NANOS = 60_000_000_000L;
     private static final int COLLECTIONS = 3;
 
-    private record Sent(long message, int attempt) {
+    private record SentAttempt(long message, int attempt) {
     }
 
     private final Random random;
     private final Relay relay;
-    private final List<Sent> sent = new ArrayList<>();
+    private final List<SentAttempt> sent = new ArrayList<>();
     private long answers;
     private long messages;
     private double now;
 
-    private ModuleProbe(int slots, long seed) {
+    private ModuleBenchmark(int slots, long seed) {
         random = new Random(seed);
         relay = Relay.create(settings(slots), seed, this);
     }
@@ -82,7 +82,7 @@
 
     /** Messages wait for 100 destinations while all slots are in use; measures a turn in which none can be sent. */
     private static Map<String, Object> waiting(int size, long seed, int percent) {
-        ModuleProbe probe = new ModuleProbe(DESTINATIONS, seed);
+        ModuleBenchmark probe = new ModuleBenchmark(DESTINATIONS, seed);
         probe.list(DESTINATIONS, 1);
         probe.handIn(DESTINATIONS, DESTINATIONS);
         probe.turn();
@@ -102,7 +102,7 @@
 
     /** Endpoints are listed and no message waits; measures an idle turn, and one in which an entry changes. */
     private static Map<String, Object> listed(int size, long seed, int percent) {
-        ModuleProbe probe = new ModuleProbe(DESTINATIONS, seed);
+        ModuleBenchmark probe = new ModuleBenchmark(DESTINATIONS, seed);
         probe.turn();
         long before = heldBytes();
         probe.list(size, ENDPOINTS_EACH);
@@ -119,7 +119,7 @@
 
     /** Listed endpoints, and as many messages that wait for all their destinations while all slots are in use. */
     private static Map<String, Object> both(int size, long seed, int percent) {
-        ModuleProbe probe = new ModuleProbe(DESTINATIONS, seed);
+        ModuleBenchmark probe = new ModuleBenchmark(DESTINATIONS, seed);
         probe.turn();
         long before = heldBytes();
         probe.list(size, ENDPOINTS_EACH);
@@ -155,7 +155,7 @@
      * turn in which the messages complete is not part of the measured time.
      */
     private static Map<String, Object> going(int destinations, int messages, long seed, int percent) {
-        ModuleProbe probe = new ModuleProbe(4 * MOST_GOING, seed);
+        ModuleBenchmark probe = new ModuleBenchmark(4 * MOST_GOING, seed);
         probe.list(destinations, 1);
         probe.prefill(destinations);
         long[] next = probe.random.longs(destinations, 0, Long.MAX_VALUE).toArray();
@@ -221,9 +221,9 @@
 
     /** Reports all attempts in flight as delivered, in one turn. */
     private void endAll() {
-        List<Sent> ended = new ArrayList<>(sent);
+        List<SentAttempt> ended = new ArrayList<>(sent);
         sent.clear();
-        for (Sent s : ended) {
+        for (SentAttempt s : ended) {
             relay.attemptCompleted(now,
                     new Relay.AttemptResult(s.message(), s.attempt(), Relay.Outcome.DELIVERED, STEP_MS,
                     true, 0, Relay.LoadReport.NONE));
@@ -291,7 +291,7 @@
 
     @Override
     public void send(long message, long endpoint, double timeoutMs) {
-        sent.add(new Sent(message, 0));
+        sent.add(new SentAttempt(message, 0));
     }
 
     @Override
--- a/src/main/java/kestreldeal/scale/Forked.java
+++ b/src/main/java/kestreldeal/scale/ModuleBenchmarkProcess.java
@@ -13,23 +13,23 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Runs {@link ModuleProbe} in a JVM of its own, with a sender's JVM options but a heap that is large enough for the
+ * Runs {@link ModuleBenchmark} in a JVM of its own, with a sender's JVM options but a heap that is large enough for the
  * measurement.
  */
-final class Forked {
+final class ModuleBenchmarkProcess {
     private static final int HEAP_MB = 1024;
     private static final int LIMIT_S = 100;
 
-    private Forked() {
+    private ModuleBenchmarkProcess() {
     }
 
     /** Measures once; returns the measured values and the options of the JVM. */
-    static Map<String, Object> probe(Setup setup, String what, int size, long seed) throws Exception {
+    static Map<String, Object> probe(MeasurementSetup setup, String what, int size, long seed) throws Exception {
         List<String> options = setup.optionsWithHeap(HEAP_MB);
         List<String> command = new ArrayList<>(setup.pin());
         command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
         command.addAll(options);
-        command.addAll(List.of("-cp", System.getProperty("java.class.path"), ModuleProbe.class.getName(), what,
+        command.addAll(List.of("-cp", System.getProperty("java.class.path"), ModuleBenchmark.class.getName(), what,
                 Integer.toString(size), Long.toString(seed), setup.quick() ? "10" : "100"));
         Path out = Files.createTempFile("probe", ".json");
         Path err = Files.createTempFile("probe", ".log");
@@ -49,13 +49,13 @@
         Process process = new ProcessBuilder(command).redirectOutput(out.toFile()).redirectError(err.toFile()).start();
         try {
             if (!process.waitFor(LIMIT_S, TimeUnit.SECONDS)) {
-                throw new Slope.Failed("not finished within " + LIMIT_S + " s");
+                throw new Slope.MeasurementFailedException("not finished within " + LIMIT_S + " s");
             }
         } finally {
             process.destroyForcibly().waitFor();
         }
         if (process.exitValue() != 0) {
-            throw new Slope.Failed(firstLine(err));
+            throw new Slope.MeasurementFailedException(firstLine(err));
         }
     }
 
--- a/src/main/java/kestreldeal/scale/ModuleSlopes.java
+++ b/src/main/java/kestreldeal/scale/ModuleSlopes.java
@@ -36,6 +36,6 @@
 
     private static Slope slope(String name, String by, List<Integer> sizes, List<Integer> quick,
             List<String> fitted) {
-        return new Slope(name, by, sizes, quick, fitted, (setup, size, seed) -> Forked.probe(setup, name, size, seed));
+        return new Slope(name, by, sizes, quick, fitted, (setup, size, seed) -> ModuleBenchmarkProcess.probe(setup, name, size, seed));
     }
 }
--- a/src/main/java/kestreldeal/scale/SenderProcess.java
+++ b/src/main/java/kestreldeal/scale/SenderProcess.java
@@ -29,7 +29,7 @@
     private static final int POLL_MS = 5;
     private static final int SOCKET_MS = 2000;
 
-    private final Setup setup;
+    private final MeasurementSetup setup;
     private final Path folder;
     private final String agent;
     private final int port;
@@ -37,7 +37,7 @@
     private Process process;
 
     /** Prepares the directory of a sender that uses the agent of this environment; {@link #start} starts it. */
-    SenderProcess(Setup setup, World world, double diskMb) throws IOException {
+    SenderProcess(MeasurementSetup setup, StubEnvironment world, double diskMb) throws IOException {
         this.setup = setup;
         this.agent = world.agentAddress();
         this.folder = Files.createTempDirectory("scale");
@@ -84,10 +84,10 @@
         List<String> command = new ArrayList<>(setup.pin());
         command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
         command.addAll(setup.options());
-        if (Files.isReadable(Setup.ARCHIVE)) {
-            command.add("-XX:SharedArchiveFile=" + Setup.ARCHIVE);
+        if (Files.isReadable(MeasurementSetup.ARCHIVE)) {
+            command.add("-XX:SharedArchiveFile=" + MeasurementSetup.ARCHIVE);
         }
-        command.addAll(List.of("-jar", Setup.JAR.toString(), "serve", "--alone"));
+        command.addAll(List.of("-jar", MeasurementSetup.JAR.toString(), "serve", "--alone"));
         ProcessBuilder builder = new ProcessBuilder(command).redirectErrorStream(true)
                 .redirectOutput(ProcessBuilder.Redirect.appendTo(folder.resolve("log").toFile()));
         builder.environment().putAll(Map.of("GW_NAME", "scale", "GW_CONFIG", folder.resolve("config.json").toString(),
@@ -128,11 +128,11 @@
                 // Polled again until the time limit.
             }
             if (!process.isAlive()) {
-                throw new Slope.Failed(otherwise + ": the process exited with code " + process.exitValue() + ", "
+                throw new Slope.MeasurementFailedException(otherwise + ": the process exited with code " + process.exitValue() + ", "
                         + lastWords());
             }
             if (System.nanoTime() - begun > limitMs * 1_000_000) {
-                throw new Slope.Failed(otherwise + " after " + limitMs + " ms, " + lastWords());
+                throw new Slope.MeasurementFailedException(otherwise + " after " + limitMs + " ms, " + lastWords());
             }
             Thread.sleep(POLL_MS);
         }
--- a/src/main/java/kestreldeal/scale/SenderSlopes.java
+++ b/src/main/java/kestreldeal/scale/SenderSlopes.java
@@ -63,15 +63,15 @@
      * Sends a new full list to a running sender whose list has two entries. The list counts as applied when the
      * sender's metric of listed endpoints shows its size.
      */
-    private static Map<String, Object> readList(Setup setup, int size, long seed) throws Exception {
-        try (World world = new World(ANSWER_MS); SenderProcess sender = started(setup, world, 2, MOST_DISK_MB)) {
+    private static Map<String, Object> readList(MeasurementSetup setup, int size, long seed) throws Exception {
+        try (StubEnvironment world = new StubEnvironment(ANSWER_MS); SenderProcess sender = started(setup, world, 2, MOST_DISK_MB)) {
             Map<String, Object> values = values(setup);
             values.put("peak_before_mb", sender.peakMb());
             double processor = sender.processorMs();
             world.replaceList(size);
             try {
                 values.put("in_force_ms", sender.awaitListed(size, IN_FORCE_MS));
-            } catch (Slope.Failed e) {
+            } catch (Slope.MeasurementFailedException e) {
                 values.put("failed", e.getMessage());
                 return values;
             }
@@ -81,7 +81,7 @@
         }
     }
 
-    private static SenderProcess started(Setup setup, World world, int listed, double diskMb) throws Exception {
+    private static SenderProcess started(MeasurementSetup setup, StubEnvironment world, int listed, double diskMb) throws Exception {
         world.replaceList(listed);
         SenderProcess sender = new SenderProcess(setup, world, diskMb);
         try {
@@ -95,10 +95,10 @@
         }
     }
 
-    private static Map<String, Object> values(Setup setup) {
+    private static Map<String, Object> values(MeasurementSetup setup) {
         Map<String, Object> values = new LinkedHashMap<>();
         values.put("jvm", setup.options());
-        values.put("class_archive", Files.isReadable(Setup.ARCHIVE));
+        values.put("class_archive", Files.isReadable(MeasurementSetup.ARCHIVE));
         return values;
     }
 
@@ -110,17 +110,17 @@
      * time in the round in which that happens. Finally kills the sender, restarts it, and checks that all pending
      * messages are restored.
      */
-    private static Map<String, Object> journal(Setup setup, int size, long seed) throws Exception {
+    private static Map<String, Object> journal(MeasurementSetup setup, int size, long seed) throws Exception {
         Map<String, Object> values = values(setup);
         double diskMb = Math.min(MOST_DISK_MB, (DISK_BYTES_EACH * size + DISK_BYTES_MORE) / 1e6);
         values.put("disk_mb", diskMb);
-        try (World world = new World(ANSWER_MS); SenderProcess sender = started(setup, world, LISTED, diskMb);
-                LoadClient client = new LoadClient(sender.address(), seed)) {
-            LoadClient.Outcome held = client.handIn(FILL_PER_S, size, () -> World.DRAINING, LoadClient.BODY_BYTES,
+        try (StubEnvironment world = new StubEnvironment(ANSWER_MS); SenderProcess sender = started(setup, world, LISTED, diskMb);
+                LoadGenerator client = new LoadGenerator(sender.address(), seed)) {
+            LoadGenerator.LoadResult held = client.handIn(FILL_PER_S, size, () -> StubEnvironment.DRAINING, LoadGenerator.BODY_BYTES,
                     PATIENCE_MS);
             values.put("held", held.taken());
             if (held.taken() != size) {
-                throw new Slope.Failed("only " + held.taken() + " of " + size + " messages were accepted, "
+                throw new Slope.MeasurementFailedException("only " + held.taken() + " of " + size + " messages were accepted, "
                         + held.refused() + " rejected, " + held.broken() + " lost with their connection, "
                         + held.unanswered() + " without a response; the journal has " + Files.size(sender.journal())
                         + " bytes");
@@ -139,7 +139,7 @@
             values.put("held_after", sender.figure("edge_gw_pending"));
             values.put("peak_ready_mb", sender.peakMb());
             if (sender.figure("edge_gw_pending") != size) {
-                throw new Slope.Failed("after the kill " + sender.figure("edge_gw_pending") + " of " + size
+                throw new Slope.MeasurementFailedException("after the kill " + sender.figure("edge_gw_pending") + " of " + size
                         + " messages are pending, and there were " + values.get("held_at_kill") + " before it");
             }
         }
@@ -147,7 +147,7 @@
     }
 
     /** Submits messages that are delivered, which grows the journal until a compaction drops completed messages. */
-    private static void churn(SenderProcess sender, LoadClient client, long seed, Map<String, Object> values)
+    private static void churn(SenderProcess sender, LoadGenerator client, long seed, Map<String, Object> values)
             throws Exception {
         AtomicBoolean over = new AtomicBoolean();
         AtomicLong compactions = new AtomicLong();
@@ -158,8 +158,8 @@
         try {
             for (int round = 0; round < CHURN_ROUNDS; round++) {
                 long seen = compactions.get();
-                LoadClient.Outcome outcome = client.handIn(CHURN_PER_S, CHURN_MESSAGES,
-                        () -> random.nextInt(World.DESTINATIONS - 1), CHURN_BODY_BYTES, PATIENCE_MS);
+                LoadGenerator.LoadResult outcome = client.handIn(CHURN_PER_S, CHURN_MESSAGES,
+                        () -> random.nextInt(StubEnvironment.DESTINATIONS - 1), CHURN_BODY_BYTES, PATIENCE_MS);
                 if (outcome.taken() != CHURN_MESSAGES) {
                     values.put("churn_failed", outcome.refused() + " rejected, " + outcome.broken()
                             + " lost with their connection");
@@ -201,18 +201,18 @@
 
     // ---- messages ----
 
-    private static Map<String, Object> rate(Setup setup, int perSecond, long seed) throws Exception {
+    private static Map<String, Object> rate(MeasurementSetup setup, int perSecond, long seed) throws Exception {
         Map<String, Object> values = values(setup);
-        try (World world = new World(ANSWER_MS); SenderProcess sender = started(setup, world, LISTED, MOST_DISK_MB);
-                LoadClient client = new LoadClient(sender.address(), seed)) {
+        try (StubEnvironment world = new StubEnvironment(ANSWER_MS); SenderProcess sender = started(setup, world, LISTED, MOST_DISK_MB);
+                LoadGenerator client = new LoadGenerator(sender.address(), seed)) {
             Random random = new Random(seed);
             double seconds = setup.quick() ? QUICK_S : MEASURE_S;
             client.handIn(perSecond, (long) (perSecond * (setup.quick() ? QUICK_S : WARM_UP_S)),
-                    () -> random.nextInt(World.DESTINATIONS - 1), LoadClient.BODY_BYTES, PATIENCE_MS);
+                    () -> random.nextInt(StubEnvironment.DESTINATIONS - 1), LoadGenerator.BODY_BYTES, PATIENCE_MS);
             double processor = sender.processorMs();
             long begun = System.nanoTime();
-            LoadClient.Outcome outcome = client.handIn(perSecond, (long) (perSecond * seconds),
-                    () -> random.nextInt(World.DESTINATIONS - 1), LoadClient.BODY_BYTES, PATIENCE_MS);
+            LoadGenerator.LoadResult outcome = client.handIn(perSecond, (long) (perSecond * seconds),
+                    () -> random.nextInt(StubEnvironment.DESTINATIONS - 1), LoadGenerator.BODY_BYTES, PATIENCE_MS);
             double spent = sender.processorMs() - processor;
             double over = (System.nanoTime() - begun) / 1e6;
             values.put("handed_in", (long) (perSecond * seconds));
@@ -235,9 +235,9 @@
     // ---- list updates ----
 
     /** Counts the bytes on the agent's connections in both directions, after the full list has been sent. */
-    private static Map<String, Object> control(Setup setup, int listed, int perSecond, long seed) throws Exception {
+    private static Map<String, Object> control(MeasurementSetup setup, int listed, int perSecond, long seed) throws Exception {
         Map<String, Object> values = values(setup);
-        try (World world = new World(ANSWER_MS); SenderProcess sender = started(setup, world, listed, MOST_DISK_MB)) {
+        try (StubEnvironment world = new StubEnvironment(ANSWER_MS); SenderProcess sender = started(setup, world, listed, MOST_DISK_MB)) {
             values.put("whole_list_bytes", world.agentBytes.get());
             Random random = new Random(seed);
             double processor = sender.processorMs();
--- a/src/main/java/kestreldeal/scale/Slope.java
+++ b/src/main/java/kestreldeal/scale/Slope.java
@@ -23,14 +23,14 @@
          * @throws Failed if nothing could be measured at this size, with the reason
          * @throws Exception if the tool itself fails
          */
-        Map<String, Object> measure(Setup setup, int size, long seed) throws Exception;
+        Map<String, Object> measure(MeasurementSetup setup, int size, long seed) throws Exception;
     }
 
     /** The measured program did not do what was to be measured; this is recorded as the result at this size. */
-    static final class Failed extends Exception {
+    static final class MeasurementFailedException extends Exception {
         private static final long serialVersionUID = 1;
 
-        Failed(String why) {
+        MeasurementFailedException(String why) {
             super(why);
         }
     }
--- a/src/main/java/kestreldeal/scale/SlopesCommand.java
+++ b/src/main/java/kestreldeal/scale/SlopesCommand.java
@@ -86,7 +86,7 @@
     public Integer call() throws Exception {
         List<Slope> chosen = check();
         long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(limitS);
-        Setup setup = Setup.here(seed, quick);
+        MeasurementSetup setup = MeasurementSetup.here(seed, quick);
         try (ResultWriter results = ResultWriter.open(Optional.ofNullable(out), "slopes", seed, sizes)) {
             for (Slope slope : chosen) {
                 run(slope, setup, results, until);
@@ -111,8 +111,8 @@
         if (limitS < 1) {
             refuse("--limit-s must be at least 1");
         }
-        if (!Files.isReadable(Setup.JAR)) {
-            refuse("no " + Setup.JAR + " here: run this from the root of a checkout after the build");
+        if (!Files.isReadable(MeasurementSetup.JAR)) {
+            refuse("no " + MeasurementSetup.JAR + " here: run this from the root of a checkout after the build");
         }
         return slopes().stream().filter(slope -> only.isEmpty() || only.contains(slope.name())).toList();
     }
@@ -121,7 +121,7 @@
         throw new ParameterException(spec.commandLine(), why);
     }
 
-    private void run(Slope slope, Setup setup, ResultWriter results, long until) throws Exception {
+    private void run(Slope slope, MeasurementSetup setup, ResultWriter results, long until) throws Exception {
         List<Integer> at = !sizes.isEmpty() ? sizes : quick ? slope.quick() : slope.sizes();
         Map<String, Series> series = new LinkedHashMap<>();
         Object jvm = setup.options();
@@ -142,7 +142,7 @@
         tell(slope, at, series, jvm, results);
     }
 
-    private Map<String, Object> once(Slope slope, Setup setup, int size, int repeat, long until) throws Exception {
+    private Map<String, Object> once(Slope slope, MeasurementSetup setup, int size, int repeat, long until) throws Exception {
         Map<String, Object> line = new LinkedHashMap<>();
         line.put("slope", slope.name());
         line.put("size", size);
@@ -156,7 +156,7 @@
         } else {
             try {
                 line.putAll(slope.measurement().measure(setup, size, seed + repeat));
-            } catch (Slope.Failed e) {
+            } catch (Slope.MeasurementFailedException e) {
                 line.put("failed", e.getMessage());
             }
         }
--- a/src/main/java/kestreldeal/scale/World.java
+++ b/src/main/java/kestreldeal/scale/StubEnvironment.java
@@ -36,7 +36,7 @@
  * Stub servers for the environment of one sender, on two loopback addresses: the agent, which serves the list of
  * endpoints, and all endpoints. The agent responds immediately, the endpoints after a fixed delay.
  */
-final class World implements AutoCloseable {
+final class StubEnvironment implements AutoCloseable {
     /** Destinations of a list of 100 endpoints; clients send messages to all but the last. */
     static final int DESTINATIONS = 50;
     /** The only endpoint of this destination is draining, so messages to it stay pending. */
@@ -64,7 +64,7 @@
     }
 
     /** Starts both servers; endpoints respond after the given delay. */
-    World(long answerMs) {
+    StubEnvironment(long answerMs) {
         this.answerMs = answerMs;
         agent = listen(true);
         endpoints = listen(false);
@@ -85,10 +85,10 @@
                     @Override
                     protected void initChannel(Channel channel) {
                         if (isAgent) {
-                            channel.pipeline().addLast(new Meter());
+                            channel.pipeline().addLast(new ByteCounter());
                         }
                         channel.pipeline().addLast(new HttpServerCodec(), new HttpObjectAggregator(LONGEST),
-                                isAgent ? new AgentSide() : new EndpointSide());
+                                isAgent ? new AgentHandler() : new EndpointHandler());
                     }
                 }).bind("127.0.0.1", 0).syncUninterruptibly().channel();
     }
@@ -148,7 +148,7 @@
         }
         watches.add(watch);
         ctx.executor().schedule(() -> {
-            synchronized (World.this) {
+            synchronized (StubEnvironment.this) {
                 if (watches.remove(watch)) {
                     answerSince(ctx, after);
                 }
@@ -166,7 +166,7 @@
     // ---- connections ----
 
     /** Counts the bytes on the agent's connections in both directions. */
-    private final class Meter extends ChannelDuplexHandler {
+    private final class ByteCounter extends ChannelDuplexHandler {
         @Override
         public void channelRead(ChannelHandlerContext ctx, Object read) {
             agentBytes.addAndGet(((ByteBuf) read).readableBytes());
@@ -182,7 +182,7 @@
         }
     }
 
-    private final class AgentSide extends SimpleChannelInboundHandler<FullHttpRequest> {
+    private final class AgentHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
             if (request.method().equals(HttpMethod.POST)) {
@@ -205,7 +205,7 @@
         }
     }
 
-    private final class EndpointSide extends SimpleChannelInboundHandler<FullHttpRequest> {
+    private final class EndpointHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
             ctx.executor().schedule(() -> {
--- a/src/main/java/kestreldeal/scale/fleet/Call.java
+++ b/src/main/java/kestreldeal/scale/fleet/Call.java
@@ -6,16 +6,16 @@
 
 /** A request with one or more attempts from one process of a sender to an endpoint. */
 final class Call {
-    final HollowSender sender;
+    final SimulatedSender sender;
     final int life;
-    final HollowEndpoint endpoint;
+    final SimulatedEndpoint endpoint;
     /** The state that the sender assumed for the endpoint when it decided on the call. */
     final Relay.EndpointState heldAs;
     final List<Item> items = new ArrayList<>();
     /** When the request was written; infinite while it waits for a connection. */
     double writtenAt = Double.POSITIVE_INFINITY;
 
-    Call(HollowSender sender, int life, HollowEndpoint endpoint, Relay.EndpointState heldAs) {
+    Call(SimulatedSender sender, int life, SimulatedEndpoint endpoint, Relay.EndpointState heldAs) {
         this.sender = sender;
         this.life = life;
         this.endpoint = endpoint;
@@ -28,6 +28,6 @@
     }
 
     /** One attempt in the call, with its number within its message. */
-    record Item(SimMessage message, int number, SimMessage.Attempt attempt) {
+    record Item(SimulatedMessage message, int number, SimulatedMessage.Attempt attempt) {
     }
 }
--- a/src/main/java/kestreldeal/scale/fleet/Counts.java
+++ b/src/main/java/kestreldeal/scale/fleet/Counts.java
@@ -58,7 +58,7 @@
     final Histogram inForceMs = new Histogram(MOST_MS, 3);
     final Histogram inForceAtAllMs = new Histogram(MOST_MS, 3);
     /** The worst window of each recovery. */
-    final List<ColdReturn.Window> coldReturns = new ArrayList<>();
+    final List<DestinationRecovery.LoadWindow> coldReturns = new ArrayList<>();
 
     /** Records a delivery, with the time since the first submission of the request. */
     void delivered(double tookMs, boolean wantedBy) {
@@ -67,14 +67,14 @@
         deliveryMs.recordValue(Math.round(tookMs));
     }
 
-    void coldReturnOver(ColdReturn seen) {
+    void coldReturnOver(DestinationRecovery seen) {
         coldReturns.add(seen.worst());
         toldOverBudget += seen.isBroken() ? 1 : 0;
     }
 
-    /** The window with the highest ratio of calls to its budget, or {@link ColdReturn.Window#NONE}. */
-    ColdReturn.Window worstWindow() {
-        return coldReturns.stream().reduce(ColdReturn.Window.NONE,
+    /** The window with the highest ratio of calls to its budget, or {@link DestinationRecovery.LoadWindow#NONE}. */
+    DestinationRecovery.LoadWindow worstWindow() {
+        return coldReturns.stream().reduce(DestinationRecovery.LoadWindow.NONE,
                 (a, b) -> b.ratio() > a.ratio() ? b : a);
     }
 
@@ -123,7 +123,7 @@
         all.put("wastedShare", wastedShare());
         all.put("outages", outages);
         all.put("coldReturns", coldReturns.size());
-        ColdReturn.Window worst = worstWindow();
+        DestinationRecovery.LoadWindow worst = worstWindow();
         all.put("coldWorstRatio", worst.ratio());
         all.put("coldWorstCalls", worst.calls());
         all.put("coldWorstMost", worst.most());
--- a/src/main/java/kestreldeal/scale/fleet/ColdReturn.java
+++ b/src/main/java/kestreldeal/scale/fleet/DestinationRecovery.java
@@ -12,14 +12,14 @@
  * arrives counts once, whether it is refused or not and however many messages it has. For the part of a window before
  * the recovery, the capacity counts as it is at the start of the recovery.
  */
-final class ColdReturn {
+final class DestinationRecovery {
     private final double capacityPerMs;
     private final Relay.SlowStart rule;
     private final double returnedAt;
-    private final HollowEndpoint.State after;
+    private final SimulatedEndpoint.State after;
     private final Deque<Arrival> window = new ArrayDeque<>();
     private double worst;
-    private Window worstWindow = Window.NONE;
+    private LoadWindow worstWindow = LoadWindow.NONE;
     private boolean broken;
 
     private record Arrival(double at, boolean told, Relay.EndpointState heldAs) {
@@ -36,8 +36,8 @@
      * @param trials calls from senders that assumed that it was in an outage, which are probe attempts
      * @param after kind of outage before the recovery
      */
-    record Window(double endMs, int calls, double most, int told, int heldUp, int trials, HollowEndpoint.State after) {
-        static final Window NONE = new Window(0, 0, 0, 0, 0, 0, HollowEndpoint.State.SERVING);
+    record LoadWindow(double endMs, int calls, double most, int told, int heldUp, int trials, SimulatedEndpoint.State after) {
+        static final LoadWindow NONE = new LoadWindow(0, 0, 0, 0, 0, 0, SimulatedEndpoint.State.SERVING);
 
         double ratio() {
             return most == 0 ? 0 : calls / most;
@@ -49,7 +49,7 @@
         }
     }
 
-    ColdReturn(double capacityPerMs, Relay.SlowStart rule, double returnedAt, HollowEndpoint.State after) {
+    DestinationRecovery(double capacityPerMs, Relay.SlowStart rule, double returnedAt, SimulatedEndpoint.State after) {
         this.capacityPerMs = capacityPerMs;
         this.rule = rule;
         this.returnedAt = returnedAt;
@@ -67,12 +67,12 @@
     }
 
     /** Records a call that has arrived; returns the window that ends with it. */
-    Window arrived(double now, boolean told, Relay.EndpointState heldAs) {
+    LoadWindow arrived(double now, boolean told, Relay.EndpointState heldAs) {
         window.add(new Arrival(now, told, heldAs));
         while (window.peek().at <= now - rule.overloadMs()) {
             window.remove();
         }
-        Window ended = new Window(now, window.size(), most(now), count(Arrival::told),
+        LoadWindow ended = new LoadWindow(now, window.size(), most(now), count(Arrival::told),
                 count(call -> call.heldAs == Relay.EndpointState.UP),
                 count(call -> call.heldAs == Relay.EndpointState.DOWN), after);
         broken |= ended.ratio() > 1 && ended.isTold();
@@ -94,7 +94,7 @@
         return n + 2 * Math.sqrt(n) + 2;
     }
 
-    Window worst() {
+    LoadWindow worst() {
         return worstWindow;
     }
 
--- a/src/main/java/kestreldeal/scale/fleet/Faults.java
+++ b/src/main/java/kestreldeal/scale/fleet/FaultInjector.java
@@ -6,7 +6,7 @@
 import java.util.Random;
 
 /** Injects the faults of a scenario. All faults are over before clients stop submitting messages. */
-final class Faults {
+final class FaultInjector {
     /** The part of the run in which faults occur, as shares of its length. */
     private static final double FIRST = 0.1;
     private static final double LAST = 0.9;
@@ -23,13 +23,13 @@
     private static final double OUT_AT_RETURN = 0.3;
     private static final double DEAD_AT_RETURN = 0.7;
 
-    private final Fleet fleet;
-    private final World world;
-    private final Model model;
+    private final FleetSimulation fleet;
+    private final SimulationClock world;
+    private final FleetModel model;
     private final Random random;
     private final double runMs;
 
-    Faults(Fleet fleet, Random random) {
+    FaultInjector(FleetSimulation fleet, Random random) {
         this.fleet = fleet;
         this.world = fleet.world();
         this.model = fleet.settings().model();
@@ -61,13 +61,13 @@
     /** Replaces some endpoints gracefully: a new one is listed, the old one drains, ends and is removed. */
     private void replaceSome() {
         int many = Math.max(LEAST_REPLACED, (int) Math.round(model.replacedShare() * fleet.endpoints().size()));
-        List<HollowEndpoint> all = new ArrayList<>(fleet.endpoints());
+        List<SimulatedEndpoint> all = new ArrayList<>(fleet.endpoints());
         Collections.shuffle(all, random);
         all.subList(0, Math.min(many, all.size())).forEach(old -> world.at(someTime(), () -> replace(old)));
     }
 
-    private void replace(HollowEndpoint old) {
-        HollowEndpoint next = fleet.newEndpoint(old.partner, old.zone);
+    private void replace(SimulatedEndpoint old) {
+        SimulatedEndpoint next = fleet.newEndpoint(old.partner, old.zone);
         if (old.partner.isOut()) {
             next.become(old.state(), Double.POSITIVE_INFINITY);
         }
@@ -93,7 +93,7 @@
         if (world.now() + ms > share(LAST)) {
             return;
         }
-        List<Partner> up = fleet.partners().stream().filter(partner -> !partner.isOut()).toList();
+        List<SimulatedDestination> up = fleet.partners().stream().filter(partner -> !partner.isOut()).toList();
         if (!up.isEmpty()) {
             outage(up.get(random.nextInt(up.size())), world.now() + ms);
         }
@@ -101,28 +101,28 @@
     }
 
     /** Starts an outage of a random kind. */
-    private void outage(Partner partner, double until) {
-        HollowEndpoint.State[] ways = HollowEndpoint.State.values();
+    private void outage(SimulatedDestination partner, double until) {
+        SimulatedEndpoint.State[] ways = SimulatedEndpoint.State.values();
         outage(partner, ways[1 + random.nextInt(ways.length - 1)], until);
     }
 
     /** Starts an outage of all endpoints of a destination, which ends for all of them at the same time. */
-    void outage(Partner partner, HollowEndpoint.State way, double until) {
+    void outage(SimulatedDestination partner, SimulatedEndpoint.State way, double until) {
         List.copyOf(partner.endpoints).forEach(endpoint -> endpoint.become(way, until));
         world.at(until, () -> serveAgain(partner.endpoints));
     }
 
-    private static void serveAgain(List<HollowEndpoint> endpoints) {
-        List.copyOf(endpoints).forEach(endpoint -> endpoint.become(HollowEndpoint.State.SERVING, 0));
+    private static void serveAgain(List<SimulatedEndpoint> endpoints) {
+        List.copyOf(endpoints).forEach(endpoint -> endpoint.become(SimulatedEndpoint.State.SERVING, 0));
     }
 
     private void restartSome() {
         double expected = RESTARTS_A_DAY * fleet.settings().senders() * fleet.settings().seconds() / DAY_S;
         int many = Math.max(LEAST_RESTARTS, (int) Math.round(expected));
-        List<HollowSender> drawn = drawn(fleet.senders().size());
+        List<SimulatedSender> drawn = drawn(fleet.senders().size());
         int rack = Math.max(LEAST_RACK, (int) Math.round(RACK_SHARE * drawn.size()));
         for (int i = 0; i < many; i++) {
-            HollowSender sender = drawn.get(i % drawn.size());
+            SimulatedSender sender = drawn.get(i % drawn.size());
             boolean inOrder = i % 2 == 0;
             world.at(someTime(), () -> {
                 if (!sender.takes()) {
@@ -141,8 +141,8 @@
                 .forEach(sender -> sender.restartAfter(downMs)));
     }
 
-    private List<HollowSender> drawn(int many) {
-        List<HollowSender> all = new ArrayList<>(fleet.senders());
+    private List<SimulatedSender> drawn(int many) {
+        List<SimulatedSender> all = new ArrayList<>(fleet.senders());
         Collections.shuffle(all, random);
         return new ArrayList<>(all.subList(0, many));
     }
@@ -154,7 +154,7 @@
                 fleet.directory().machine(sender, true);
                 sender.restartAfter(lostMs);
             });
-            endpoints(zone).forEach(endpoint -> endpoint.become(HollowEndpoint.State.SILENT, 0));
+            endpoints(zone).forEach(endpoint -> endpoint.become(SimulatedEndpoint.State.SILENT, 0));
         });
         // Machines and their agents are back 1 ms before the senders' processes start.
         world.at(share(FIRST) + lostMs - 1, () -> {
@@ -164,11 +164,11 @@
         });
     }
 
-    private List<HollowSender> senders(int zone) {
+    private List<SimulatedSender> senders(int zone) {
         return fleet.senders().stream().filter(sender -> sender.zone == zone).toList();
     }
 
-    private List<HollowEndpoint> endpoints(int zone) {
+    private List<SimulatedEndpoint> endpoints(int zone) {
         return fleet.endpoints().stream().filter(endpoint -> endpoint.zone == zone).toList();
     }
 
@@ -183,7 +183,7 @@
     private void returnAtOnce() {
         double outMs = Math.min(model.outageMs().most(), share(LAST - FIRST) / 2);
         world.at(share(FIRST), () -> {
-            List<Partner> all = new ArrayList<>(fleet.partners());
+            List<SimulatedDestination> all = new ArrayList<>(fleet.partners());
             Collections.shuffle(all, random);
             int out = (int) Math.ceil(OUT_AT_RETURN * all.size());
             all.subList(0, out).forEach(partner -> outage(partner, world.now() + outMs));
--- a/src/main/java/kestreldeal/scale/fleet/FleetCommand.java
+++ b/src/main/java/kestreldeal/scale/fleet/FleetCommand.java
@@ -89,7 +89,7 @@
     private final long begun = System.nanoTime();
 
     /** The run has used up its real time. */
-    private static final class OutOfTime extends RuntimeException {
+    private static final class TimeLimitExceededException extends RuntimeException {
         private static final long serialVersionUID = 1;
     }
 
@@ -104,9 +104,9 @@
                 play(scenario, results);
             }
             return CommandLine.ExitCode.OK;
-        } catch (Broken e) {
+        } catch (InvariantViolationException e) {
             err.println(e.getMessage());
-        } catch (OutOfTime e) {
+        } catch (TimeLimitExceededException e) {
             err.println("aborted: the run takes more than " + plain(mostRealSeconds) + " s of real time; use fewer"
                     + " senders, destinations or seconds, or a higher --most-real-seconds");
         }
@@ -144,9 +144,9 @@
         for (int size : senders) {
             double rateOfEach = rateASender.map(each -> each * size / destinations).orElse(rate);
             FleetSettings settings = new FleetSettings(size, destinations, rateOfEach, seconds, seed, scenario,
-                    !noFalls, Model.STANDARD);
+                    !noFalls, FleetModel.STANDARD);
             long startedAt = System.nanoTime();
-            Fleet fleet = new Fleet(settings);
+            FleetSimulation fleet = new FleetSimulation(settings);
             Counts counts = fleet.run(watch(scenario + " with " + size + " senders"));
             Map<String, Object> line = new LinkedHashMap<>();
             line.put("scenario", scenario.toString());
@@ -169,7 +169,7 @@
     }
 
     private static List<Object> row(int size, Counts c) {
-        ColdReturn.Window worst = c.worstWindow();
+        DestinationRecovery.LoadWindow worst = c.worstWindow();
         return List.of(size, c.asked, share(c.inTime, c.asked), share(c.late, c.asked),
                 share(c.refusedToClients, c.asked), share(c.failed, c.asked),
                 share(c.turnedAway + c.unanswered, c.asked), c.callsWritten, c.refusedShare(), c.trials, c.copyShare(),
@@ -187,12 +187,12 @@
     }
 
     /** Prints the progress of a run now and then, and aborts it when its real time is used up. */
-    private World.Watch watch(String run) {
+    private SimulationClock.Observer watch(String run) {
         double[] toldAt = {System.nanoTime()};
         return (now, events) -> {
             long real = System.nanoTime();
             if (real - begun > mostRealSeconds * 1e9) {
-                throw new OutOfTime();
+                throw new TimeLimitExceededException();
             }
             if (real - toldAt[0] > PROGRESS_NANOS) {
                 toldAt[0] = real;
--- a/src/main/java/kestreldeal/scale/fleet/Model.java
+++ b/src/main/java/kestreldeal/scale/fleet/FleetModel.java
@@ -47,27 +47,27 @@
  * @param connectTimeoutMs connect timeout
  * @param replacedShare share of endpoints that are replaced in a run; at least three are
  */
-record Model(int regions, int zonesPerRegion, List<Double> oneWayMs, double jitter, double zipf, double senderSpread,
-             double moreEndpoints, Range headroom, Range leastLimit, Range spare, Range windowMs, Range depthS,
-             Range waitMs, List<Kind> kinds, Range workMs, double workSpread, Range itemCost, Range queuePerCore,
-             double errorRate, double listedError, Range reportMs, double reportNoise, double unsafeShare,
-             double clumpShare, Range clumpS, double comesAgain, Range backoffMs, Range againMs, Range frontNoticeMs,
-             Range noticeMs, Range spreadMs, Range drainMs, Range outageMs, Range failShare, Range senderDownMs,
+record FleetModel(int regions, int zonesPerRegion, List<Double> oneWayMs, double jitter, double zipf, double senderSpread,
+             double moreEndpoints, UniformRange headroom, UniformRange leastLimit, UniformRange spare, UniformRange windowMs, UniformRange depthS,
+             UniformRange waitMs, List<Kind> kinds, UniformRange workMs, double workSpread, UniformRange itemCost, UniformRange queuePerCore,
+             double errorRate, double listedError, UniformRange reportMs, double reportNoise, double unsafeShare,
+             double clumpShare, UniformRange clumpS, double comesAgain, UniformRange backoffMs, UniformRange againMs, UniformRange frontNoticeMs,
+             UniformRange noticeMs, UniformRange spreadMs, UniformRange drainMs, UniformRange outageMs, UniformRange failShare, UniformRange senderDownMs,
              double connectTimeoutMs, double replacedShare) {
     /** Indexes in the settings of the message class with an idempotency key, and of the one that must not run twice. */
     static final int KEYED = 0;
     static final int UNSAFE = 1;
 
-    static final Model STANDARD = new Model(3, 2, List.of(15.0, 25.0, 68.0), 0.2, 0.8, 0.6, 0.4,
-            new Range(1.1, 2.2), new Range(1.8, 4.9), new Range(1.2, 1.6), new Range(1000, 2000),
-            new Range(0.3, 0.98), new Range(230, 990),
-            List.of(new Kind(5, true, new Range(0.6, 0.97)), new Kind(1, false, new Range(0.07, 0.57)),
-                    new Kind(1, false, new Range(0.07, 0.57)), new Kind(1, true, new Range(0.08, 0.45)),
-                    new Kind(1, true, new Range(0.08, 0.45)), new Kind(1, true, new Range(0.08, 0.45))),
-            new Range(170, 290), 0.7, new Range(0.06, 0.22), new Range(2, 8), 0.005, 0.5, new Range(180, 830), 0.1,
-            0.35, 0.1, new Range(1, 3.5), 0.6, new Range(380, 1400), new Range(410, 1700), new Range(1800, 3600),
-            new Range(1300, 3700), new Range(33, 1800), new Range(6000, 9000), new Range(6700, 18_000),
-            new Range(0.6, 0.98), new Range(3100, 7800), 1500, 0.02);
+    static final FleetModel STANDARD = new FleetModel(3, 2, List.of(15.0, 25.0, 68.0), 0.2, 0.8, 0.6, 0.4,
+            new UniformRange(1.1, 2.2), new UniformRange(1.8, 4.9), new UniformRange(1.2, 1.6), new UniformRange(1000, 2000),
+            new UniformRange(0.3, 0.98), new UniformRange(230, 990),
+            List.of(new Kind(5, true, new UniformRange(0.6, 0.97)), new Kind(1, false, new UniformRange(0.07, 0.57)),
+                    new Kind(1, false, new UniformRange(0.07, 0.57)), new Kind(1, true, new UniformRange(0.08, 0.45)),
+                    new Kind(1, true, new UniformRange(0.08, 0.45)), new Kind(1, true, new UniformRange(0.08, 0.45))),
+            new UniformRange(170, 290), 0.7, new UniformRange(0.06, 0.22), new UniformRange(2, 8), 0.005, 0.5, new UniformRange(180, 830), 0.1,
+            0.35, 0.1, new UniformRange(1, 3.5), 0.6, new UniformRange(380, 1400), new UniformRange(410, 1700), new UniformRange(1800, 3600),
+            new UniformRange(1300, 3700), new UniformRange(33, 1800), new UniformRange(6000, 9000), new UniformRange(6700, 18_000),
+            new UniformRange(0.6, 0.98), new UniformRange(3100, 7800), 1500, 0.02);
 
     private static final int LEAST_SLOTS = 4;
     private static final double SLOTS_ROOM = 2.1;
@@ -85,7 +85,7 @@
      * @param byCount whether the rate limit is a fixed-window counter and not a token bucket
      * @param tellsWait probability that a refusal has a Retry-After wait, drawn for each destination
      */
-    record Kind(int batch, boolean byCount, Range tellsWait) {
+    record Kind(int batch, boolean byCount, UniformRange tellsWait) {
     }
 
     int zones() {
--- a/src/main/java/kestreldeal/scale/fleet/FleetSettings.java
+++ b/src/main/java/kestreldeal/scale/fleet/FleetSettings.java
@@ -14,7 +14,7 @@
  * @param model parameters of the simulated environment
  */
 record FleetSettings(int senders, int destinations, double rate, double seconds, long seed, Scenario scenario,
-                     boolean falls, Model model) {
+                     boolean falls, FleetModel model) {
     /** Checks that the numbers are positive. */
     FleetSettings {
         if (senders < 1 || destinations < 1 || !(rate > 0) || !(seconds > 0)) {
--- a/src/main/java/kestreldeal/scale/fleet/Fleet.java
+++ b/src/main/java/kestreldeal/scale/fleet/FleetSimulation.java
@@ -15,7 +15,7 @@
  * equal counts, no real clock is read, and each part has a random number generator of its own, so that a part that
  * draws more numbers does not change the others.
  */
-final class Fleet {
+final class FleetSimulation {
     private static final double AFTERWARDS_MS = 25_000;
     private static final int MOST_ENDPOINTS = 4;
 
@@ -23,54 +23,54 @@
     private final RelayFactory factory;
     private final Relay.Settings relaySettings;
     private final int mostOpen;
-    private final World world = new World();
+    private final SimulationClock world = new SimulationClock();
     private final Counts counts = new Counts();
     private final Random seeds;
     private final Random endpointRandom;
-    private final Network network;
-    private final Ledger ledger;
-    private final Directory directory;
-    private final Faults faults;
-    private final Clients clients;
-    private final List<Partner> partners = new ArrayList<>();
-    private final Map<Long, HollowEndpoint> endpoints = new LinkedHashMap<>();
-    private final List<HollowSender> senders = new ArrayList<>();
+    private final SimulatedNetwork network;
+    private final InvariantChecker ledger;
+    private final SimulatedDiscovery directory;
+    private final FaultInjector faults;
+    private final SimulatedClients clients;
+    private final List<SimulatedDestination> partners = new ArrayList<>();
+    private final Map<Long, SimulatedEndpoint> endpoints = new LinkedHashMap<>();
+    private final List<SimulatedSender> senders = new ArrayList<>();
 
     /** Creates instances of the decision module; tests use it to make them break a rule. */
     interface RelayFactory {
         Relay create(Relay.Settings settings, long seed, Relay.Actions actions);
     }
 
-    Fleet(FleetSettings settings) {
+    FleetSimulation(FleetSettings settings) {
         this(settings, Relay::create);
     }
 
-    Fleet(FleetSettings settings, RelayFactory factory) {
+    FleetSimulation(FleetSettings settings, RelayFactory factory) {
         this.settings = settings;
         this.factory = factory;
-        Model model = settings.model();
+        FleetModel model = settings.model();
         this.relaySettings = model.settings(settings.senders(), settings.messagesPerSecond());
         this.mostOpen = model.mostOpen(settings.senders(), settings.messagesPerSecond());
         this.seeds = new Random(settings.seed());
         this.endpointRandom = stream();
-        this.network = new Network(model, stream());
-        this.ledger = new Ledger(world, relaySettings, settings.senders(), counts);
+        this.network = new SimulatedNetwork(model, stream());
+        this.ledger = new InvariantChecker(world, relaySettings, settings.senders(), counts);
         IntStream.range(0, settings.senders())
-                .forEach(i -> senders.add(new HollowSender(i, i % model.zones(), this)));
-        this.directory = new Directory(this, stream());
-        Parts traffic = Parts.zipf(settings.destinations(), model.zipf());
+                .forEach(i -> senders.add(new SimulatedSender(i, i % model.zones(), this)));
+        this.directory = new SimulatedDiscovery(this, stream());
+        WeightedSampler traffic = WeightedSampler.zipf(settings.destinations(), model.zipf());
         addPartners(traffic, stream());
-        this.clients = new Clients(this, traffic, settings.seconds() * 1000, stream());
-        this.faults = new Faults(this, stream());
+        this.clients = new SimulatedClients(this, traffic, settings.seconds() * 1000, stream());
+        this.faults = new FaultInjector(this, stream());
     }
 
     private Random stream() {
         return new Random(seeds.nextLong());
     }
 
-    private void addPartners(Parts traffic, Random random) {
+    private void addPartners(WeightedSampler traffic, Random random) {
         for (int i = 0; i < settings.destinations(); i++) {
-            Partner partner = new Partner(i, settings.messagesPerSecond() * traffic.of(i), settings,
+            SimulatedDestination partner = new SimulatedDestination(i, settings.messagesPerSecond() * traffic.of(i), settings,
                     relaySettings.slowStart(), counts, stream());
             partners.add(partner);
             int many = 1;
@@ -88,32 +88,32 @@
      *
      * @throws Broken at the first violation of an invariant
      */
-    Counts run(World.Watch watch) {
-        senders.forEach(HollowSender::start);
+    Counts run(SimulationClock.Observer watch) {
+        senders.forEach(SimulatedSender::start);
         clients.start();
         faults.start();
         world.run(settings.seconds() * 1000 + AFTERWARDS_MS, watch);
         if (ledger.open() > 0) {
-            throw new Broken(world.now(), ledger.open() + " messages have no final result at the end of the run");
+            throw new InvariantViolationException(world.now(), ledger.open() + " messages have no final result at the end of the run");
         }
-        partners.forEach(Partner::coldReturnOver);
+        partners.forEach(SimulatedDestination::coldReturnOver);
         return counts;
     }
 
     /** A recovering destination got more calls than its load budget: it collapses into another outage. */
-    void fall(Partner partner, ColdReturn.Window window) {
+    void fall(SimulatedDestination partner, DestinationRecovery.LoadWindow window) {
         counts.falls++;
         counts.brokenReturns += window.isTold() ? 1 : 0;
-        faults.outage(partner, HollowEndpoint.State.REFUSING, world.now() + settings.model().outageMs().most());
+        faults.outage(partner, SimulatedEndpoint.State.REFUSING, world.now() + settings.model().outageMs().most());
     }
 
     /** Adds an endpoint with the same capacity as the others of its destination; it is not in any list yet. */
-    HollowEndpoint newEndpoint(Partner partner, int zone) {
+    SimulatedEndpoint newEndpoint(SimulatedDestination partner, int zone) {
         return newEndpoint(partner, zone, partner.endpoints.size());
     }
 
-    private HollowEndpoint newEndpoint(Partner partner, int zone, int of) {
-        HollowEndpoint endpoint = new HollowEndpoint(endpoints.size() + 1L, partner, zone, of, this, endpointRandom);
+    private SimulatedEndpoint newEndpoint(SimulatedDestination partner, int zone, int of) {
+        SimulatedEndpoint endpoint = new SimulatedEndpoint(endpoints.size() + 1L, partner, zone, of, this, endpointRandom);
         partner.endpoints.add(endpoint);
         endpoints.put(endpoint.id, endpoint);
         return endpoint;
@@ -137,7 +137,7 @@
         return mostOpen;
     }
 
-    World world() {
+    SimulationClock world() {
         return world;
     }
 
@@ -145,35 +145,35 @@
         return counts;
     }
 
-    Network network() {
+    SimulatedNetwork network() {
         return network;
     }
 
-    Ledger ledger() {
+    InvariantChecker ledger() {
         return ledger;
     }
 
-    Directory directory() {
+    SimulatedDiscovery directory() {
         return directory;
     }
 
-    Clients clients() {
+    SimulatedClients clients() {
         return clients;
     }
 
-    List<Partner> partners() {
+    List<SimulatedDestination> partners() {
         return Collections.unmodifiableList(partners);
     }
 
-    List<HollowSender> senders() {
+    List<SimulatedSender> senders() {
         return Collections.unmodifiableList(senders);
     }
 
-    List<HollowEndpoint> endpoints() {
+    List<SimulatedEndpoint> endpoints() {
         return List.copyOf(endpoints.values());
     }
 
-    HollowEndpoint endpoint(long id) {
+    SimulatedEndpoint endpoint(long id) {
         return endpoints.get(id);
     }
 }
--- a/src/main/java/kestreldeal/scale/fleet/Ledger.java
+++ b/src/main/java/kestreldeal/scale/fleet/InvariantChecker.java
@@ -11,10 +11,10 @@
 /**
  * Checks the invariants of every message and call, from what the simulated environment observes and independently of
  * the decision module: one final result in time, no second run of a message that must not run twice, repeats only
- * within their deduplication window, no calls to a draining endpoint, Retry-After waits observed. Throws {@link Broken}
+ * within their deduplication window, no calls to a draining endpoint, Retry-After waits observed. Throws {@link InvariantViolationException}
  * at a violation, which ends the run.
  */
-final class Ledger {
+final class InvariantChecker {
     /** A final result may come this long after the deadline of its message. */
     private static final double GRACE_MS = 20;
     /** A restarted sender has this long to complete messages whose deadline has passed. */
@@ -24,15 +24,15 @@
     /** Tolerance that is added to the drain limit. */
     private static final double SLACK_MS = 50;
 
-    private final World world;
+    private final SimulationClock world;
     private final Relay.Settings settings;
     private final Counts counts;
-    private final List<Word> words = new ArrayList<>();
+    private final List<Notifications> words = new ArrayList<>();
     private final Map<Long, Double> drainPublished = new HashMap<>();
-    private final Map<Long, SimMessage> open = new HashMap<>();
+    private final Map<Long, SimulatedMessage> open = new HashMap<>();
 
     /** What one sender has been notified of. */
-    private static final class Word {
+    private static final class Notifications {
         final Map<Integer, Wait> waits = new HashMap<>();
         final Map<Long, Double> drains = new HashMap<>();
     }
@@ -40,17 +40,17 @@
     private record Wait(double toldAt, double until) {
     }
 
-    Ledger(World world, Relay.Settings settings, int senders, Counts counts) {
+    InvariantChecker(SimulationClock world, Relay.Settings settings, int senders, Counts counts) {
         this.world = world;
         this.settings = settings;
         this.counts = counts;
         for (int i = 0; i < senders; i++) {
-            words.add(new Word());
+            words.add(new Notifications());
         }
     }
 
     /** Records that a sender has accepted a message, which must now get a final result. */
-    void taken(SimMessage message) {
+    void taken(SimulatedMessage message) {
         if (open.put(message.id, message) != null) {
             throw broken(message, "accepted twice");
         }
@@ -58,15 +58,15 @@
     }
 
     /** Records that a restarted sender has restored a message of its previous process. */
-    void resumed(SimMessage message) {
+    void resumed(SimulatedMessage message) {
         dueAt(message, Math.max(message.deadline + GRACE_MS, world.now() + READY_GRACE_MS));
     }
 
-    void restarted(HollowSender sender) {
+    void restarted(SimulatedSender sender) {
         words.get(sender.number).waits.clear();
     }
 
-    private void dueAt(SimMessage message, double time) {
+    private void dueAt(SimulatedMessage message, double time) {
         world.at(time, () -> {
             // The messages of a sender that is down become due after its restart.
             if (message.ended || !message.sender.isAlive()) {
@@ -82,7 +82,7 @@
     }
 
     /** Checks an attempt that the module has decided; it is not yet in the message's list of attempts. */
-    void sent(SimMessage message, HollowEndpoint endpoint) {
+    void sent(SimulatedMessage message, SimulatedEndpoint endpoint) {
         if (message.ended) {
             throw broken(message, "sent after its final result");
         }
@@ -93,7 +93,7 @@
             throw broken(message, "sent more than " + settings.maxAttempts() + " times");
         }
         boolean unsafe = type(message).effect() == Relay.Effect.UNSAFE;
-        if (unsafe && message.attempts.stream().anyMatch(SimMessage.Attempt::mayHaveRun)) {
+        if (unsafe && message.attempts.stream().anyMatch(SimulatedMessage.Attempt::mayHaveRun)) {
             throw broken(message, "sent again, though it must not run twice and may have run");
         }
         if (!settings.hedging() && message.out() > 0) {
@@ -106,13 +106,13 @@
      * Checks that an attempt of a keyed message is within the deduplication window, which starts with the first attempt
      * that may have run. Both the decision and the write of an attempt must be in it.
      */
-    private void keepWindow(SimMessage message, int attempt, String what) {
+    private void keepWindow(SimulatedMessage message, int attempt, String what) {
         Relay.MessageClass type = type(message);
         if (type.effect() != Relay.Effect.KEYED) {
             return;
         }
         double now = world.now();
-        message.attempts.subList(0, attempt).stream().filter(SimMessage.Attempt::mayHaveRun).findFirst()
+        message.attempts.subList(0, attempt).stream().filter(SimulatedMessage.Attempt::mayHaveRun).findFirst()
                 .filter(first -> now > first.sentAt + type.dedupWindowMs()).ifPresent(first -> {
                     throw broken(message, String.format(Locale.ROOT, "%s %.0f ms after it may have run, outside its "
                             + "window", what, now - first.sentAt));
@@ -120,13 +120,13 @@
     }
 
     /** Checks an attempt that is written to its endpoint; it is in the message's list of attempts. */
-    void written(SimMessage message, int number, HollowEndpoint endpoint) {
+    void written(SimulatedMessage message, int number, SimulatedEndpoint endpoint) {
         double now = world.now();
         if (message.ended) {
             throw broken(message, "written after its final result");
         }
         keepWindow(message, number, "written");
-        Word word = words.get(message.sender.number);
+        Notifications word = words.get(message.sender.number);
         Optional.ofNullable(word.waits.get(endpoint.partner.id)).filter(w -> now > w.toldAt && now < w.until)
                 .ifPresent(w -> {
                     throw broken(message, String.format(Locale.ROOT, "written to destination %d by sender %d, %.1f ms "
@@ -140,7 +140,7 @@
         });
     }
 
-    private void afterWord(SimMessage message, HollowEndpoint endpoint, double ms) {
+    private void afterWord(SimulatedMessage message, SimulatedEndpoint endpoint, double ms) {
         counts.callsAfterWord++;
         counts.afterWordMs = Math.max(counts.afterWordMs, ms);
         if (ms > DRAIN_GRACE_MS + SLACK_MS) {
@@ -155,7 +155,7 @@
     }
 
     /** Records that a sender has been notified of a list entry. */
-    void listed(HollowSender sender, Relay.Endpoint entry) {
+    void listed(SimulatedSender sender, Relay.Endpoint entry) {
         mark(words.get(sender.number).drains, entry);
     }
 
@@ -169,29 +169,29 @@
     }
 
     /** Records that a response with a Retry-After wait has reached a sender; the longest wait counts. */
-    void waitTold(HollowSender sender, Partner partner, double waitMs) {
+    void waitTold(SimulatedSender sender, SimulatedDestination partner, double waitMs) {
         double now = world.now();
         words.get(sender.number).waits.merge(partner.id, new Wait(now, now + waitMs),
                 (a, b) -> a.until >= b.until ? a : b);
     }
 
-    void delivered(SimMessage message) {
+    void delivered(SimulatedMessage message) {
         end(message);
     }
 
-    void refused(SimMessage message) {
+    void refused(SimulatedMessage message) {
         end(message);
         boolean unsafe = type(message).effect() == Relay.Effect.UNSAFE;
-        if (unsafe && message.attempts.stream().anyMatch(SimMessage.Attempt::mayHaveRun)) {
+        if (unsafe && message.attempts.stream().anyMatch(SimulatedMessage.Attempt::mayHaveRun)) {
             throw broken(message, "rejected, though it must not run twice and may have run");
         }
     }
 
-    void failed(SimMessage message) {
+    void failed(SimulatedMessage message) {
         end(message);
     }
 
-    private void end(SimMessage message) {
+    private void end(SimulatedMessage message) {
         if (message.ended) {
             throw broken(message, "a second final result");
         }
@@ -204,11 +204,11 @@
         return open.size();
     }
 
-    private Relay.MessageClass type(SimMessage message) {
+    private Relay.MessageClass type(SimulatedMessage message) {
         return settings.classes().get(message.asked.messageClass);
     }
 
-    private Broken broken(SimMessage message, String what) {
-        return new Broken(world.now(), "message " + message.id + ": " + what);
+    private InvariantViolationException broken(SimulatedMessage message, String what) {
+        return new InvariantViolationException(world.now(), "message " + message.id + ": " + what);
     }
 }
--- a/src/main/java/kestreldeal/scale/fleet/Broken.java
+++ b/src/main/java/kestreldeal/scale/fleet/InvariantViolationException.java
@@ -3,10 +3,10 @@
 import java.util.Locale;
 
 /** Violation of an invariant; its text has the simulated time and the id of the message, if one is concerned. */
-final class Broken extends RuntimeException {
+final class InvariantViolationException extends RuntimeException {
     private static final long serialVersionUID = 1;
 
-    Broken(double nowMs, String what) {
+    InvariantViolationException(double nowMs, String what) {
         super(String.format(Locale.ROOT, "invariant violated at %.3f s: %s", nowMs / 1000, what));
     }
 }
--- a/src/main/java/kestreldeal/scale/fleet/Limit.java
+++ b/src/main/java/kestreldeal/scale/fleet/RateLimit.java
@@ -1,7 +1,7 @@
 package kestreldeal.scale.fleet;
 
 /** The rate limit of a destination for the calls of all senders together; refused calls do not use it up. */
-interface Limit {
+interface RateLimit {
     /** Admits a call if the limit allows it. */
     boolean take(double now);
 
@@ -17,8 +17,8 @@
      * @param perMs refill rate in calls per millisecond
      * @param depth bucket size in calls; treated as 1 if smaller
      */
-    static Limit byRate(double perMs, double depth) {
-        return new Limit() {
+    static RateLimit byRate(double perMs, double depth) {
+        return new RateLimit() {
             private double room = Math.max(1, depth);
             private double at;
 
@@ -55,8 +55,8 @@
      * @param perMs mean calls per millisecond
      * @param spanMs length of a window; the first starts at time 0
      */
-    static Limit byCount(double perMs, double spanMs) {
-        return new Limit() {
+    static RateLimit byCount(double perMs, double spanMs) {
+        return new RateLimit() {
             private final long most = Math.max(1, Math.round(perMs * spanMs));
             private long span = -1;
             private long taken;
--- a/src/main/java/kestreldeal/scale/fleet/Clients.java
+++ b/src/main/java/kestreldeal/scale/fleet/SimulatedClients.java
@@ -3,30 +3,30 @@
 import java.util.Arrays;
 import java.util.Random;
 import kestreldeal.Relay;
-import kestreldeal.scale.fleet.SimMessage.Asked;
+import kestreldeal.scale.fleet.SimulatedMessage.ClientRequest;
 
 /**
  * Clients behind a load balancer. Messages arrive as a Poisson process, spread unevenly over destinations and senders;
  * some arrive in bursts for one destination. Some clients retry once after a rejection, no earlier than the rejection
  * asks. Clients of a sender that is down go to another one; the load balancer notices late that a sender is down.
  */
-final class Clients {
+final class SimulatedClients {
     /** How often the load balancer draws another sender, if the drawn one is known to be down. */
     private static final int FRONT_DRAWS = 8;
 
-    private final Fleet fleet;
-    private final World world;
-    private final Model model;
+    private final FleetSimulation fleet;
+    private final SimulationClock world;
+    private final FleetModel model;
     private final Random random;
     private final double end;
-    private final Parts partnerParts;
-    private final Parts senderParts;
+    private final WeightedSampler partnerParts;
+    private final WeightedSampler senderParts;
     private final double unsafeAmongLarge;
     private final double meanClump;
     private long lastId;
 
     /** Creates clients that submit messages until the end time, with the given distribution over destinations. */
-    Clients(Fleet fleet, Parts partnerParts, double end, Random random) {
+    SimulatedClients(FleetSimulation fleet, WeightedSampler partnerParts, double end, Random random) {
         this.fleet = fleet;
         this.world = fleet.world();
         this.model = fleet.settings().model();
@@ -35,11 +35,11 @@
         this.partnerParts = partnerParts;
         double[] parts = new double[fleet.settings().senders()];
         Arrays.setAll(parts, i -> Math.exp(model.senderSpread() * random.nextGaussian()));
-        this.senderParts = new Parts(parts);
+        this.senderParts = new WeightedSampler(parts);
         double middle = (model.clumpS().least() + model.clumpS().most()) / 2;
         double large = 0;
         double clump = 0;
-        for (Partner partner : fleet.partners()) {
+        for (SimulatedDestination partner : fleet.partners()) {
             double part = partnerParts.of(partner.id);
             large += partner.kind == 0 ? part : 0;
             clump += part * clumpSize(partner, middle);
@@ -66,13 +66,13 @@
     }
 
     private void single() {
-        Partner partner = fleet.partners().get(partnerParts.draw(random));
+        SimulatedDestination partner = fleet.partners().get(partnerParts.draw(random));
         handIn(asked(partner), senderParts.draw(random));
     }
 
     /** Submits a burst at one time; half of the bursts go to a single sender. */
     private void clump() {
-        Partner partner = fleet.partners().get(partnerParts.draw(random));
+        SimulatedDestination partner = fleet.partners().get(partnerParts.draw(random));
         int size = clumpSize(partner, model.clumpS().draw(random));
         boolean together = random.nextBoolean();
         int sender = senderParts.draw(random);
@@ -81,21 +81,21 @@
         }
     }
 
-    private static int clumpSize(Partner partner, double seconds) {
+    private static int clumpSize(SimulatedDestination partner, double seconds) {
         return (int) Math.max(1, Math.round(partner.limitPerSecond * seconds));
     }
 
-    private Asked asked(Partner partner) {
+    private ClientRequest asked(SimulatedDestination partner) {
         fleet.counts().asked++;
-        int messageClass = partner.kind == 0 && random.nextDouble() < unsafeAmongLarge ? Model.UNSAFE : Model.KEYED;
+        int messageClass = partner.kind == 0 && random.nextDouble() < unsafeAmongLarge ? FleetModel.UNSAFE : FleetModel.KEYED;
         double deadline = fleet.relaySettings().classes().get(messageClass).deadlineMs();
         int tries = random.nextDouble() < model.comesAgain() ? 1 : 0;
-        return new Asked(messageClass, partner, world.now(), world.now() + deadline, tries);
+        return new ClientRequest(messageClass, partner, world.now(), world.now() + deadline, tries);
     }
 
     /** Submits to the given sender, or to another one if the load balancer knows that this one is down. */
-    private void handIn(Asked asked, int first) {
-        HollowSender sender = fleet.senders().get(first);
+    private void handIn(ClientRequest asked, int first) {
+        SimulatedSender sender = fleet.senders().get(first);
         for (int i = 0; i < FRONT_DRAWS && isKnownDead(sender); i++) {
             sender = fleet.senders().get(senderParts.draw(random));
         }
@@ -108,14 +108,14 @@
             return;
         }
         fleet.counts().handedIn++;
-        sender.take(new SimMessage(++lastId, asked, sender, asked.deadline));
+        sender.take(new SimulatedMessage(++lastId, asked, sender, asked.deadline));
     }
 
-    private boolean isKnownDead(HollowSender sender) {
+    private boolean isKnownDead(SimulatedSender sender) {
         return !sender.takes() && world.now() > sender.stoppedAt() + model.frontNoticeMs().draw(random);
     }
 
-    private void turnedAway(Asked asked) {
+    private void turnedAway(ClientRequest asked) {
         if (asked.triesLeft-- > 0) {
             later(asked, model.backoffMs().draw(random), () -> fleet.counts().turnedAway++);
         } else {
@@ -124,7 +124,7 @@
     }
 
     /** Retries after a delay, or records the failure if the deadline would have passed by then. */
-    private void later(Asked asked, double ms, Runnable nothing) {
+    private void later(ClientRequest asked, double ms, Runnable nothing) {
         if (world.now() + ms >= asked.deadline) {
             nothing.run();
         } else {
@@ -133,8 +133,8 @@
     }
 
     /** A sender has rejected a message. */
-    void refused(SimMessage message, double waitMs) {
-        Asked asked = message.asked;
+    void refused(SimulatedMessage message, double waitMs) {
+        ClientRequest asked = message.asked;
         if (asked.triesLeft-- > 0) {
             later(asked, Math.max(waitMs, model.backoffMs().draw(random)), () -> fleet.counts().refusedToClients++);
         } else {
@@ -143,11 +143,11 @@
     }
 
     /** A sender has reported a message as failed; clients do not retry it. */
-    void failed(SimMessage message) {
+    void failed(SimulatedMessage message) {
         fleet.counts().failed++;
     }
 
-    void delivered(SimMessage message) {
+    void delivered(SimulatedMessage message) {
         double took = world.now() - message.asked.at;
         Relay.MessageClass type = fleet.relaySettings().classes().get(message.asked.messageClass);
         fleet.counts().delivered(took, took <= type.targetLatencyMs());
--- a/src/main/java/kestreldeal/scale/fleet/Partner.java
+++ b/src/main/java/kestreldeal/scale/fleet/SimulatedDestination.java
@@ -11,34 +11,34 @@
  * A destination: its endpoints, the rate limit that they share, and its outages. It is in an outage while none of its
  * endpoints serves, and recovers from it when one serves again.
  */
-final class Partner {
+final class SimulatedDestination {
     final int id;
     final int kind;
-    final Model.Kind type;
-    final Limit limit;
+    final FleetModel.Kind type;
+    final RateLimit limit;
     /** The rate limit in calls per second, and the inaccurate value of it in the list. */
     final double limitPerSecond;
     final double listedPerSecond;
     /** Capacity after recovery, in calls per millisecond. */
     final double capacityPerMs;
-    final List<HollowEndpoint> endpoints = new ArrayList<>();
-    private final Model model;
+    final List<SimulatedEndpoint> endpoints = new ArrayList<>();
+    private final FleetModel model;
     private final Relay.SlowStart rule;
     private final Counts counts;
     private final Random random;
     private final double waitMs;
     private final double tellsWait;
     private final BitSet toldSenders = new BitSet();
-    private Optional<ColdReturn> cold = Optional.empty();
+    private Optional<DestinationRecovery> cold = Optional.empty();
     private boolean out;
     private double outAt;
     private double backAt;
-    private HollowEndpoint.State outBy = HollowEndpoint.State.SERVING;
+    private SimulatedEndpoint.State outBy = SimulatedEndpoint.State.SERVING;
     private Relay.LoadReport report = Relay.LoadReport.NONE;
     private double reportUntil;
 
     /** Creates a destination for the given mean traffic. */
-    Partner(int id, double messagesPerSecond, FleetSettings settings, Relay.SlowStart rule, Counts counts,
+    SimulatedDestination(int id, double messagesPerSecond, FleetSettings settings, Relay.SlowStart rule, Counts counts,
             Random random) {
         this.id = id;
         this.model = settings.model();
@@ -55,8 +55,8 @@
         this.waitMs = model.waitMs().draw(random);
         this.tellsWait = type.tellsWait().draw(random);
         double perMs = limitPerSecond / 1000;
-        this.limit = type.byCount() ? Limit.byCount(perMs, model.windowMs().draw(random))
-                : Limit.byRate(perMs, limitPerSecond * model.depthS().draw(random));
+        this.limit = type.byCount() ? RateLimit.byCount(perMs, model.windowMs().draw(random))
+                : RateLimit.byRate(perMs, limitPerSecond * model.depthS().draw(random));
     }
 
     /** The Retry-After wait of a call refused by the rate limit, or 0 for none; it is always long enough. */
@@ -97,8 +97,8 @@
     }
 
     /** Updates the outage after an endpoint has started or stopped serving. */
-    void endpointChanged(double now, HollowEndpoint.State state) {
-        boolean serves = endpoints.stream().anyMatch(HollowEndpoint::serves);
+    void endpointChanged(double now, SimulatedEndpoint.State state) {
+        boolean serves = endpoints.stream().anyMatch(SimulatedEndpoint::serves);
         if (serves == !out) {
             return;
         }
@@ -112,19 +112,19 @@
             counts.outages++;
         } else {
             backAt = now;
-            cold = Optional.of(new ColdReturn(capacityPerMs, rule, now, outBy));
+            cold = Optional.of(new DestinationRecovery(capacityPerMs, rule, now, outBy));
         }
     }
 
     /** Notes that a sender has learned of the outage, by a failed or refused call that it made during it. */
-    void told(HollowSender sender, double calledAt) {
+    void told(SimulatedSender sender, double calledAt) {
         if (calledAt >= outAt && calledAt < backAt) {
             toldSenders.set(sender.number);
         }
     }
 
     /** Records a call that has arrived; returns the window that it takes over the load budget, if it does. */
-    Optional<ColdReturn.Window> arrived(double now, Call call) {
+    Optional<DestinationRecovery.LoadWindow> arrived(double now, Call call) {
         if (cold.filter(c -> c.isOver(now)).isPresent()) {
             coldReturnOver();
         }
--- a/src/main/java/kestreldeal/scale/fleet/Directory.java
+++ b/src/main/java/kestreldeal/scale/fleet/SimulatedDiscovery.java
@@ -12,9 +12,9 @@
  * delay. A sender that runs has an update as soon as its agent has it. An agent that is partitioned from the zone of a
  * change, or whose machine is down, gets the change afterwards.
  */
-final class Directory {
-    private final Fleet fleet;
-    private final World world;
+final class SimulatedDiscovery {
+    private final FleetSimulation fleet;
+    private final SimulationClock world;
     private final Random random;
     private final Map<Long, Relay.Endpoint> first = new LinkedHashMap<>();
     private final List<Agent> agents = new ArrayList<>();
@@ -46,7 +46,7 @@
         }
     }
 
-    Directory(Fleet fleet, Random random) {
+    SimulatedDiscovery(FleetSimulation fleet, Random random) {
         this.fleet = fleet;
         this.world = fleet.world();
         this.random = random;
@@ -56,17 +56,17 @@
     }
 
     /** Adds an endpoint to the initial list. */
-    void add(HollowEndpoint endpoint) {
+    void add(SimulatedEndpoint endpoint) {
         first.put(endpoint.id, entry(endpoint, true, false));
     }
 
     /** Changes the entry of an endpoint; discovery publishes the change after a delay. */
-    void change(HollowEndpoint endpoint, boolean serving, boolean gone) {
+    void change(SimulatedEndpoint endpoint, boolean serving, boolean gone) {
         Relay.Endpoint entry = entry(endpoint, serving, gone);
         world.in(fleet.settings().model().noticeMs().draw(random), () -> publish(entry, endpoint.zone));
     }
 
-    private static Relay.Endpoint entry(HollowEndpoint e, boolean serving, boolean gone) {
+    private static Relay.Endpoint entry(SimulatedEndpoint e, boolean serving, boolean gone) {
         return new Relay.Endpoint(e.id, e.partner.id, e.partner.kind, e.zone, serving, e.partner.listedPerSecond, gone);
     }
 
@@ -76,11 +76,11 @@
         fleet.senders().forEach(sender -> tellLater(sender, change));
     }
 
-    private void tellLater(HollowSender sender, Change change) {
+    private void tellLater(SimulatedSender sender, Change change) {
         world.in(fleet.settings().model().spreadMs().draw(random), () -> tell(sender, change));
     }
 
-    private void tell(HollowSender sender, Change change) {
+    private void tell(SimulatedSender sender, Change change) {
         Agent agent = agents.get(sender.number);
         if (agent.lost || !fleet.network().passes(change.zone, sender.zone)) {
             agent.missed.add(change);
@@ -104,13 +104,13 @@
     }
 
     /** Notes that the machine of a sender, with its agent, has failed or is back. */
-    void machine(HollowSender sender, boolean lost) {
+    void machine(SimulatedSender sender, boolean lost) {
         agents.get(sender.number).lost = lost;
     }
 
     /** Delivers, after the usual delay, what agents have missed while they were partitioned or down. */
     void reachable() {
-        for (HollowSender sender : fleet.senders()) {
+        for (SimulatedSender sender : fleet.senders()) {
             Agent agent = agents.get(sender.number);
             agent.reachedSince = agent.missed.isEmpty() ? agent.reachedSince : world.now();
             List.copyOf(agent.missed).forEach(change -> tellLater(sender, change));
@@ -119,7 +119,7 @@
     }
 
     /** The full list of a sender's agent, without removed entries. */
-    List<Relay.Endpoint> listAt(HollowSender sender) {
+    List<Relay.Endpoint> listAt(SimulatedSender sender) {
         Map<Long, Relay.Endpoint> list = new LinkedHashMap<>(first);
         agents.get(sender.number).heard.forEach((id, change) -> list.put(id, change.entry));
         return list.values().stream().filter(entry -> !entry.removed()).toList();
--- a/src/main/java/kestreldeal/scale/fleet/HollowEndpoint.java
+++ b/src/main/java/kestreldeal/scale/fleet/SimulatedEndpoint.java
@@ -15,14 +15,14 @@
  * A simulated endpoint: a number of cores with a bounded queue, behind the rate limit of its destination, with
  * injected faults. Its service times are longer while its destination recovers from an outage.
  */
-final class HollowEndpoint {
+final class SimulatedEndpoint {
     /** Service time of a call that fails with an injected error. */
     private static final double ERROR_MS = 20;
 
     final long id;
-    final Partner partner;
+    final SimulatedDestination partner;
     final int zone;
-    private final Fleet fleet;
+    private final FleetSimulation fleet;
     private final Random random;
     private final double meanMs;
     private final double itemCost;
@@ -54,8 +54,8 @@
         SHUT
     }
 
-    HollowEndpoint(long id, Partner partner, int zone, int of, Fleet fleet, Random random) {
-        Model model = fleet.settings().model();
+    SimulatedEndpoint(long id, SimulatedDestination partner, int zone, int of, FleetSimulation fleet, Random random) {
+        FleetModel model = fleet.settings().model();
         this.id = id;
         this.partner = partner;
         this.zone = zone;
@@ -141,7 +141,7 @@
             return;
         }
         fleet.counts().callsReceived++;
-        Optional<ColdReturn.Window> tooMuch = partner.arrived(now, call);
+        Optional<DestinationRecovery.LoadWindow> tooMuch = partner.arrived(now, call);
         if (tooMuch.isPresent() && fleet.settings().falls()) {
             fleet.fall(partner, tooMuch.get());
             return;
@@ -179,7 +179,7 @@
     }
 
     private void serve(Call call) {
-        Model model = fleet.settings().model();
+        FleetModel model = fleet.settings().model();
         running.add(call);
         int epochThen = epoch;
         double spread = model.workSpread();
@@ -206,7 +206,7 @@
     private void answer(Call call, Outcome outcome, double waitMs) {
         Relay.LoadReport report = outcome == Outcome.DELIVERED || outcome == Outcome.FULL
                 ? partner.report(fleet.world().now()) : Relay.LoadReport.NONE;
-        Network network = fleet.network();
+        SimulatedNetwork network = fleet.network();
         fleet.world().in(network.delay(zone, call.sender.zone), () -> {
             if (network.passes(zone, call.sender.zone)) {
                 call.sender.answered(call, outcome, waitMs, report);
--- a/src/main/java/kestreldeal/scale/fleet/SimMessage.java
+++ b/src/main/java/kestreldeal/scale/fleet/SimulatedMessage.java
@@ -6,15 +6,15 @@
 import kestreldeal.Relay;
 
 /** A message that a sender has accepted, with what a journal would store of it; it outlasts the sender's process. */
-final class SimMessage {
+final class SimulatedMessage {
     final long id;
-    final Asked asked;
-    final HollowSender sender;
+    final ClientRequest asked;
+    final SimulatedSender sender;
     final double deadline;
     final List<Attempt> attempts = new ArrayList<>();
     boolean ended;
 
-    SimMessage(long id, Asked asked, HollowSender sender, double deadline) {
+    SimulatedMessage(long id, ClientRequest asked, SimulatedSender sender, double deadline) {
         this.id = id;
         this.asked = asked;
         this.sender = sender;
@@ -26,14 +26,14 @@
     }
 
     /** What a client wants delivered; a retry submits the same request again, as another message. */
-    static final class Asked {
+    static final class ClientRequest {
         final int messageClass;
-        final Partner partner;
+        final SimulatedDestination partner;
         final double at;
         final double deadline;
         int triesLeft;
 
-        Asked(int messageClass, Partner partner, double at, double deadline, int triesLeft) {
+        ClientRequest(int messageClass, SimulatedDestination partner, double at, double deadline, int triesLeft) {
             this.messageClass = messageClass;
             this.partner = partner;
             this.at = at;
@@ -44,11 +44,11 @@
 
     /** One attempt, which is in flight until it has an outcome. */
     static final class Attempt {
-        final HollowEndpoint endpoint;
+        final SimulatedEndpoint endpoint;
         final double sentAt;
         Optional<Relay.Outcome> outcome = Optional.empty();
 
-        Attempt(HollowEndpoint endpoint, double sentAt) {
+        Attempt(SimulatedEndpoint endpoint, double sentAt) {
             this.endpoint = endpoint;
             this.sentAt = sentAt;
         }
--- a/src/main/java/kestreldeal/scale/fleet/Network.java
+++ b/src/main/java/kestreldeal/scale/fleet/SimulatedNetwork.java
@@ -3,14 +3,14 @@
 import java.util.Random;
 
 /** Network delays between zones, and partitions: a packet that would cross a partition is dropped silently. */
-final class Network {
+final class SimulatedNetwork {
     private static final int NONE = -1;
 
-    private final Model model;
+    private final FleetModel model;
     private final Random random;
     private int isolated = NONE;
 
-    Network(Model model, Random random) {
+    SimulatedNetwork(FleetModel model, Random random) {
         this.model = model;
         this.random = random;
     }
--- a/src/main/java/kestreldeal/scale/fleet/HollowSender.java
+++ b/src/main/java/kestreldeal/scale/fleet/SimulatedSender.java
@@ -15,7 +15,7 @@
  * same time into a turn, sends the calls that a turn decides, opens connections and times attempts out. What a journal
  * would store survives a restart: pending messages with their attempts, and the endpoint health saved by the module.
  */
-final class HollowSender implements Relay.Actions {
+final class SimulatedSender implements Relay.Actions {
     /** A repeated attempt of a keyed message is no longer written this short a time before its window ends. */
     private static final double WRITTEN_MARGIN_MS = 100;
     /** In a graceful restart: time until the announced end, until the kill, and from the kill to the next start. */
@@ -25,13 +25,13 @@
 
     final int number;
     final int zone;
-    private final Fleet fleet;
-    private final World world;
-    private final Map<Long, SimMessage> held = new LinkedHashMap<>();
+    private final FleetSimulation fleet;
+    private final SimulationClock world;
+    private final Map<Long, SimulatedMessage> held = new LinkedHashMap<>();
     /** The pending messages, and completed ones that still have an attempt in flight. */
-    private final Map<Long, SimMessage> known = new HashMap<>();
+    private final Map<Long, SimulatedMessage> known = new HashMap<>();
     private final Map<Long, Relay.EndpointHealth> health = new LinkedHashMap<>();
-    private final Map<Long, Connections> connections = new HashMap<>();
+    private final Map<Long, ConnectionPool> connections = new HashMap<>();
     /** The calls decided in this turn, which start at its end, by endpoint. */
     private final Map<Long, List<Call>> forming = new LinkedHashMap<>();
     private Optional<Relay> relay = Optional.empty();
@@ -44,7 +44,7 @@
     private long wakesAsked;
 
     /** The idle connections to one endpoint. */
-    private static final class Connections {
+    private static final class ConnectionPool {
         int idle;
         int resets;
         double usedAt;
@@ -63,7 +63,7 @@
         }
     }
 
-    HollowSender(int number, int zone, Fleet fleet) {
+    SimulatedSender(int number, int zone, FleetSimulation fleet) {
         this.number = number;
         this.zone = zone;
         this.fleet = fleet;
@@ -89,7 +89,7 @@
         memory = Optional.empty();
     }
 
-    private void resume(Relay r, SimMessage message) {
+    private void resume(Relay r, SimulatedMessage message) {
         fleet.ledger().resumed(message);
         r.messageRestored(world.now(), message(message), message.attempts.stream()
                 .map(a -> new Relay.EarlierAttempt(a.endpoint.id, a.sentAt, a.mayHaveRun())).toList());
@@ -189,14 +189,14 @@
     }
 
     /** Accepts a message from a client. */
-    void take(SimMessage message) {
+    void take(SimulatedMessage message) {
         held.put(message.id, message);
         known.put(message.id, message);
         fleet.ledger().taken(message);
         event(r -> r.messageAccepted(world.now(), message(message)));
     }
 
-    private Relay.Message message(SimMessage m) {
+    private Relay.Message message(SimulatedMessage m) {
         return new Relay.Message(m.id, m.asked.messageClass, 0, Optional.empty(), m.deadline - world.now(),
                 m.asked.partner.id);
     }
@@ -232,8 +232,8 @@
     }
 
     private void end(Call.Item item, Outcome outcome, double waitMs, Relay.LoadReport report) {
-        SimMessage message = item.message();
-        SimMessage.Attempt attempt = item.attempt();
+        SimulatedMessage message = item.message();
+        SimulatedMessage.Attempt attempt = item.attempt();
         attempt.outcome = Optional.of(outcome);
         boolean delivered = outcome == Outcome.DELIVERED;
         if (!delivered && outcome != Outcome.CANCELLED && outcome != Outcome.NOT_SENT) {
@@ -253,12 +253,12 @@
 
     // ---- calls ----
 
-    private Connections connectionsTo(HollowEndpoint endpoint) {
-        return connections.computeIfAbsent(endpoint.id, unknown -> new Connections());
+    private ConnectionPool connectionsTo(SimulatedEndpoint endpoint) {
+        return connections.computeIfAbsent(endpoint.id, unknown -> new ConnectionPool());
     }
 
     private void begin(Call call) {
-        HollowEndpoint to = call.endpoint;
+        SimulatedEndpoint to = call.endpoint;
         if (connectionsTo(to).take(world.now(), fleet.relaySettings().keepAliveMs(), to.resets())) {
             write(call);
         } else {
@@ -267,12 +267,12 @@
     }
 
     private void connect(Call call) {
-        HollowEndpoint to = call.endpoint;
-        Network network = fleet.network();
+        SimulatedEndpoint to = call.endpoint;
+        SimulatedNetwork network = fleet.network();
         double way = network.delay(zone, to.zone);
         fleet.counts().connects++;
         world.in(way, () -> {
-            if (!network.passes(zone, to.zone) || to.state() == HollowEndpoint.State.SILENT) {
+            if (!network.passes(zone, to.zone) || to.state() == SimulatedEndpoint.State.SILENT) {
                 later(call, fleet.settings().model().connectTimeoutMs() - way, this::unreachable);
             } else {
                 later(call, network.delay(to.zone, zone), to.accepts() ? this::write : this::unreachable);
@@ -306,7 +306,7 @@
         call.items.forEach(item -> fleet.ledger().written(item.message(), item.number(), call.endpoint));
         fleet.counts().callsWritten++;
         call.writtenAt = world.now();
-        Network network = fleet.network();
+        SimulatedNetwork network = fleet.network();
         world.in(network.delay(zone, call.endpoint.zone), () -> {
             if (network.passes(zone, call.endpoint.zone)) {
                 call.endpoint.receive(call);
@@ -315,7 +315,7 @@
     }
 
     private boolean mayStillGo(Call.Item item) {
-        SimMessage message = item.message();
+        SimulatedMessage message = item.message();
         if (message.ended || !relay.get().sendAllowed(world.now(), item.attempt().endpoint.id)) {
             return false;
         }
@@ -329,15 +329,15 @@
 
     @Override
     public void send(long id, long endpointId, double timeoutMs) {
-        SimMessage message = known(id, "sent");
-        HollowEndpoint endpoint = fleet.endpoint(endpointId);
+        SimulatedMessage message = known(id, "sent");
+        SimulatedEndpoint endpoint = fleet.endpoint(endpointId);
         fleet.ledger().sent(message, endpoint);
         boolean copy = message.out() > 0;
         int count = message.attempts.size();
         fleet.counts().copies += copy ? 1 : 0;
         fleet.counts().firstSends += count == 0 ? 1 : 0;
         fleet.counts().trials += heldAs(endpointId) == Relay.EndpointState.DOWN ? 1 : 0;
-        SimMessage.Attempt attempt = new SimMessage.Attempt(endpoint, world.now());
+        SimulatedMessage.Attempt attempt = new SimulatedMessage.Attempt(endpoint, world.now());
         message.attempts.add(attempt);
         Call.Item item = new Call.Item(message, count, attempt);
         Call call = callTo(endpoint);
@@ -355,7 +355,7 @@
                 .orElse(Relay.EndpointState.UP);
     }
 
-    private Call callTo(HollowEndpoint endpoint) {
+    private Call callTo(SimulatedEndpoint endpoint) {
         List<Call> calls = forming.computeIfAbsent(endpoint.id, unknown -> new ArrayList<>());
         if (calls.isEmpty() || calls.get(calls.size() - 1).items.size() >= endpoint.partner.type.batch()) {
             calls.add(new Call(this, life, endpoint, heldAs(endpoint.id)));
@@ -365,8 +365,8 @@
 
     @Override
     public void cancel(long id, int number) {
-        SimMessage message = known(id, "cancelled");
-        SimMessage.Attempt attempt = message.attempts.get(number);
+        SimulatedMessage message = known(id, "cancelled");
+        SimulatedMessage.Attempt attempt = message.attempts.get(number);
         int lifeThen = life;
         world.at(world.now(), () -> {
             if (lifeThen == life && attempt.outcome.isEmpty()) {
@@ -382,36 +382,36 @@
 
     @Override
     public void reject(long id, double waitMs) {
-        SimMessage message = end(id, "refused");
+        SimulatedMessage message = end(id, "refused");
         fleet.ledger().refused(message);
         fleet.clients().refused(message, waitMs);
     }
 
     @Override
     public void fail(long id) {
-        SimMessage message = end(id, "failed");
+        SimulatedMessage message = end(id, "failed");
         fleet.ledger().failed(message);
         fleet.clients().failed(message);
     }
 
-    private SimMessage end(long id, String how) {
-        SimMessage message = known(id, how);
+    private SimulatedMessage end(long id, String how) {
+        SimulatedMessage message = known(id, how);
         held.remove(id);
         forgetIfOver(message);
         return message;
     }
 
-    private SimMessage known(long id, String how) {
-        SimMessage message = known.get(id);
+    private SimulatedMessage known(long id, String how) {
+        SimulatedMessage message = known.get(id);
         if (message == null) {
-            throw new Broken(world.now(), "message " + id + ": " + how + " by sender " + number
+            throw new InvariantViolationException(world.now(), "message " + id + ": " + how + " by sender " + number
                     + ", which does not have it");
         }
         return message;
     }
 
     /** Stops tracking a message that is completed and has no attempt in flight. */
-    private void forgetIfOver(SimMessage message) {
+    private void forgetIfOver(SimulatedMessage message) {
         if (!held.containsKey(message.id) && message.out() == 0) {
             known.remove(message.id);
         }
--- a/src/main/java/kestreldeal/scale/fleet/Range.java
+++ b/src/main/java/kestreldeal/scale/fleet/UniformRange.java
@@ -3,9 +3,9 @@
 import java.util.Random;
 
 /** Bounds of a uniform distribution, in the unit of the parameter that it belongs to. */
-record Range(double least, double most) {
+record UniformRange(double least, double most) {
     /** Checks the order of the bounds. */
-    Range {
+    UniformRange {
         if (!(least <= most)) {
             throw new IllegalArgumentException("the lower bound of a range is above the upper: " + least + ", " + most);
         }
--- a/src/main/java/kestreldeal/scale/fleet/Parts.java
+++ b/src/main/java/kestreldeal/scale/fleet/WeightedSampler.java
@@ -4,20 +4,20 @@
 import java.util.Random;
 
 /** Draws numbers from 0 up with given weights. */
-final class Parts {
+final class WeightedSampler {
     private final double[] sums;
 
     /** Creates a sampler from the weight of each number; weights are at least 0 and need not add up to 1. */
-    Parts(double[] parts) {
+    WeightedSampler(double[] parts) {
         sums = parts.clone();
         Arrays.parallelPrefix(sums, Double::sum);
     }
 
     /** Creates a sampler with weights of a Zipf distribution: the weight falls with this power of the rank. */
-    static Parts zipf(int count, double exponent) {
+    static WeightedSampler zipf(int count, double exponent) {
         double[] parts = new double[count];
         Arrays.setAll(parts, rank -> Math.pow(rank + 1.0, -exponent));
-        return new Parts(parts);
+        return new WeightedSampler(parts);
     }
 
     /** The probability of a number. */
--- a/src/test/java/kestreldeal/scale/ResultsTest.java
+++ b/src/test/java/kestreldeal/scale/ResultWriterTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-class ResultsTest {
+class ResultWriterTest {
     @TempDir
     private Path folder;
 
--- a/src/test/java/kestreldeal/scale/ScaleMainTest.java
+++ b/src/test/java/kestreldeal/scale/ScaleMainTest.java
@@ -12,10 +12,10 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 class ScaleMainTest {
-    private record Ran(int code, String out, String err) {
+    private record RunResult(int code, String out, String err) {
     }
 
-    private static Ran run(String... args) {
+    private static RunResult run(String... args) {
         PrintStream out = System.out;
         PrintStream err = System.err;
         ByteArrayOutputStream said = new ByteArrayOutputStream();
@@ -24,7 +24,7 @@
         System.setErr(new PrintStream(complained, true, StandardCharsets.UTF_8));
         try {
             int code = ScaleMain.run(args);
-            return new Ran(code, said.toString(StandardCharsets.UTF_8), complained.toString(StandardCharsets.UTF_8));
+            return new RunResult(code, said.toString(StandardCharsets.UTF_8), complained.toString(StandardCharsets.UTF_8));
         } finally {
             System.setOut(out);
             System.setErr(err);
@@ -46,7 +46,7 @@
         "slopes --nix;--nix",
     })
     void badArgumentsEndWithOnePlainMessage(String line, String expected) {
-        Ran ran = run(line.isEmpty() ? new String[0] : line.split(" "));
+        RunResult ran = run(line.isEmpty() ? new String[0] : line.split(" "));
         assertEquals(2, ran.code());
         assertEquals(1, ran.err().lines().count(), ran.err());
         assertTrue(ran.err().contains(expected), ran.err());
@@ -55,10 +55,10 @@
 
     @Test
     void helpNamesTheSubcommandsAndTheirOptions() {
-        Ran all = run("--help");
+        RunResult all = run("--help");
         assertEquals(0, all.code());
         assertTrue(all.out().contains("slopes"), all.out());
-        Ran slopes = run("slopes", "--help");
+        RunResult slopes = run("slopes", "--help");
         assertEquals(0, slopes.code());
         for (String option : new String[] {"--only", "--sizes", "--repeats", "--seed", "--out", "--quick"}) {
             assertTrue(slopes.out().contains(option), option);
--- a/src/test/java/kestreldeal/scale/fleet/ColdReturnTest.java
+++ b/src/test/java/kestreldeal/scale/fleet/DestinationRecoveryTest.java
@@ -8,10 +8,10 @@
 import org.junit.jupiter.api.Test;
 
 /** Compares the load budget of a recovering destination with values calculated by hand. */
-class ColdReturnTest {
+class DestinationRecoveryTest {
     /** Capacity 10 calls/s; ramps up from 20% at 10 s to 100% at 22 s; budget: twice the capacity in windows of 3 s. */
-    private final ColdReturn cold = new ColdReturn(0.01, new Relay.SlowStart(0.2, 12_000, 2, 3000), 10_000,
-            HollowEndpoint.State.SHUT);
+    private final DestinationRecovery cold = new DestinationRecovery(0.01, new Relay.SlowStart(0.2, 12_000, 2, 3000), 10_000,
+            SimulatedEndpoint.State.SHUT);
 
     private static double most(double n) {
         return n + 2 * Math.sqrt(n) + 2;
@@ -37,7 +37,7 @@
         assertEquals(14, cold.worst().told());
         assertEquals(3, cold.worst().heldUp());
         assertEquals(17, cold.worst().trials());
-        assertEquals(HollowEndpoint.State.SHUT, cold.worst().after());
+        assertEquals(SimulatedEndpoint.State.SHUT, cold.worst().after());
         assertTrue(cold.worst().isTold());
         assertFalse(cold.worst().ratio() > 1, "the budget is 20.9 calls");
         assertTrue(cold.arrived(10_020, false, Relay.EndpointState.WARMING).ratio() > 1);
--- a/src/test/java/kestreldeal/scale/fleet/FleetTest.java
+++ b/src/test/java/kestreldeal/scale/fleet/FleetSimulationTest.java
@@ -14,13 +14,13 @@
  * Simulates small fleets in every scenario: all invariants must hold, and the counts and their growth with the number
  * of senders must stay within bounds.
  */
-class FleetTest {
+class FleetSimulationTest {
     private static Counts play(int senders, Scenario scenario, long seed) {
         return play(senders, 15, 40, scenario, seed);
     }
 
     private static Counts play(int senders, int destinations, double seconds, Scenario scenario, long seed) {
-        return new Fleet(new FleetSettings(senders, destinations, 4, seconds, seed, scenario, false, Model.STANDARD))
+        return new FleetSimulation(new FleetSettings(senders, destinations, 4, seconds, seed, scenario, false, FleetModel.STANDARD))
                 .run((now, events) -> { });
     }
 
--- a/src/test/java/kestreldeal/scale/fleet/Doctored.java
+++ b/src/test/java/kestreldeal/scale/fleet/ForwardingRelay.java
@@ -4,10 +4,10 @@
 import kestreldeal.Relay;
 
 /** Forwards all events to the real decision module; tests override methods to change or drop some of them. */
-class Doctored implements Relay {
+class ForwardingRelay implements Relay {
     private final Relay real;
 
-    Doctored(Relay real) {
+    ForwardingRelay(Relay real) {
         this.real = real;
     }
 
@@ -82,10 +82,10 @@
     }
 
     /** Forwards all actions of the module; tests override methods to drop or repeat some of them. */
-    static class Passing implements Actions {
+    static class ForwardingActions implements Actions {
         private final Actions to;
 
-        Passing(Actions to) {
+        ForwardingActions(Actions to) {
             this.to = to;
         }
 
--- a/src/test/java/kestreldeal/scale/fleet/LedgerTest.java
+++ b/src/test/java/kestreldeal/scale/fleet/InvariantCheckerTest.java
@@ -14,18 +14,18 @@
  * Checks that a violation of each invariant ends the run, with a decision module that is made to violate it, and that
  * the same runs pass with the unmodified module.
  */
-class LedgerTest {
+class InvariantCheckerTest {
     private static FleetSettings settings(Scenario scenario) {
-        return new FleetSettings(20, 12, 4, 30, 5, scenario, false, Model.STANDARD);
+        return new FleetSettings(20, 12, 4, 30, 5, scenario, false, FleetModel.STANDARD);
     }
 
     private static Counts plays(Scenario scenario) {
-        return new Fleet(settings(scenario)).run((now, events) -> { });
+        return new FleetSimulation(settings(scenario)).run((now, events) -> { });
     }
 
-    private static void breaks(Scenario scenario, Fleet.RelayFactory doctored, String how) {
-        Fleet fleet = new Fleet(settings(scenario), doctored);
-        Broken broken = assertThrows(Broken.class, () -> fleet.run((now, events) -> { }));
+    private static void breaks(Scenario scenario, FleetSimulation.RelayFactory doctored, String how) {
+        FleetSimulation fleet = new FleetSimulation(settings(scenario), doctored);
+        InvariantViolationException broken = assertThrows(InvariantViolationException.class, () -> fleet.run((now, events) -> { }));
         assertTrue(broken.getMessage().matches("invariant violated at [0-9.]+ s: message [0-9]+: .*" + how + ".*"),
                 broken.getMessage());
     }
@@ -38,7 +38,7 @@
 
     @Test
     void aMessageWithoutAnAnswerIsFound() {
-        breaks(Scenario.RETURN, (s, seed, actions) -> Relay.create(s, seed, new Doctored.Passing(actions) {
+        breaks(Scenario.RETURN, (s, seed, actions) -> Relay.create(s, seed, new ForwardingRelay.ForwardingActions(actions) {
             @Override
             public void reject(long message, double waitMs) {
                 // Dropped, so that the message never gets a final result.
@@ -48,7 +48,7 @@
 
     @Test
     void anAnswerTooLateIsFound() {
-        breaks(Scenario.RETURN, (s, seed, actions) -> new Doctored(Relay.create(s, seed, actions)) {
+        breaks(Scenario.RETURN, (s, seed, actions) -> new ForwardingRelay(Relay.create(s, seed, actions)) {
             @Override
             public void messageAccepted(double now, Message m) {
                 super.messageAccepted(now,
@@ -67,7 +67,7 @@
 
     @Test
     void aSecondAnswerIsFound() {
-        breaks(Scenario.RETURN, (s, seed, actions) -> Relay.create(s, seed, new Doctored.Passing(actions) {
+        breaks(Scenario.RETURN, (s, seed, actions) -> Relay.create(s, seed, new ForwardingRelay.ForwardingActions(actions) {
             @Override
             public void reject(long message, double waitMs) {
                 super.reject(message, waitMs);
@@ -77,11 +77,11 @@
     }
 
     /** Reports outcomes after which a message of one class may have run as outcomes after which it can't have. */
-    private static final class TellsNeverRan extends Doctored {
+    private static final class PossibleRunHidingRelay extends ForwardingRelay {
         private final int messageClass;
         private final Set<Long> ofClass = new HashSet<>();
 
-        TellsNeverRan(Relay real, int messageClass) {
+        PossibleRunHidingRelay(Relay real, int messageClass) {
             super(real);
             this.messageClass = messageClass;
         }
@@ -105,19 +105,19 @@
 
     @Test
     void aSecondRunOfWhatMustNotRunTwiceIsFound() {
-        breaks(Scenario.RETURN, (s, seed, actions) -> new TellsNeverRan(Relay.create(s, seed, actions), Model.UNSAFE),
+        breaks(Scenario.RETURN, (s, seed, actions) -> new PossibleRunHidingRelay(Relay.create(s, seed, actions), FleetModel.UNSAFE),
                 "must not run twice and may have run");
     }
 
     @Test
     void aRepeatOutOfItsWindowIsFound() {
-        breaks(Scenario.RETURN, (s, seed, actions) -> new TellsNeverRan(Relay.create(s, seed, actions), Model.KEYED),
+        breaks(Scenario.RETURN, (s, seed, actions) -> new PossibleRunHidingRelay(Relay.create(s, seed, actions), FleetModel.KEYED),
                 "sent [0-9]+ ms after it may have run, outside its window");
     }
 
     @Test
     void aSendAfterWordOfADrainIsFound() {
-        breaks(Scenario.STEADY, (s, seed, actions) -> new Doctored(Relay.create(s, seed, actions)) {
+        breaks(Scenario.STEADY, (s, seed, actions) -> new ForwardingRelay(Relay.create(s, seed, actions)) {
             @Override
             public void endpointsChanged(double now, boolean whole, List<Endpoint> entries) {
                 super.endpointsChanged(now, whole, entries.stream().filter(Endpoint::serving).toList());
@@ -127,7 +127,7 @@
 
     @Test
     void aSendWithinAToldWaitIsFound() {
-        breaks(Scenario.RETURN, (s, seed, actions) -> new Doctored(Relay.create(s, seed, actions)) {
+        breaks(Scenario.RETURN, (s, seed, actions) -> new ForwardingRelay(Relay.create(s, seed, actions)) {
             @Override
             public void attemptCompleted(double now, AttemptResult e) {
                 super.attemptCompleted(now, new AttemptResult(e.message(), e.attempt(), e.outcome(), e.durationMs(),
@@ -139,15 +139,15 @@
     /** Each sender assumes that it is the only one, and that the load budget of a recovery is far higher than it is. */
     @Test
     void tooManyCallsInAColdReturnAreSeenAndPushOver() {
-        Fleet.RelayFactory alone = (s, seed, actions) -> Relay.create(new Relay.Settings(s.classes(), s.kinds(),
+        FleetSimulation.RelayFactory alone = (s, seed, actions) -> Relay.create(new Relay.Settings(s.classes(), s.kinds(),
                 s.ratesListed(), s.valueDecay(), s.zoneFees(), 1, s.slots(), s.maxAttempts(), s.hedging(),
                 s.cancellation(),
                 s.keyCoolDownMs(), s.keepAliveMs(), new Relay.SlowStart(1, 12_000, 50, 3000)), seed, actions);
-        FleetSettings stands = new FleetSettings(60, 12, 8, 30, 5, Scenario.RETURN, false, Model.STANDARD);
-        FleetSettings falls = new FleetSettings(60, 12, 8, 30, 5, Scenario.RETURN, true, Model.STANDARD);
-        Counts seen = new Fleet(stands, alone).run((now, events) -> { });
+        FleetSettings stands = new FleetSettings(60, 12, 8, 30, 5, Scenario.RETURN, false, FleetModel.STANDARD);
+        FleetSettings falls = new FleetSettings(60, 12, 8, 30, 5, Scenario.RETURN, true, FleetModel.STANDARD);
+        Counts seen = new FleetSimulation(stands, alone).run((now, events) -> { });
         assertTrue(seen.overBudget() > 0 && seen.worstWindow().ratio() > 1, seen.figures().toString());
         assertEquals(0, seen.falls);
-        assertTrue(new Fleet(falls, alone).run((now, events) -> { }).falls > 0);
+        assertTrue(new FleetSimulation(falls, alone).run((now, events) -> { }).falls > 0);
     }
 }
--- a/src/test/java/kestreldeal/scale/fleet/LimitTest.java
+++ b/src/test/java/kestreldeal/scale/fleet/RateLimitTest.java
@@ -7,10 +7,10 @@
 import org.junit.jupiter.api.Test;
 
 /** Rate limits admit exactly their rate, and a call is admitted after the wait that a limit reports. */
-class LimitTest {
+class RateLimitTest {
     @Test
     void aRateTakesItsDepthAtOnceAndThenItsPace() {
-        Limit limit = Limit.byRate(0.004, 2);
+        RateLimit limit = RateLimit.byRate(0.004, 2);
         assertTrue(limit.take(0) && limit.take(0));
         assertEquals(0, limit.left(0), 1e-9);
         assertFalse(limit.take(0));
@@ -21,7 +21,7 @@
 
     @Test
     void aCountTakesSoManyInEachSpan() {
-        Limit limit = Limit.byCount(0.003, 1000);
+        RateLimit limit = RateLimit.byCount(0.003, 1000);
         assertTrue(limit.take(100) && limit.take(200) && limit.take(300));
         assertFalse(limit.take(400));
         assertEquals(600, limit.roomIn(400), 1e-9);
