--- a/src/main/java/kestreldeal/scale/fleet/Faults.java
+++ b/src/main/java/kestreldeal/scale/fleet/FaultInjector.java
@@ -5,13 +5,13 @@
 import java.util.List;
 import java.util.Random;
 
-/** What goes wrong, when and where, by scenario. All is over when clients end. */
-final class Faults {
-    /** Faults begin after this share of the run, and are over before this one. */
+/** Injects the faults of a scenario. All faults are over before clients stop submitting messages. */
+final class FaultInjector {
+    /** The part of the run in which faults occur, as shares of its length. */
     private static final double FIRST = 0.1;
     private static final double LAST = 0.9;
     private static final double DOWN_SHARE = 0.021;
-    /** Restarts of senders a day, by their number. */
+    /** Restarts per sender and day: 340 per day in a fleet of 5800 senders. */
     private static final double RESTARTS_A_DAY = 340.0 / 5800;
     private static final double DAY_S = 86_400;
     private static final int LEAST_RESTARTS = 4;
@@ -23,13 +23,13 @@
     private static final double OUT_AT_RETURN = 0.3;
     private static final double DEAD_AT_RETURN = 0.7;
 
-    private final Fleet fleet;
-    private final World world;
-    private final Model model;
+    private final FleetSimulation fleet;
+    private final SimulationClock world;
+    private final FleetModel model;
     private final Random random;
     private final double runMs;
 
-    Faults(Fleet fleet, Random random) {
+    FaultInjector(FleetSimulation fleet, Random random) {
         this.fleet = fleet;
         this.world = fleet.world();
         this.model = fleet.settings().model();
@@ -46,7 +46,7 @@
             case ZONE -> loseZone(random.nextInt(model.zones()));
             case REGIONS -> cutRegion(random.nextInt(model.regions()));
             case RETURN -> returnAtOnce();
-            default -> throw new IllegalStateException("no such scenario: " + fleet.settings().scenario());
+            default -> throw new IllegalStateException("unknown scenario: " + fleet.settings().scenario());
         }
     }
 
@@ -58,22 +58,22 @@
         return runMs * (FIRST + (LAST - FIRST) * random.nextDouble());
     }
 
-    /** Endpoints are replaced in order: a new one, word that the old one drains, its end, word of that. */
+    /** Replaces some endpoints gracefully: a new one is listed, the old one drains, ends and is removed. */
     private void replaceSome() {
         int many = Math.max(LEAST_REPLACED, (int) Math.round(model.replacedShare() * fleet.endpoints().size()));
-        List<HollowEndpoint> all = new ArrayList<>(fleet.endpoints());
+        List<SimulatedEndpoint> all = new ArrayList<>(fleet.endpoints());
         Collections.shuffle(all, random);
         all.subList(0, Math.min(many, all.size())).forEach(old -> world.at(someTime(), () -> replace(old)));
     }
 
-    private void replace(HollowEndpoint old) {
-        HollowEndpoint next = fleet.newEndpoint(old.partner, old.zone);
+    private void replace(SimulatedEndpoint old) {
+        SimulatedEndpoint next = fleet.newEndpoint(old.partner, old.zone);
         if (old.partner.isOut()) {
             next.become(old.state(), Double.POSITIVE_INFINITY);
         }
         fleet.directory().change(next, true, false);
         fleet.directory().change(old, false, false);
-        // It drains from when its word is out, which takes a while too.
+        // The drain time starts when the change has certainly been published.
         world.in(model.noticeMs().most() + model.drainMs().draw(random), () -> {
             old.end();
             fleet.directory().change(old, false, true);
@@ -87,42 +87,42 @@
         }
     }
 
-    /** One destination after another: as soon as one is back the next goes, until the end is near. */
+    /** Starts an outage of one destination, and the next outage when it ends, until faults must be over. */
     private void nextOutage() {
         double ms = model.outageMs().draw(random);
         if (world.now() + ms > share(LAST)) {
             return;
         }
-        List<Partner> up = fleet.partners().stream().filter(partner -> !partner.isOut()).toList();
+        List<SimulatedDestination> up = fleet.partners().stream().filter(partner -> !partner.isOut()).toList();
         if (!up.isEmpty()) {
             outage(up.get(random.nextInt(up.size())), world.now() + ms);
         }
         world.in(ms, this::nextOutage);
     }
 
-    /** An outage in one of five ways. */
-    private void outage(Partner partner, double until) {
-        HollowEndpoint.State[] ways = HollowEndpoint.State.values();
+    /** Starts an outage of a random kind. */
+    private void outage(SimulatedDestination partner, double until) {
+        SimulatedEndpoint.State[] ways = SimulatedEndpoint.State.values();
         outage(partner, ways[1 + random.nextInt(ways.length - 1)], until);
     }
 
-    /** All endpoints of a destination go and come back together. */
-    void outage(Partner partner, HollowEndpoint.State way, double until) {
+    /** Starts an outage of all endpoints of a destination, which ends for all of them at the same time. */
+    void outage(SimulatedDestination partner, SimulatedEndpoint.State way, double until) {
         List.copyOf(partner.endpoints).forEach(endpoint -> endpoint.become(way, until));
         world.at(until, () -> serveAgain(partner.endpoints));
     }
 
-    private static void serveAgain(List<HollowEndpoint> endpoints) {
-        List.copyOf(endpoints).forEach(endpoint -> endpoint.become(HollowEndpoint.State.SERVING, 0));
+    private static void serveAgain(List<SimulatedEndpoint> endpoints) {
+        List.copyOf(endpoints).forEach(endpoint -> endpoint.become(SimulatedEndpoint.State.SERVING, 0));
     }
 
     private void restartSome() {
         double expected = RESTARTS_A_DAY * fleet.settings().senders() * fleet.settings().seconds() / DAY_S;
         int many = Math.max(LEAST_RESTARTS, (int) Math.round(expected));
-        List<HollowSender> drawn = drawn(fleet.senders().size());
+        List<SimulatedSender> drawn = drawn(fleet.senders().size());
         int rack = Math.max(LEAST_RACK, (int) Math.round(RACK_SHARE * drawn.size()));
         for (int i = 0; i < many; i++) {
-            HollowSender sender = drawn.get(i % drawn.size());
+            SimulatedSender sender = drawn.get(i % drawn.size());
             boolean inOrder = i % 2 == 0;
             world.at(someTime(), () -> {
                 if (!sender.takes()) {
@@ -141,8 +141,8 @@
                 .forEach(sender -> sender.restartAfter(downMs)));
     }
 
-    private List<HollowSender> drawn(int many) {
-        List<HollowSender> all = new ArrayList<>(fleet.senders());
+    private List<SimulatedSender> drawn(int many) {
+        List<SimulatedSender> all = new ArrayList<>(fleet.senders());
         Collections.shuffle(all, random);
         return new ArrayList<>(all.subList(0, many));
     }
@@ -154,9 +154,9 @@
                 fleet.directory().machine(sender, true);
                 sender.restartAfter(lostMs);
             });
-            endpoints(zone).forEach(endpoint -> endpoint.become(HollowEndpoint.State.SILENT, 0));
+            endpoints(zone).forEach(endpoint -> endpoint.become(SimulatedEndpoint.State.SILENT, 0));
         });
-        // Machines are back, with their agents, just before the senders' processes.
+        // Machines and their agents are back 1 ms before the senders' processes start.
         world.at(share(FIRST) + lostMs - 1, () -> {
             senders(zone).forEach(sender -> fleet.directory().machine(sender, false));
             fleet.directory().reachable();
@@ -164,11 +164,11 @@
         });
     }
 
-    private List<HollowSender> senders(int zone) {
+    private List<SimulatedSender> senders(int zone) {
         return fleet.senders().stream().filter(sender -> sender.zone == zone).toList();
     }
 
-    private List<HollowEndpoint> endpoints(int zone) {
+    private List<SimulatedEndpoint> endpoints(int zone) {
         return fleet.endpoints().stream().filter(endpoint -> endpoint.zone == zone).toList();
     }
 
@@ -183,7 +183,7 @@
     private void returnAtOnce() {
         double outMs = Math.min(model.outageMs().most(), share(LAST - FIRST) / 2);
         world.at(share(FIRST), () -> {
-            List<Partner> all = new ArrayList<>(fleet.partners());
+            List<SimulatedDestination> all = new ArrayList<>(fleet.partners());
             Collections.shuffle(all, random);
             int out = (int) Math.ceil(OUT_AT_RETURN * all.size());
             all.subList(0, out).forEach(partner -> outage(partner, world.now() + outMs));
--- a/src/main/java/kestreldeal/scale/fleet/Directory.java
+++ b/src/main/java/kestreldeal/scale/fleet/SimulatedDiscovery.java
@@ -8,27 +8,27 @@
 import kestreldeal.Relay;
 
 /**
- * Discovery: a list that all senders begin with, and changes that each sender's agent hears late, by a drawn delay.
- * What the agent has counts as told to a sender that lives. An agent that is cut off from where a change is made, or
- * whose machine is gone, hears it after that.
+ * Discovery: an initial list that all agents have, and changes that reach the agent of each sender after a random
+ * delay. A sender that runs has an update as soon as its agent has it. An agent that is partitioned from the zone of a
+ * change, or whose machine is down, gets the change afterwards.
  */
-final class Directory {
-    private final Fleet fleet;
-    private final World world;
+final class SimulatedDiscovery {
+    private final FleetSimulation fleet;
+    private final SimulationClock world;
     private final Random random;
     private final Map<Long, Relay.Endpoint> first = new LinkedHashMap<>();
     private final List<Agent> agents = new ArrayList<>();
 
-    /** An agent's own knowledge: what differs from the first list. */
+    /** The list of one agent, as the changes to the initial list that it has received. */
     private static final class Agent {
         final Map<Long, Change> heard = new LinkedHashMap<>();
         final List<Change> missed = new ArrayList<>();
         boolean lost;
-        /** Since when changes can reach it. */
+        /** Since when missed changes can reach it, after a partition or a failure. */
         double reachedSince;
     }
 
-    /** A change as discovery has it, by a zone's word, and how many agents have yet to hear it. */
+    /** A published change of an endpoint in a zone, and how many agents have not received it yet. */
     private static final class Change {
         final Relay.Endpoint entry;
         final int zone;
@@ -46,7 +46,7 @@
         }
     }
 
-    Directory(Fleet fleet, Random random) {
+    SimulatedDiscovery(FleetSimulation fleet, Random random) {
         this.fleet = fleet;
         this.world = fleet.world();
         this.random = random;
@@ -55,18 +55,18 @@
         }
     }
 
-    /** An endpoint that all know from the start. */
-    void add(HollowEndpoint endpoint) {
+    /** Adds an endpoint to the initial list. */
+    void add(SimulatedEndpoint endpoint) {
         first.put(endpoint.id, entry(endpoint, true, false));
     }
 
-    /** Something was changed there; discovery has it a while later. */
-    void change(HollowEndpoint endpoint, boolean serving, boolean gone) {
+    /** Changes the entry of an endpoint; discovery publishes the change after a delay. */
+    void change(SimulatedEndpoint endpoint, boolean serving, boolean gone) {
         Relay.Endpoint entry = entry(endpoint, serving, gone);
         world.in(fleet.settings().model().noticeMs().draw(random), () -> publish(entry, endpoint.zone));
     }
 
-    private static Relay.Endpoint entry(HollowEndpoint e, boolean serving, boolean gone) {
+    private static Relay.Endpoint entry(SimulatedEndpoint e, boolean serving, boolean gone) {
         return new Relay.Endpoint(e.id, e.partner.id, e.partner.kind, e.zone, serving, e.partner.listedPerSecond, gone);
     }
 
@@ -76,11 +76,11 @@
         fleet.senders().forEach(sender -> tellLater(sender, change));
     }
 
-    private void tellLater(HollowSender sender, Change change) {
+    private void tellLater(SimulatedSender sender, Change change) {
         world.in(fleet.settings().model().spreadMs().draw(random), () -> tell(sender, change));
     }
 
-    private void tell(HollowSender sender, Change change) {
+    private void tell(SimulatedSender sender, Change change) {
         Agent agent = agents.get(sender.number);
         if (agent.lost || !fleet.network().passes(change.zone, sender.zone)) {
             agent.missed.add(change);
@@ -94,7 +94,7 @@
         inForce(change, world.now() - Math.max(change.at, agent.reachedSince));
     }
 
-    /** The time counts from when the agent could have it. */
+    /** Records the propagation time of a change to one agent, which counts from when the agent was reachable. */
     private void inForce(Change change, double ms) {
         fleet.counts().inForceMs.recordValue(Math.round(ms));
         change.latest = Math.max(change.latest, ms);
@@ -103,14 +103,14 @@
         }
     }
 
-    /** A sender's machine is gone, or back. */
-    void machine(HollowSender sender, boolean lost) {
+    /** Notes that the machine of a sender, with its agent, has failed or is back. */
+    void machine(SimulatedSender sender, boolean lost) {
         agents.get(sender.number).lost = lost;
     }
 
-    /** What agents have missed while they were cut off or gone can reach them now. */
+    /** Delivers, after the usual delay, what agents have missed while they were partitioned or down. */
     void reachable() {
-        for (HollowSender sender : fleet.senders()) {
+        for (SimulatedSender sender : fleet.senders()) {
             Agent agent = agents.get(sender.number);
             agent.reachedSince = agent.missed.isEmpty() ? agent.reachedSince : world.now();
             List.copyOf(agent.missed).forEach(change -> tellLater(sender, change));
@@ -118,8 +118,8 @@
         }
     }
 
-    /** The whole list as a sender's agent has it. */
-    List<Relay.Endpoint> listAt(HollowSender sender) {
+    /** The full list of a sender's agent, without removed entries. */
+    List<Relay.Endpoint> listAt(SimulatedSender sender) {
         Map<Long, Relay.Endpoint> list = new LinkedHashMap<>(first);
         agents.get(sender.number).heard.forEach((id, change) -> list.put(id, change.entry));
         return list.values().stream().filter(entry -> !entry.removed()).toList();
--- a/src/main/java/kestreldeal/scale/fleet/Network.java
+++ b/src/main/java/kestreldeal/scale/fleet/SimulatedNetwork.java
@@ -2,26 +2,26 @@
 
 import java.util.Random;
 
-/** Ways between zones, and cuts: what crosses one is gone, and nothing is said. */
-final class Network {
+/** Network delays between zones, and partitions: a packet that would cross a partition is dropped silently. */
+final class SimulatedNetwork {
     private static final int NONE = -1;
 
-    private final Model model;
+    private final FleetModel model;
     private final Random random;
     private int isolated = NONE;
 
-    Network(Model model, Random random) {
+    SimulatedNetwork(FleetModel model, Random random) {
         this.model = model;
         this.random = random;
     }
 
-    /** One way, in milliseconds, drawn anew each time. */
+    /** Draws a one-way delay between two zones, in milliseconds. */
     double delay(int from, int to) {
         int distance = from == to ? 0 : model.region(from) == model.region(to) ? 1 : 2;
         return model.oneWayMs().get(distance) * (1 + model.jitter() * random.nextDouble());
     }
 
-    /** Cuts a region off from all others. */
+    /** Separates a region from all others. */
     void isolate(int region) {
         isolated = region;
     }
--- a/src/test/java/kestreldeal/scale/fleet/Doctored.java
+++ b/src/test/java/kestreldeal/scale/fleet/ForwardingRelay.java
@@ -3,11 +3,11 @@
 import java.util.List;
 import kestreldeal.Relay;
 
-/** The real module with something told to it wrongly; tests say what. */
-class Doctored implements Relay {
+/** Forwards all events to the real decision module; tests override methods to change or drop some of them. */
+class ForwardingRelay implements Relay {
     private final Relay real;
 
-    Doctored(Relay real) {
+    ForwardingRelay(Relay real) {
         this.real = real;
     }
 
@@ -81,11 +81,11 @@
         real.endTurn(now);
     }
 
-    /** What the module asks for, passed on; tests leave out or double some of it. */
-    static class Passing implements Actions {
+    /** Forwards all actions of the module; tests override methods to drop or repeat some of them. */
+    static class ForwardingActions implements Actions {
         private final Actions to;
 
-        Passing(Actions to) {
+        ForwardingActions(Actions to) {
             this.to = to;
         }
 
