--- a/src/main/java/kestreldeal/scale/Fit.java
+++ b/src/main/java/kestreldeal/scale/Fit.java
@@ -12,16 +12,16 @@
  * size alone would decide.
  *
  * @param growth the order of growth that fits best
- * @param exponent slope of log cost over log size
+ * @param fitExponent slope of log cost over log size
  * @param base constant term of the fitted function, at least 0
  * @param factor coefficient of the growth function
- * @param residual root mean square of the relative errors of the fitted function
+ * @param rmsRelativeError root mean square of the relative errors of the fitted function
  */
 record Fit(Growth growth, double exponent, double base, double factor, double residual) {
     /** Up to this absolute value of the exponent a cost counts as independent of the size. */
-    private static final double FLAT = 0.1;
+    private static final double CONSTANT_EXPONENT_LIMIT = 0.1;
     /** Among orders of growth whose residuals differ by no more than this, the slowest growth is chosen. */
-    private static final double ALIKE = 0.01;
+    private static final double RESIDUAL_TOLERANCE = 0.01;
 
     /** Orders of growth; the text of each appears in results. */
     enum Growth {
@@ -38,19 +38,19 @@
         /** Decreasing: no real cost behaves so, and the measurement should be checked. */
         FALLS("falls", "", n -> 0);
 
-        private final String words;
-        private final String function;
-        private final DoubleUnaryOperator of;
+        private final String description;
+        private final String formula;
+        private final DoubleUnaryOperator function;
 
-        Growth(String words, String function, DoubleUnaryOperator of) {
-            this.words = words;
+        Growth(String description, String formula, DoubleUnaryOperator function) {
+            this.description = description;
+            this.formula = formula;
             this.function = function;
-            this.of = of;
         }
 
         @Override
         public String toString() {
-            return words;
+            return description;
         }
     }
 
@@ -65,44 +65,44 @@
         if (sizes.size() != costs.size() || sizes.stream().distinct().count() < 2 || !positive) {
             throw new IllegalArgumentException("a fit needs at least two different sizes, and sizes and costs above 0");
         }
-        double exponent = exponent(sizes, costs);
-        if (Math.abs(exponent) <= FLAT) {
-            return order(Growth.CONSTANT, exponent, sizes, costs);
+        double exponent = fitExponent(sizes, costs);
+        if (Math.abs(exponent) <= CONSTANT_EXPONENT_LIMIT) {
+            return fitOrder(Growth.CONSTANT, exponent, sizes, costs);
         }
         if (exponent < 0) {
-            return order(Growth.FALLS, exponent, sizes, costs);
+            return fitOrder(Growth.FALLS, exponent, sizes, costs);
         }
-        List<Fit> all = Stream.of(Growth.LOG_N, Growth.LINEAR, Growth.N_LOG_N, Growth.SQUARE)
-                .map(growth -> order(growth, exponent, sizes, costs)).toList();
-        double best = all.stream().mapToDouble(Fit::residual).min().orElseThrow();
-        return all.stream().filter(fit -> fit.residual() <= best + ALIKE).findFirst().orElseThrow();
+        List<Fit> candidates = Stream.of(Growth.LOG_N, Growth.LINEAR, Growth.N_LOG_N, Growth.SQUARE)
+                .map(growth -> fitOrder(growth, exponent, sizes, costs)).toList();
+        double minResidual = candidates.stream().mapToDouble(Fit::residual).min().orElseThrow();
+        return candidates.stream().filter(fit -> fit.residual() <= minResidual + RESIDUAL_TOLERANCE).findFirst().orElseThrow();
     }
 
     /** Describes the fit, for example {@code grows as n: 12.1 + 0.043 x n (exponent 1.02, residual 3%)}. */
-    String words() {
-        String law = growth.function.isEmpty() ? ResultWriter.number(base)
-                : ResultWriter.number(base) + " + " + String.format(Locale.ROOT, "%.3g", factor) + " x " + growth.function;
+    String describe() {
+        String formula = growth.formula.isEmpty() ? ResultWriter.formatNumber(base)
+                : ResultWriter.formatNumber(base) + " + " + String.format(Locale.ROOT, "%.3g", factor) + " x " + growth.formula;
         // Rounded first, because a tiny negative exponent would be printed as -0.00.
         double rounded = Math.round(100 * exponent) / 100.0;
-        return String.format(Locale.ROOT, "%s: %s (exponent %.2f, residual %.0f%%)", growth, law, rounded,
+        return String.format(Locale.ROOT, "%s: %s (exponent %.2f, residual %.0f%%)", growth, formula, rounded,
                 100 * residual);
     }
 
-    private static double exponent(List<Double> sizes, List<Double> costs) {
+    private static double fitExponent(List<Double> sizes, List<Double> costs) {
         double[] x = sizes.stream().mapToDouble(Math::log).toArray();
         double[] y = costs.stream().mapToDouble(Math::log).toArray();
         double meanX = IntStream.range(0, x.length).mapToDouble(i -> x[i]).average().orElseThrow();
         double meanY = IntStream.range(0, y.length).mapToDouble(i -> y[i]).average().orElseThrow();
-        double both = IntStream.range(0, x.length).mapToDouble(i -> (x[i] - meanX) * (y[i] - meanY)).sum();
-        double square = IntStream.range(0, x.length).mapToDouble(i -> (x[i] - meanX) * (x[i] - meanX)).sum();
-        return both / square;
+        double sumXY = IntStream.range(0, x.length).mapToDouble(i -> (x[i] - meanX) * (y[i] - meanY)).sum();
+        double sumXX = IntStream.range(0, x.length).mapToDouble(i -> (x[i] - meanX) * (x[i] - meanX)).sum();
+        return sumXY / sumXX;
     }
 
     /**
      * Fits base and factor for one order of growth by weighted least squares (the normal equations of a line), with
      * the inverse of each cost as its weight. A negative base has no meaning: the fit is then repeated without one.
      */
-    private static Fit order(Growth growth, double exponent, List<Double> sizes, List<Double> costs) {
+    private static Fit fitOrder(Growth growth, double exponent, List<Double> sizes, List<Double> costs) {
         double ww = 0;
         double wg = 0;
         double gg = 0;
@@ -110,7 +110,7 @@
         double gy = 0;
         for (int i = 0; i < sizes.size(); i++) {
             double weight = 1 / costs.get(i);
-            double g = growth.of.applyAsDouble(sizes.get(i)) * weight;
+            double g = growth.function.applyAsDouble(sizes.get(i)) * weight;
             ww += weight * weight;
             wg += weight * g;
             gg += g * g;
@@ -118,23 +118,23 @@
             gy += g;
         }
         double determinant = ww * gg - wg * wg;
-        boolean flat = gg == 0;
-        double base = flat ? wy / ww : (wy * gg - gy * wg) / determinant;
-        double factor = flat ? 0 : (gy * ww - wy * wg) / determinant;
+        boolean noGrowthTerm = gg == 0;
+        double base = noGrowthTerm ? wy / ww : (wy * gg - gy * wg) / determinant;
+        double factor = noGrowthTerm ? 0 : (gy * ww - wy * wg) / determinant;
         if (base < 0) {
             base = 0;
             factor = gy / gg;
         }
-        return new Fit(growth, exponent, base, factor, residual(growth, base, factor, sizes, costs));
+        return new Fit(growth, exponent, base, factor, rmsRelativeError(growth, base, factor, sizes, costs));
     }
 
-    private static double residual(Growth growth, double base, double factor, List<Double> sizes,
+    private static double rmsRelativeError(Growth growth, double base, double factor, List<Double> sizes,
             List<Double> costs) {
-        double mean = IntStream.range(0, sizes.size()).mapToDouble(i -> {
-            double fitted = base + factor * growth.of.applyAsDouble(sizes.get(i));
+        double meanSquare = IntStream.range(0, sizes.size()).mapToDouble(i -> {
+            double fitted = base + factor * growth.function.applyAsDouble(sizes.get(i));
             double error = (costs.get(i) - fitted) / costs.get(i);
             return error * error;
         }).average().orElseThrow();
-        return Math.sqrt(mean);
+        return Math.sqrt(meanSquare);
     }
 }
--- a/src/main/java/kestreldeal/scale/LoadGenerator.java
+++ b/src/main/java/kestreldeal/scale/LoadGenerator.java
@@ -33,106 +33,106 @@
  */
 final class LoadGenerator implements AutoCloseable {
     /** Length of the example body in the protocol description. */
-    static final int BODY_BYTES = 212;
-    private static final int LONGEST_ANSWER = 1 << 16;
-    private static final int MOST_CONNECTIONS = 300;
-    private static final long TICK_MICROS = 500;
+    static final int DEFAULT_BODY_BYTES = 212;
+    private static final int MAX_RESPONSE_BYTES = 1 << 16;
+    private static final int MAX_CONNECTIONS = 300;
+    private static final long TICK_INTERVAL_MICROS = 500;
     /** Highest response time that the histogram records; longer ones count as this. */
-    private static final long LONGEST_NANOS = 60_000_000_000L;
+    private static final long MAX_RESPONSE_NANOS = 60_000_000_000L;
 
-    private final EventLoopGroup loops = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-    private final EventLoop loop = loops.next();
-    private final InetSocketAddress sender;
+    private final EventLoopGroup eventLoops = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
+    private final EventLoop eventLoop = eventLoops.next();
+    private final InetSocketAddress senderAddress;
     private final Random random;
     /** A stack: the most recently used connection is reused first, so that the sender closes the surplus as idle. */
-    private final Deque<Connection> idle = new ArrayDeque<>();
-    private final Deque<Long> overdue = new ArrayDeque<>();
-    private int connections;
-    private int opening;
-    private long number;
-    private Run run;
+    private final Deque<Connection> idleConnections = new ArrayDeque<>();
+    private final Deque<Long> overdueNanos = new ArrayDeque<>();
+    private int connectionCount;
+    private int connectingCount;
+    private long nextMessageNumber;
+    private Run currentRun;
 
     /**
      * The result of one run; messages are counted by their response.
      *
-     * @param nanos response times of accepted messages
-     * @param taken messages that were accepted, with status 200 or 202
-     * @param refused messages with another response
-     * @param broken messages whose connection closed before a response
+     * @param responseNanos response times of accepted messages
+     * @param accepted messages that were accepted, with status 200 or 202
+     * @param rejected messages with another response
+     * @param disconnected messages whose connection closed before a response
      * @param unanswered messages without a response at the end of the run
      */
-    record LoadResult(Histogram nanos, long taken, long refused, long broken, long unanswered) {
+    record LoadResult(Histogram responseNanos, long accepted, long rejected, long disconnected, long unanswered) {
     }
 
     private final class Run {
-        final Histogram nanos = new Histogram(LONGEST_NANOS, 3);
+        final Histogram responseNanos = new Histogram(MAX_RESPONSE_NANOS, 3);
         final IntSupplier destination;
         final byte[] body;
-        final long begun = System.nanoTime();
-        final double perSecond;
-        final long messages;
-        long due;
-        long taken;
-        long refused;
-        long broken;
-
-        Run(double perSecond, long messages, IntSupplier destination, int bodyBytes) {
+        final long startNanos = System.nanoTime();
+        final double messagesPerSecond;
+        final long messageCount;
+        long dueCount;
+        long accepted;
+        long rejected;
+        long disconnected;
+
+        Run(double messagesPerSecond, long messageCount, IntSupplier destination, int bodyBytes) {
             this.body = new byte[bodyBytes];
             random.nextBytes(body);
-            this.perSecond = perSecond;
-            this.messages = messages;
+            this.messagesPerSecond = messagesPerSecond;
+            this.messageCount = messageCount;
             this.destination = destination;
         }
 
-        boolean isOver() {
-            return taken + refused + broken >= messages;
+        boolean isComplete() {
+            return accepted + rejected + disconnected >= messageCount;
         }
     }
 
     private final class Connection extends SimpleChannelInboundHandler<FullHttpResponse> {
         private Channel channel;
-        private long dueNanos = -1;
+        private long requestDueNanos = -1;
 
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
             channel = ctx.channel();
-            idle.push(this);
+            idleConnections.push(this);
             sendOverdue();
         }
 
-        void send(long due) {
-            dueNanos = due;
+        void send(long dueNanos) {
+            requestDueNanos = dueNanos;
             String id = String.format("%016x", random.nextLong());
             DefaultFullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.POST,
-                    "/" + SenderProcess.CLASS, Unpooled.wrappedBuffer(run.body));
-            request.headers().set("Host", "app.svc").set("X-Call-Id", id).set("X-Call-Class", SenderProcess.CLASS)
-                    .set("X-Budget-Ms", SenderProcess.GIVE_UP_MS)
-                    .set("Idempotency-Key", String.format("%016x%016x", number++, random.nextLong()))
-                    .set("X-Envelope", "dest=" + run.destination.getAsInt()).set("Content-Length", run.body.length);
+                    "/" + SenderProcess.MESSAGE_CLASS, Unpooled.wrappedBuffer(currentRun.body));
+            request.headers().set("Host", "app.svc").set("X-Call-Id", id).set("X-Call-Class", SenderProcess.MESSAGE_CLASS)
+                    .set("X-Budget-Ms", SenderProcess.DEADLINE_MS)
+                    .set("Idempotency-Key", String.format("%016x%016x", nextMessageNumber++, random.nextLong()))
+                    .set("X-Envelope", "dest=" + currentRun.destination.getAsInt()).set("Content-Length", currentRun.body.length);
             channel.writeAndFlush(request);
         }
 
         @Override
-        protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse answer) {
-            int status = answer.status().code();
+        protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse response) {
+            int status = response.status().code();
             if (status == 200 || status == 202) {
-                run.nanos.recordValue(Math.min(LONGEST_NANOS, System.nanoTime() - dueNanos));
-                run.taken++;
+                currentRun.responseNanos.recordValue(Math.min(MAX_RESPONSE_NANOS, System.nanoTime() - requestDueNanos));
+                currentRun.accepted++;
             } else {
-                run.refused++;
+                currentRun.rejected++;
             }
-            dueNanos = -1;
-            idle.push(this);
+            requestDueNanos = -1;
+            idleConnections.push(this);
             sendOverdue();
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
-            connections--;
-            idle.remove(this);
-            if (dueNanos >= 0) {
-                dueNanos = -1;
-                run.broken++;
+            connectionCount--;
+            idleConnections.remove(this);
+            if (requestDueNanos >= 0) {
+                requestDueNanos = -1;
+                currentRun.disconnected++;
             }
         }
 
@@ -142,70 +142,70 @@
         }
     }
 
-    LoadGenerator(InetSocketAddress sender, long seed) {
-        this.sender = sender;
+    LoadGenerator(InetSocketAddress senderAddress, long seed) {
+        this.senderAddress = senderAddress;
         this.random = new Random(seed);
     }
 
     /** Submits messages at a rate, and waits for the responses until at most the timeout after the last one is due. */
-    LoadResult handIn(double perSecond, long messages, IntSupplier destination, int bodyBytes, long patienceMs)
+    LoadResult submit(double messagesPerSecond, long messageCount, IntSupplier destination, int bodyBytes, long responseTimeoutMs)
             throws Exception {
-        Run mine = loop.submit(() -> {
-            run = new Run(perSecond, messages, destination, bodyBytes);
-            overdue.clear();
-            return run;
+        Run thisRun = eventLoop.submit(() -> {
+            currentRun = new Run(messagesPerSecond, messageCount, destination, bodyBytes);
+            overdueNanos.clear();
+            return currentRun;
         }).get();
-        var ticks = loop.scheduleAtFixedRate(this::tick, 0, TICK_MICROS, TimeUnit.MICROSECONDS);
+        var ticks = eventLoop.scheduleAtFixedRate(this::addDueMessages, 0, TICK_INTERVAL_MICROS, TimeUnit.MICROSECONDS);
         try {
-            long until = System.nanoTime() + (long) (messages / perSecond * 1e9) + patienceMs * 1_000_000;
-            while (System.nanoTime() < until && !loop.submit(mine::isOver).get()) {
+            long deadlineNanos = System.nanoTime() + (long) (messageCount / messagesPerSecond * 1e9) + responseTimeoutMs * 1_000_000;
+            while (System.nanoTime() < deadlineNanos && !eventLoop.submit(thisRun::isComplete).get()) {
                 Thread.sleep(2);
             }
-            return loop.submit(() -> new LoadResult(mine.nanos, mine.taken, mine.refused, mine.broken,
-                    mine.messages - mine.taken - mine.refused - mine.broken)).get();
+            return eventLoop.submit(() -> new LoadResult(thisRun.responseNanos, thisRun.accepted, thisRun.rejected, thisRun.disconnected,
+                    thisRun.messageCount - thisRun.accepted - thisRun.rejected - thisRun.disconnected)).get();
         } finally {
             ticks.cancel(false);
         }
     }
 
-    private void tick() {
-        long now = System.nanoTime();
-        while (run.due < run.messages && now - run.begun >= run.due / run.perSecond * 1e9) {
-            overdue.add(run.begun + (long) (run.due / run.perSecond * 1e9));
-            run.due++;
+    private void addDueMessages() {
+        long nowNanos = System.nanoTime();
+        while (currentRun.dueCount < currentRun.messageCount && nowNanos - currentRun.startNanos >= currentRun.dueCount / currentRun.messagesPerSecond * 1e9) {
+            overdueNanos.add(currentRun.startNanos + (long) (currentRun.dueCount / currentRun.messagesPerSecond * 1e9));
+            currentRun.dueCount++;
         }
         sendOverdue();
     }
 
     private void sendOverdue() {
-        while (!overdue.isEmpty() && !idle.isEmpty()) {
-            idle.pop().send(overdue.remove());
+        while (!overdueNanos.isEmpty() && !idleConnections.isEmpty()) {
+            idleConnections.pop().send(overdueNanos.remove());
         }
-        while (opening < overdue.size() && connections < MOST_CONNECTIONS) {
-            connections++;
-            opening++;
-            open();
+        while (connectingCount < overdueNanos.size() && connectionCount < MAX_CONNECTIONS) {
+            connectionCount++;
+            connectingCount++;
+            openConnection();
         }
     }
 
-    private void open() {
-        new Bootstrap().group(loop).channel(NioSocketChannel.class).option(ChannelOption.TCP_NODELAY, true)
+    private void openConnection() {
+        new Bootstrap().group(eventLoop).channel(NioSocketChannel.class).option(ChannelOption.TCP_NODELAY, true)
                 .handler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
-                        channel.pipeline().addLast(new HttpClientCodec(), new HttpObjectAggregator(LONGEST_ANSWER),
+                        channel.pipeline().addLast(new HttpClientCodec(), new HttpObjectAggregator(MAX_RESPONSE_BYTES),
                                 new Connection());
                     }
-                }).connect(sender).addListener(connected -> {
-                    opening--;
+                }).connect(senderAddress).addListener(connected -> {
+                    connectingCount--;
                     if (!connected.isSuccess()) {
-                        connections--;
+                        connectionCount--;
                     }
                 });
     }
 
     @Override
     public void close() {
-        loops.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS).syncUninterruptibly();
+        eventLoops.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS).syncUninterruptibly();
     }
 }
--- a/src/main/java/kestreldeal/scale/ModuleBenchmark.java
+++ b/src/main/java/kestreldeal/scale/ModuleBenchmark.java
@@ -21,35 +21,35 @@
  */
 final class ModuleBenchmark implements Relay.Actions {
     /** Time between turns; so short that no timer of the module expires during a whole measurement. */
-    private static final double STEP_MS = 0.02;
+    private static final double TURN_INTERVAL_MS = 0.02;
     /** Deadline of messages, too far off to matter. */
-    private static final double FAR_MS = 1e9;
-    private static final int DESTINATIONS = 100;
-    private static final double ENDPOINTS_EACH = 1.6;
+    private static final double DEADLINE_MS = 1e9;
+    private static final int DESTINATION_COUNT = 100;
+    private static final double ENDPOINTS_PER_DESTINATION = 1.6;
     /** Messages sent in a turn, where the number of destinations varies. */
-    private static final int GOING = 16;
-    private static final int MOST_GOING = 1000;
+    private static final int MESSAGES_PER_TURN = 16;
+    private static final int MAX_MESSAGES_PER_TURN = 1000;
     private static final int WARM_UP_TURNS = 500;
-    private static final int TURNS = 1000;
-    private static final int LEAST_TURNS = 20;
+    private static final int MEASURED_TURNS = 1000;
+    private static final int MIN_TURNS = 20;
     private static final long WARM_UP_NANOS = 1_000_000_000L;
     private static final long MEASURE_NANOS = 1_500_000_000L;
-    private static final long LONGEST_NANOS = 60_000_000_000L;
-    private static final int COLLECTIONS = 3;
+    private static final long MAX_NANOS = 60_000_000_000L;
+    private static final int GC_COUNT = 3;
 
     private record SentAttempt(long message, int attempt) {
     }
 
     private final Random random;
     private final Relay relay;
-    private final List<SentAttempt> sent = new ArrayList<>();
-    private long answers;
-    private long messages;
-    private double now;
+    private final List<SentAttempt> inFlight = new ArrayList<>();
+    private long finalResults;
+    private long nextMessageId;
+    private double nowMs;
 
-    private ModuleBenchmark(int slots, long seed) {
+    private ModuleBenchmark(int slotCount, long seed) {
         random = new Random(seed);
-        relay = Relay.create(settings(slots), seed, this);
+        relay = Relay.create(settings(slotCount), seed, this);
     }
 
     /**
@@ -59,94 +59,94 @@
     public static void main(String[] args) throws Exception {
         int size = Integer.parseInt(args[1]);
         long seed = Long.parseLong(args[2]);
-        int percent = Integer.parseInt(args[3]);
+        int turnsPercent = Integer.parseInt(args[3]);
         Map<String, Object> values = switch (args[0]) {
-            case ModuleSlopes.WAITING -> waiting(size, seed, percent);
-            case ModuleSlopes.LISTED -> listed(size, seed, percent);
-            case ModuleSlopes.BOTH -> both(size, seed, percent);
-            case ModuleSlopes.TRAFFIC -> going(size, GOING, seed, percent);
-            case ModuleSlopes.GOING -> going(MOST_GOING, size, seed, percent);
+            case ModuleSlopes.WAITING -> measureWaiting(size, seed, turnsPercent);
+            case ModuleSlopes.LISTED -> measureListed(size, seed, turnsPercent);
+            case ModuleSlopes.BOTH -> measureBoth(size, seed, turnsPercent);
+            case ModuleSlopes.TRAFFIC -> measureSending(size, MESSAGES_PER_TURN, seed, turnsPercent);
+            case ModuleSlopes.GOING -> measureSending(MAX_MESSAGES_PER_TURN, size, seed, turnsPercent);
             default -> throw new IllegalArgumentException("unknown measurement " + args[0]);
         };
         System.out.println(JsonMapper.builder().build().writeValueAsString(values));
     }
 
-    private static Relay.Settings settings(int slots) {
-        Relay.MessageClass type = new Relay.MessageClass(FAR_MS / 2, FAR_MS, 1, 0.5, Relay.Effect.SAFE, false, 0,
+    private static Relay.Settings settings(int slotCount) {
+        Relay.MessageClass messageClass = new Relay.MessageClass(DEADLINE_MS / 2, DEADLINE_MS, 1, 0.5, Relay.Effect.SAFE, false, 0,
                 false);
-        return new Relay.Settings(List.of(type), List.of(new Relay.DestinationKind(false, 1)), true, Relay.Decay.LINEAR,
-                List.of(0.0), 100, slots, 4, true, true, 0, 15_000, new Relay.SlowStart(0.2, 12_000, 2, 1500));
+        return new Relay.Settings(List.of(messageClass), List.of(new Relay.DestinationKind(false, 1)), true, Relay.Decay.LINEAR,
+                List.of(0.0), 100, slotCount, 4, true, true, 0, 15_000, new Relay.SlowStart(0.2, 12_000, 2, 1500));
     }
 
     // ---- measurements ----
 
     /** Messages wait for 100 destinations while all slots are in use; measures a turn in which none can be sent. */
-    private static Map<String, Object> waiting(int size, long seed, int percent) {
-        ModuleBenchmark probe = new ModuleBenchmark(DESTINATIONS, seed);
-        probe.list(DESTINATIONS, 1);
-        probe.handIn(DESTINATIONS, DESTINATIONS);
-        probe.turn();
-        if (probe.sent.size() != DESTINATIONS) {
-            throw new IllegalStateException("only " + probe.sent.size() + " slots are in use");
+    private static Map<String, Object> measureWaiting(int size, long seed, int turnsPercent) {
+        ModuleBenchmark benchmark = new ModuleBenchmark(DESTINATION_COUNT, seed);
+        benchmark.replaceList(DESTINATION_COUNT, 1);
+        benchmark.submit(DESTINATION_COUNT, DESTINATION_COUNT);
+        benchmark.runTurn();
+        if (benchmark.inFlight.size() != DESTINATION_COUNT) {
+            throw new IllegalStateException("only " + benchmark.inFlight.size() + " slots are in use");
         }
-        long before = heldBytes();
-        probe.handIn(size, DESTINATIONS);
-        probe.turn();
-        long after = heldBytes();
+        long bytesBefore = usedHeapBytes();
+        benchmark.submit(size, DESTINATION_COUNT);
+        benchmark.runTurn();
+        long bytesAfter = usedHeapBytes();
         Map<String, Object> values = new LinkedHashMap<>();
-        probe.measure("turn", percent, values, probe::turn);
-        probe.requireAllWaited();
-        values.put("bytes_each", (double) (after - before) / size);
+        benchmark.measure("turn", turnsPercent, values, benchmark::runTurn);
+        benchmark.requireAllWaited();
+        values.put("bytes_each", (double) (bytesAfter - bytesBefore) / size);
         return values;
     }
 
     /** Endpoints are listed and no message waits; measures an idle turn, and one in which an entry changes. */
-    private static Map<String, Object> listed(int size, long seed, int percent) {
-        ModuleBenchmark probe = new ModuleBenchmark(DESTINATIONS, seed);
-        probe.turn();
-        long before = heldBytes();
-        probe.list(size, ENDPOINTS_EACH);
-        probe.turn();
-        long after = heldBytes();
+    private static Map<String, Object> measureListed(int size, long seed, int turnsPercent) {
+        ModuleBenchmark benchmark = new ModuleBenchmark(DESTINATION_COUNT, seed);
+        benchmark.runTurn();
+        long bytesBefore = usedHeapBytes();
+        benchmark.replaceList(size, ENDPOINTS_PER_DESTINATION);
+        benchmark.runTurn();
+        long bytesAfter = usedHeapBytes();
         Map<String, Object> values = new LinkedHashMap<>();
-        probe.measureTurnAndChange(size, percent, values);
-        if (probe.relay.endpointCounts().listed() != size) {
-            throw new IllegalStateException(probe.relay.endpointCounts().listed() + " endpoints are listed");
+        benchmark.measureTurnAndChange(size, turnsPercent, values);
+        if (benchmark.relay.endpointCounts().listed() != size) {
+            throw new IllegalStateException(benchmark.relay.endpointCounts().listed() + " endpoints are listed");
         }
-        values.put("bytes_each", (double) (after - before) / size);
+        values.put("bytes_each", (double) (bytesAfter - bytesBefore) / size);
         return values;
     }
 
     /** Listed endpoints, and as many messages that wait for all their destinations while all slots are in use. */
-    private static Map<String, Object> both(int size, long seed, int percent) {
-        ModuleBenchmark probe = new ModuleBenchmark(DESTINATIONS, seed);
-        probe.turn();
-        long before = heldBytes();
-        probe.list(size, ENDPOINTS_EACH);
-        probe.handIn(DESTINATIONS + size, (int) (size / ENDPOINTS_EACH));
-        probe.turn();
-        long after = heldBytes();
+    private static Map<String, Object> measureBoth(int size, long seed, int turnsPercent) {
+        ModuleBenchmark benchmark = new ModuleBenchmark(DESTINATION_COUNT, seed);
+        benchmark.runTurn();
+        long bytesBefore = usedHeapBytes();
+        benchmark.replaceList(size, ENDPOINTS_PER_DESTINATION);
+        benchmark.submit(DESTINATION_COUNT + size, (int) (size / ENDPOINTS_PER_DESTINATION));
+        benchmark.runTurn();
+        long bytesAfter = usedHeapBytes();
         Map<String, Object> values = new LinkedHashMap<>();
-        probe.measureTurnAndChange(size, percent, values);
-        probe.requireAllWaited();
-        values.put("bytes_each", (double) (after - before) / size);
+        benchmark.measureTurnAndChange(size, turnsPercent, values);
+        benchmark.requireAllWaited();
+        values.put("bytes_each", (double) (bytesAfter - bytesBefore) / size);
         return values;
     }
 
     private void requireAllWaited() {
-        if (sent.size() != DESTINATIONS || answers != 0) {
+        if (inFlight.size() != DESTINATION_COUNT || finalResults != 0) {
             throw new IllegalStateException("not all messages waited until the end");
         }
     }
 
-    private void measureTurnAndChange(int size, int percent, Map<String, Object> values) {
-        measure("turn", percent, values, () -> {
-            relay.wake(now);
-            return turn();
+    private void measureTurnAndChange(int size, int turnsPercent, Map<String, Object> values) {
+        measure("turn", turnsPercent, values, () -> {
+            relay.wake(nowMs);
+            return runTurn();
         });
-        measure("change", percent, values, () -> {
-            relay.endpointsChanged(now, false, List.of(entry(random.nextInt(size), ENDPOINTS_EACH)));
-            return turn();
+        measure("change", turnsPercent, values, () -> {
+            relay.endpointsChanged(nowMs, false, List.of(newEndpoint(random.nextInt(size), ENDPOINTS_PER_DESTINATION)));
+            return runTurn();
         });
     }
 
@@ -154,110 +154,110 @@
      * Measures a turn in which the given number of messages is sent, with destinations that have all had traffic. The
      * turn in which the messages complete is not part of the measured time.
      */
-    private static Map<String, Object> going(int destinations, int messages, long seed, int percent) {
-        ModuleBenchmark probe = new ModuleBenchmark(4 * MOST_GOING, seed);
-        probe.list(destinations, 1);
-        probe.prefill(destinations);
-        long[] next = probe.random.longs(destinations, 0, Long.MAX_VALUE).toArray();
-        int[] at = {0};
+    private static Map<String, Object> measureSending(int destinationCount, int messagesPerTurn, long seed, int turnsPercent) {
+        ModuleBenchmark benchmark = new ModuleBenchmark(4 * MAX_MESSAGES_PER_TURN, seed);
+        benchmark.replaceList(destinationCount, 1);
+        benchmark.deliverToAll(destinationCount);
+        long[] randomNumbers = benchmark.random.longs(destinationCount, 0, Long.MAX_VALUE).toArray();
+        int[] position = {0};
         Map<String, Object> values = new LinkedHashMap<>();
-        probe.measure("turn", percent, values, () -> {
-            LongStream.range(0, messages).forEach(i -> probe.message(next[at[0]++ % destinations] % destinations));
-            probe.turn();
-            if (probe.sent.size() != messages) {
-                throw new IllegalStateException(probe.sent.size() + " of " + messages + " messages were sent");
+        benchmark.measure("turn", turnsPercent, values, () -> {
+            LongStream.range(0, messagesPerTurn).forEach(i -> benchmark.submitTo(randomNumbers[position[0]++ % destinationCount] % destinationCount));
+            benchmark.runTurn();
+            if (benchmark.inFlight.size() != messagesPerTurn) {
+                throw new IllegalStateException(benchmark.inFlight.size() + " of " + messagesPerTurn + " messages were sent");
             }
             return null;
-        }, probe::endAll);
+        }, benchmark::completeAll);
         return values;
     }
 
     /** Delivers one message to each destination, a few in each turn. */
-    private void prefill(int destinations) {
-        long until = System.nanoTime() + LONGEST_NANOS;
-        for (int from = 0; from < destinations; from += GOING) {
-            int end = Math.min(destinations, from + GOING);
+    private void deliverToAll(int destinationCount) {
+        long deadlineNanos = System.nanoTime() + MAX_NANOS;
+        for (int from = 0; from < destinationCount; from += MESSAGES_PER_TURN) {
+            int end = Math.min(destinationCount, from + MESSAGES_PER_TURN);
             for (int i = from; i < end; i++) {
-                message(i);
+                submitTo(i);
             }
-            turn();
-            endAll();
-            if (System.nanoTime() > until) {
-                throw new IllegalStateException("after " + LONGEST_NANOS / 1_000_000_000 + " s only " + end + " of "
-                        + destinations + " destinations had got a message");
+            runTurn();
+            completeAll();
+            if (System.nanoTime() > deadlineNanos) {
+                throw new IllegalStateException("after " + MAX_NANOS / 1_000_000_000 + " s only " + end + " of "
+                        + destinationCount + " destinations had got a message");
             }
         }
     }
 
     // ---- events ----
 
-    private Relay.Endpoint entry(int i, double each) {
-        return new Relay.Endpoint(i, (long) (i / each), 0, 0, true, 1 + random.nextInt(100), false);
+    private Relay.Endpoint newEndpoint(int number, double endpointsPerDestination) {
+        return new Relay.Endpoint(number, (long) (number / endpointsPerDestination), 0, 0, true, 1 + random.nextInt(100), false);
     }
 
-    private void list(int endpoints, double each) {
+    private void replaceList(int endpointCount, double endpointsPerDestination) {
         List<Relay.Endpoint> entries = new ArrayList<>();
-        for (int i = 0; i < endpoints; i++) {
-            entries.add(entry(i, each));
+        for (int i = 0; i < endpointCount; i++) {
+            entries.add(newEndpoint(i, endpointsPerDestination));
         }
-        relay.endpointsChanged(now, true, entries);
+        relay.endpointsChanged(nowMs, true, entries);
     }
 
-    private void handIn(int count, int destinations) {
+    private void submit(int count, int destinationCount) {
         for (int i = 0; i < count; i++) {
-            message(i % destinations);
+            submitTo(i % destinationCount);
         }
     }
 
-    private void message(long destination) {
-        relay.messageAccepted(now, new Relay.Message(messages++, 0, 0, Optional.empty(), FAR_MS, destination));
+    private void submitTo(long destination) {
+        relay.messageAccepted(nowMs, new Relay.Message(nextMessageId++, 0, 0, Optional.empty(), DEADLINE_MS, destination));
     }
 
-    private Void turn() {
-        relay.endTurn(now);
-        now += STEP_MS;
+    private Void runTurn() {
+        relay.endTurn(nowMs);
+        nowMs += TURN_INTERVAL_MS;
         return null;
     }
 
     /** Reports all attempts in flight as delivered, in one turn. */
-    private void endAll() {
-        List<SentAttempt> ended = new ArrayList<>(sent);
-        sent.clear();
-        for (SentAttempt s : ended) {
-            relay.attemptCompleted(now,
-                    new Relay.AttemptResult(s.message(), s.attempt(), Relay.Outcome.DELIVERED, STEP_MS,
+    private void completeAll() {
+        List<SentAttempt> completed = new ArrayList<>(inFlight);
+        inFlight.clear();
+        for (SentAttempt attempt : completed) {
+            relay.attemptCompleted(nowMs,
+                    new Relay.AttemptResult(attempt.message(), attempt.attempt(), Relay.Outcome.DELIVERED, TURN_INTERVAL_MS,
                     true, 0, Relay.LoadReport.NONE));
         }
-        turn();
+        runTurn();
     }
 
     // ---- measuring ----
 
-    private void measure(String name, int percent, Map<String, Object> values, Supplier<Void> turn) {
-        measure(name, percent, values, turn, () -> { });
+    private void measure(String name, int turnsPercent, Map<String, Object> values, Supplier<Void> turn) {
+        measure(name, turnsPercent, values, turn, () -> { });
     }
 
     /**
      * Repeats a turn after a warm-up, and adds to the values its median and 99th percentile in microseconds and the
      * mean of the bytes that it allocated, which measure its work independently of the clock.
      *
-     * @param after runs after each turn, and is not measured
+     * @param afterTurn runs after each turn, and is not measured
      */
-    private void measure(String name, int percent, Map<String, Object> values, Supplier<Void> turn, Runnable after) {
-        repeat(WARM_UP_TURNS * percent / 100, WARM_UP_NANOS * percent / 100, () -> {
+    private void measure(String name, int turnsPercent, Map<String, Object> values, Supplier<Void> turn, Runnable afterTurn) {
+        repeat(WARM_UP_TURNS * turnsPercent / 100, WARM_UP_NANOS * turnsPercent / 100, () -> {
             turn.get();
-            after.run();
+            afterTurn.run();
         });
-        Histogram nanos = new Histogram(LONGEST_NANOS, 3);
+        Histogram nanos = new Histogram(MAX_NANOS, 3);
         long[] allocated = {0};
         ThreadMXBean threads = (ThreadMXBean) ManagementFactory.getThreadMXBean();
-        int turns = repeat(TURNS * percent / 100, MEASURE_NANOS * percent / 100, () -> {
-            long bytes = threads.getCurrentThreadAllocatedBytes();
+        int turns = repeat(MEASURED_TURNS * turnsPercent / 100, MEASURE_NANOS * turnsPercent / 100, () -> {
+            long allocatedBefore = threads.getCurrentThreadAllocatedBytes();
             long start = System.nanoTime();
             turn.get();
             nanos.recordValue(System.nanoTime() - start);
-            allocated[0] += threads.getCurrentThreadAllocatedBytes() - bytes;
-            after.run();
+            allocated[0] += threads.getCurrentThreadAllocatedBytes() - allocatedBefore;
+            afterTurn.run();
         });
         values.put(name + "_us", nanos.getValueAtPercentile(50) / 1e3);
         values.put(name + "_p99_us", nanos.getValueAtPercentile(99) / 1e3);
@@ -266,10 +266,10 @@
     }
 
     /** Repeats an action until the count or the time is reached, but a minimum number of times. */
-    private static int repeat(int times, long forNanos, Runnable action) {
-        long until = System.nanoTime() + forNanos;
+    private static int repeat(int count, long maxNanos, Runnable action) {
+        long deadlineNanos = System.nanoTime() + maxNanos;
         int done = 0;
-        while (done < LEAST_TURNS || done < times && System.nanoTime() < until) {
+        while (done < MIN_TURNS || done < count && System.nanoTime() < deadlineNanos) {
             action.run();
             done++;
         }
@@ -277,11 +277,11 @@
     }
 
     /** Used heap after garbage collections; several, because one may free only what the one before found dead. */
-    private static long heldBytes() {
+    private static long usedHeapBytes() {
         // Called once before the collections, because the first call leaves megabytes of garbage.
         MemoryMXBean memory = ManagementFactory.getMemoryMXBean();
         memory.getHeapMemoryUsage();
-        for (int i = 0; i < COLLECTIONS; i++) {
+        for (int i = 0; i < GC_COUNT; i++) {
             System.gc();
         }
         return memory.getHeapMemoryUsage().getUsed();
@@ -291,7 +291,7 @@
 
     @Override
     public void send(long message, long endpoint, double timeoutMs) {
-        sent.add(new SentAttempt(message, 0));
+        inFlight.add(new SentAttempt(message, 0));
     }
 
     @Override
@@ -304,17 +304,17 @@
     }
 
     @Override
-    public void reject(long message, double waitMs) {
-        answers++;
+    public void reject(long message, double retryAfterMs) {
+        finalResults++;
     }
 
     @Override
     public void fail(long message) {
-        answers++;
+        finalResults++;
     }
 
     @Override
-    public void wakeAt(double time) {
+    public void wakeAt(double timeMs) {
     }
 
     @Override
--- a/src/main/java/kestreldeal/scale/ModuleBenchmarkProcess.java
+++ b/src/main/java/kestreldeal/scale/ModuleBenchmarkProcess.java
@@ -18,49 +18,49 @@
  */
 final class ModuleBenchmarkProcess {
     private static final int HEAP_MB = 1024;
-    private static final int LIMIT_S = 100;
+    private static final int TIMEOUT_SECONDS = 100;
 
     private ModuleBenchmarkProcess() {
     }
 
     /** Measures once; returns the measured values and the options of the JVM. */
-    static Map<String, Object> probe(MeasurementSetup setup, String what, int size, long seed) throws Exception {
-        List<String> options = setup.optionsWithHeap(HEAP_MB);
-        List<String> command = new ArrayList<>(setup.pin());
+    static Map<String, Object> measure(MeasurementSetup setup, String slopeName, int size, long seed) throws Exception {
+        List<String> options = setup.jvmOptionsWithHeap(HEAP_MB);
+        List<String> command = new ArrayList<>(setup.pinCommand());
         command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
         command.addAll(options);
-        command.addAll(List.of("-cp", System.getProperty("java.class.path"), ModuleBenchmark.class.getName(), what,
+        command.addAll(List.of("-cp", System.getProperty("java.class.path"), ModuleBenchmark.class.getName(), slopeName,
                 Integer.toString(size), Long.toString(seed), setup.quick() ? "10" : "100"));
-        Path out = Files.createTempFile("probe", ".json");
-        Path err = Files.createTempFile("probe", ".log");
+        Path outputFile = Files.createTempFile("probe", ".json");
+        Path errorFile = Files.createTempFile("probe", ".log");
         try {
-            run(command, out, err);
-            Map<String, Object> values = JsonMapper.builder().build().readValue(Files.readAllBytes(out),
+            runProcess(command, outputFile, errorFile);
+            Map<String, Object> values = JsonMapper.builder().build().readValue(Files.readAllBytes(outputFile),
                     new TypeReference<LinkedHashMap<String, Object>>() { });
             values.put("jvm", options);
             return values;
         } finally {
-            Files.delete(out);
-            Files.delete(err);
+            Files.delete(outputFile);
+            Files.delete(errorFile);
         }
     }
 
-    private static void run(List<String> command, Path out, Path err) throws Exception {
-        Process process = new ProcessBuilder(command).redirectOutput(out.toFile()).redirectError(err.toFile()).start();
+    private static void runProcess(List<String> command, Path outputFile, Path errorFile) throws Exception {
+        Process process = new ProcessBuilder(command).redirectOutput(outputFile.toFile()).redirectError(errorFile.toFile()).start();
         try {
-            if (!process.waitFor(LIMIT_S, TimeUnit.SECONDS)) {
-                throw new Slope.MeasurementFailedException("not finished within " + LIMIT_S + " s");
+            if (!process.waitFor(TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
+                throw new Slope.MeasurementFailedException("not finished within " + TIMEOUT_SECONDS + " s");
             }
         } finally {
             process.destroyForcibly().waitFor();
         }
         if (process.exitValue() != 0) {
-            throw new Slope.MeasurementFailedException(firstLine(err));
+            throw new Slope.MeasurementFailedException(firstLine(errorFile));
         }
     }
 
-    private static String firstLine(Path log) throws IOException {
-        return Files.readString(log, StandardCharsets.UTF_8).lines().findFirst()
+    private static String firstLine(Path file) throws IOException {
+        return Files.readString(file, StandardCharsets.UTF_8).lines().findFirst()
                 .orElse("failed without an error message");
     }
 }
--- a/src/main/java/kestreldeal/scale/ModuleSlopes.java
+++ b/src/main/java/kestreldeal/scale/ModuleSlopes.java
@@ -11,16 +11,16 @@
     static final String GOING = "going";
 
     private static final List<Integer> TWO_DECADES = List.of(1000, 3000, 10_000, 30_000, 100_000);
-    private static final List<Integer> SMALL = List.of(100, 10_000);
+    private static final List<Integer> QUICK_SIZES = List.of(100, 10_000);
 
     private ModuleSlopes() {
     }
 
     static List<Slope> all() {
         return List.of(
-                slope(WAITING, "messages waiting, 100 destinations, all slots taken", TWO_DECADES, SMALL,
+                slope(WAITING, "messages waiting, 100 destinations, all slots taken", TWO_DECADES, QUICK_SIZES,
                         List.of("turn_us", "turn_allocated_bytes", "bytes_each")),
-                slope(LISTED, "endpoints listed, 1.6 a destination, nothing waiting", TWO_DECADES, SMALL,
+                slope(LISTED, "endpoints listed, 1.6 a destination, nothing waiting", TWO_DECADES, QUICK_SIZES,
                         List.of("turn_us", "turn_allocated_bytes", "change_us", "change_allocated_bytes",
                                 "bytes_each")),
                 slope(BOTH, "endpoints listed and as many messages waiting for all destinations, all slots taken",
@@ -34,8 +34,8 @@
                         List.of("turn_us", "turn_allocated_bytes")));
     }
 
-    private static Slope slope(String name, String by, List<Integer> sizes, List<Integer> quick,
-            List<String> fitted) {
-        return new Slope(name, by, sizes, quick, fitted, (setup, size, seed) -> ModuleBenchmarkProcess.probe(setup, name, size, seed));
+    private static Slope slope(String name, String sizeMeaning, List<Integer> sizes, List<Integer> quickSizes,
+            List<String> fittedValues) {
+        return new Slope(name, sizeMeaning, sizes, quickSizes, fittedValues, (setup, size, seed) -> ModuleBenchmarkProcess.measure(setup, name, size, seed));
     }
 }
--- a/src/main/java/kestreldeal/scale/ResultWriter.java
+++ b/src/main/java/kestreldeal/scale/ResultWriter.java
@@ -24,12 +24,12 @@
  */
 public final class ResultWriter implements AutoCloseable {
     private static final String UNKNOWN = "unknown";
-    private static final long GIT_SECONDS = 5;
+    private static final long GIT_TIMEOUT_SECONDS = 5;
 
-    private final ObjectMapper json = JsonMapper.builder().build();
+    private final ObjectMapper jsonMapper = JsonMapper.builder().build();
     private final Optional<BufferedWriter> out;
     private final PrintStream terminal;
-    private final Map<String, Object> common = new LinkedHashMap<>();
+    private final Map<String, Object> sharedValues = new LinkedHashMap<>();
 
     private ResultWriter(Optional<BufferedWriter> out, PrintStream terminal) {
         this.out = out;
@@ -48,13 +48,13 @@
         Optional<BufferedWriter> out = file.isEmpty() ? Optional.empty()
                 : Optional.of(Files.newBufferedWriter(file.get(), StandardCharsets.UTF_8));
         ResultWriter results = new ResultWriter(out, System.out);
-        results.common.put("command", command);
-        results.common.put("seed", seed);
-        results.common.put("sizes", List.copyOf(sizes));
-        results.common.put("jvm", ManagementFactory.getRuntimeMXBean().getInputArguments());
-        results.common.put("java", Runtime.version().toString());
-        results.common.put("cores", Runtime.getRuntime().availableProcessors());
-        results.common.put("revision", revision());
+        results.sharedValues.put("command", command);
+        results.sharedValues.put("seed", seed);
+        results.sharedValues.put("sizes", List.copyOf(sizes));
+        results.sharedValues.put("jvm", ManagementFactory.getRuntimeMXBean().getInputArguments());
+        results.sharedValues.put("java", Runtime.version().toString());
+        results.sharedValues.put("cores", Runtime.getRuntime().availableProcessors());
+        results.sharedValues.put("revision", revision());
         return results;
     }
 
@@ -72,8 +72,8 @@
         Map<String, Object> line = new LinkedHashMap<>();
         line.put("kind", kind);
         line.putAll(values);
-        common.forEach(line::putIfAbsent);
-        out.get().write(json.writeValueAsString(line));
+        sharedValues.forEach(line::putIfAbsent);
+        out.get().write(jsonMapper.writeValueAsString(line));
         out.get().newLine();
         // Flushed on each line, so that no result is lost if the run is aborted.
         out.get().flush();
@@ -83,13 +83,13 @@
     public synchronized void printTable(String title, List<String> headers, List<? extends List<?>> rows) {
         List<List<String>> cells = new ArrayList<>();
         cells.add(headers);
-        rows.forEach(row -> cells.add(row.stream().map(ResultWriter::cell).toList()));
+        rows.forEach(row -> cells.add(row.stream().map(ResultWriter::formatCell).toList()));
         terminal.println();
         terminal.println(title);
         for (List<String> row : cells) {
             StringBuilder text = new StringBuilder();
             for (int column = 0; column < row.size(); column++) {
-                text.append("  ").append(padded(row.get(column), width(cells, column), isNumber(cells, column)));
+                text.append("  ").append(pad(row.get(column), columnWidth(cells, column), isNumberColumn(cells, column)));
             }
             terminal.println(text.toString().stripTrailing());
         }
@@ -101,47 +101,47 @@
         System.err.println(text);
     }
 
-    private static int width(List<List<String>> cells, int column) {
+    private static int columnWidth(List<List<String>> cells, int column) {
         return cells.stream().mapToInt(row -> row.get(column).length()).max().orElse(0);
     }
 
-    private static boolean isNumber(List<List<String>> cells, int column) {
+    private static boolean isNumberColumn(List<List<String>> cells, int column) {
         return cells.stream().skip(1).allMatch(row -> row.get(column).matches("-?[0-9.,E]+|-"));
     }
 
-    private static String padded(String text, int width, boolean right) {
-        String pad = " ".repeat(width - text.length());
-        return right ? pad + text : text + pad;
+    private static String pad(String text, int width, boolean rightAligned) {
+        String padding = " ".repeat(width - text.length());
+        return rightAligned ? padding + text : text + padding;
     }
 
-    private static String cell(Object value) {
-        return value instanceof Double number ? number(number) : String.valueOf(value);
+    private static String formatCell(Object value) {
+        return value instanceof Double number ? formatNumber(number) : String.valueOf(value);
     }
 
     /** Formats a number with no more digits than the precision of the measurements justifies. */
-    static String number(double value) {
+    static String formatNumber(double value) {
         if (Double.isNaN(value)) {
             return "-";
         }
-        double size = Math.abs(value);
-        return String.format(Locale.ROOT, size >= 1000 ? "%.0f" : size >= 10 ? "%.1f" : "%.3f", value);
+        double magnitude = Math.abs(value);
+        return String.format(Locale.ROOT, magnitude >= 1000 ? "%.0f" : magnitude >= 10 ? "%.1f" : "%.3f", value);
     }
 
     /** The commit that is checked out, with {@code +changes} appended if tracked files differ from it. */
     private static String revision() {
-        Optional<String> head = git("rev-parse", "--short=12", "HEAD");
-        boolean differs = git("status", "--porcelain", "--untracked-files=no").filter(s -> !s.isEmpty()).isPresent();
+        Optional<String> head = runGit("rev-parse", "--short=12", "HEAD");
+        boolean differs = runGit("status", "--porcelain", "--untracked-files=no").filter(s -> !s.isEmpty()).isPresent();
         return head.map(commit -> commit + (differs ? "+changes" : "")).orElse(UNKNOWN);
     }
 
-    private static Optional<String> git(String... arguments) {
+    private static Optional<String> runGit(String... arguments) {
         List<String> command = new ArrayList<>(List.of("git"));
         command.addAll(List.of(arguments));
         try {
-            Process git = new ProcessBuilder(command).redirectError(ProcessBuilder.Redirect.DISCARD).start();
-            String said = new String(git.getInputStream().readAllBytes(), StandardCharsets.UTF_8).strip();
-            boolean ended = git.waitFor(GIT_SECONDS, TimeUnit.SECONDS);
-            return ended && git.exitValue() == 0 ? Optional.of(said) : Optional.empty();
+            Process process = new ProcessBuilder(command).redirectError(ProcessBuilder.Redirect.DISCARD).start();
+            String output = new String(process.getInputStream().readAllBytes(), StandardCharsets.UTF_8).strip();
+            boolean exited = process.waitFor(GIT_TIMEOUT_SECONDS, TimeUnit.SECONDS);
+            return exited && process.exitValue() == 0 ? Optional.of(output) : Optional.empty();
         } catch (IOException e) {
             return Optional.empty();
         } catch (InterruptedException e) {
--- a/src/main/java/kestreldeal/scale/ScaleMain.java
+++ b/src/main/java/kestreldeal/scale/ScaleMain.java
@@ -23,13 +23,13 @@
     /** Runs a subcommand and returns its exit code; this process goes on. */
     static int run(String... args) {
         return new CommandLine(new ScaleMain())
-                .setParameterExceptionHandler((fault, rest) -> {
-                    String text = String.valueOf(fault.getMessage()).replaceAll("\\s*\\R\\s*", " ");
-                    fault.getCommandLine().getErr().println(text);
+                .setParameterExceptionHandler((exception, unparsed) -> {
+                    String text = String.valueOf(exception.getMessage()).replaceAll("\\s*\\R\\s*", " ");
+                    exception.getCommandLine().getErr().println(text);
                     return CommandLine.ExitCode.USAGE;
                 })
-                .setExecutionExceptionHandler((fault, command, parsed) -> {
-                    command.getErr().println(command.getCommandName() + " aborted: " + fault);
+                .setExecutionExceptionHandler((exception, command, parsed) -> {
+                    command.getErr().println(command.getCommandName() + " aborted: " + exception);
                     return CommandLine.ExitCode.SOFTWARE;
                 })
                 .execute(args);
--- a/src/main/java/kestreldeal/scale/SenderProcess.java
+++ b/src/main/java/kestreldeal/scale/SenderProcess.java
@@ -23,28 +23,28 @@
  */
 final class SenderProcess implements AutoCloseable {
     /** The only message class. */
-    static final String CLASS = "c";
+    static final String MESSAGE_CLASS = "c";
     /** Deadline of messages, longer than any measurement: a message that can't be delivered stays pending. */
-    static final long GIVE_UP_MS = 600_000;
-    private static final int POLL_MS = 5;
-    private static final int SOCKET_MS = 2000;
+    static final long DEADLINE_MS = 600_000;
+    private static final int POLL_INTERVAL_MS = 5;
+    private static final int SOCKET_TIMEOUT_MS = 2000;
 
     private final MeasurementSetup setup;
-    private final Path folder;
-    private final String agent;
-    private final int port;
-    private final int operatorsPort;
+    private final Path directory;
+    private final String agentAddress;
+    private final int clientPort;
+    private final int operatorPort;
     private Process process;
 
     /** Prepares the directory of a sender that uses the agent of this environment; {@link #start} starts it. */
-    SenderProcess(MeasurementSetup setup, StubEnvironment world, double diskMb) throws IOException {
+    SenderProcess(MeasurementSetup setup, StubEnvironment environment, double diskMb) throws IOException {
         this.setup = setup;
-        this.agent = world.agentAddress();
-        this.folder = Files.createTempDirectory("scale");
-        this.port = freePort();
-        this.operatorsPort = freePort();
-        Files.createDirectory(folder.resolve("state"));
-        Files.writeString(folder.resolve("config.json"), configuration(diskMb));
+        this.agentAddress = environment.agentAddress();
+        this.directory = Files.createTempDirectory("scale");
+        this.clientPort = freePort();
+        this.operatorPort = freePort();
+        Files.createDirectory(directory.resolve("state"));
+        Files.writeString(directory.resolve("config.json"), configuration(diskMb));
     }
 
     private static int freePort() throws IOException {
@@ -55,12 +55,12 @@
 
     private String configuration(double diskMb) {
         ObjectMapper json = JsonMapper.builder().build();
-        ObjectNode root = json.createObjectNode().put("name", "scale").put("discovery", agent)
+        ObjectNode root = json.createObjectNode().put("name", "scale").put("discovery", agentAddress)
                 .put("seed", Long.toHexString(setup.seed()));
         root.putObject("limits").put("sockets", 1024).put("disk_mb", diskMb);
         ObjectNode settings = root.putObject("settings").put("fleet_size", 1).put("weight_kind", "rough");
-        settings.putArray("classes").addObject().put("name", CLASS).put("aim_ms", 1000)
-                .put("give_up_ms", GIVE_UP_MS).put("repeat", "keyed").put("window_ms", GIVE_UP_MS);
+        settings.putArray("classes").addObject().put("name", MESSAGE_CLASS).put("aim_ms", 1000)
+                .put("give_up_ms", DEADLINE_MS).put("repeat", "keyed").put("window_ms", DEADLINE_MS);
         settings.putArray("flavors").add("m");
         settings.putArray("zones").add("a");
         settings.putObject("family_info").put("workers", 256).putArray("batch_by_kind").add(1);
@@ -71,28 +71,28 @@
         return root.toString();
     }
 
-    InetSocketAddress address() {
-        return new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
+    InetSocketAddress clientAddress() {
+        return new InetSocketAddress(InetAddress.getLoopbackAddress(), clientPort);
     }
 
-    Path journal() {
-        return folder.resolve("state").resolve("journal");
+    Path journalFile() {
+        return directory.resolve("state").resolve("journal");
     }
 
     /** Starts the process, without waiting until it is ready. */
     void start() throws IOException {
-        List<String> command = new ArrayList<>(setup.pin());
+        List<String> command = new ArrayList<>(setup.pinCommand());
         command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
-        command.addAll(setup.options());
-        if (Files.isReadable(MeasurementSetup.ARCHIVE)) {
-            command.add("-XX:SharedArchiveFile=" + MeasurementSetup.ARCHIVE);
+        command.addAll(setup.jvmOptions());
+        if (Files.isReadable(MeasurementSetup.CLASS_ARCHIVE)) {
+            command.add("-XX:SharedArchiveFile=" + MeasurementSetup.CLASS_ARCHIVE);
         }
         command.addAll(List.of("-jar", MeasurementSetup.JAR.toString(), "serve", "--alone"));
         ProcessBuilder builder = new ProcessBuilder(command).redirectErrorStream(true)
-                .redirectOutput(ProcessBuilder.Redirect.appendTo(folder.resolve("log").toFile()));
-        builder.environment().putAll(Map.of("GW_NAME", "scale", "GW_CONFIG", folder.resolve("config.json").toString(),
-                "GW_STATE", folder.resolve("state").toString(), "GW_LISTEN", "127.0.0.1:" + port,
-                "GW_OPS", "127.0.0.1:" + operatorsPort));
+                .redirectOutput(ProcessBuilder.Redirect.appendTo(directory.resolve("log").toFile()));
+        builder.environment().putAll(Map.of("GW_NAME", "scale", "GW_CONFIG", directory.resolve("config.json").toString(),
+                "GW_STATE", directory.resolve("state").toString(), "GW_LISTEN", "127.0.0.1:" + clientPort,
+                "GW_OPS", "127.0.0.1:" + operatorPort));
         process = builder.start();
     }
 
@@ -101,14 +101,14 @@
      *
      * @throws Slope.Failed if the process exits before, or is not ready in time
      */
-    double awaitReady(long limitMs) throws Exception {
-        return await(limitMs, "not ready", () -> ask(port, "GET /healthz HTTP/1.1\r\nHost: app.svc\r\n"
+    double awaitReady(long timeoutMs) throws Exception {
+        return await(timeoutMs, "not ready", () -> query(clientPort, "GET /healthz HTTP/1.1\r\nHost: app.svc\r\n"
                 + "Connection: close\r\n\r\n").startsWith("HTTP/1.1 200"));
     }
 
     /** Waits until the sender's metric counts this many listed endpoints; returns the time in milliseconds. */
-    double awaitListed(int endpoints, long limitMs) throws Exception {
-        return await(limitMs, "the list has not been applied", () -> figure("edge_gw_members") == endpoints);
+    double awaitListed(int endpointCount, long timeoutMs) throws Exception {
+        return await(timeoutMs, "the list has not been applied", () -> metric("edge_gw_members") == endpointCount);
     }
 
     /** A condition that queries the process. */
@@ -117,44 +117,44 @@
     }
 
     /** Polls the condition; a query that fails, because the process is starting or busy, counts as not yet true. */
-    double await(long limitMs, String otherwise, Condition condition) throws Exception {
-        long begun = System.nanoTime();
+    double await(long timeoutMs, String failureText, Condition condition) throws Exception {
+        long startNanos = System.nanoTime();
         while (true) {
             try {
                 if (condition.holds()) {
-                    return (System.nanoTime() - begun) / 1e6;
+                    return (System.nanoTime() - startNanos) / 1e6;
                 }
             } catch (IOException e) {
                 // Polled again until the time limit.
             }
             if (!process.isAlive()) {
-                throw new Slope.MeasurementFailedException(otherwise + ": the process exited with code " + process.exitValue() + ", "
-                        + lastWords());
+                throw new Slope.MeasurementFailedException(failureText + ": the process exited with code " + process.exitValue() + ", "
+                        + lastLogLine());
             }
-            if (System.nanoTime() - begun > limitMs * 1_000_000) {
-                throw new Slope.MeasurementFailedException(otherwise + " after " + limitMs + " ms, " + lastWords());
+            if (System.nanoTime() - startNanos > timeoutMs * 1_000_000) {
+                throw new Slope.MeasurementFailedException(failureText + " after " + timeoutMs + " ms, " + lastLogLine());
             }
-            Thread.sleep(POLL_MS);
+            Thread.sleep(POLL_INTERVAL_MS);
         }
     }
 
     /** The metric of that name from the operators' port, or -1 if there is none. */
-    long figure(String name) throws IOException {
-        return ask(operatorsPort, "telemetry\n").lines().filter(line -> line.startsWith(name + " "))
+    long metric(String name) throws IOException {
+        return query(operatorPort, "telemetry\n").lines().filter(line -> line.startsWith(name + " "))
                 .mapToLong(line -> Long.parseLong(line.substring(name.length() + 1))).findFirst().orElse(-1);
     }
 
-    private static String ask(int port, String call) throws IOException {
+    private static String query(int port, String request) throws IOException {
         try (Socket socket = new Socket()) {
-            socket.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), port), SOCKET_MS);
-            socket.setSoTimeout(SOCKET_MS);
-            socket.getOutputStream().write(call.getBytes(StandardCharsets.US_ASCII));
+            socket.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), port), SOCKET_TIMEOUT_MS);
+            socket.setSoTimeout(SOCKET_TIMEOUT_MS);
+            socket.getOutputStream().write(request.getBytes(StandardCharsets.US_ASCII));
             return new String(socket.getInputStream().readAllBytes(), StandardCharsets.US_ASCII);
         }
     }
 
     /** CPU time used by the process, user and system, in milliseconds; the kernel counts in steps of 10 ms. */
-    double processorMs() throws IOException {
+    double cpuMs() throws IOException {
         String stat = Files.readString(Path.of("/proc", Long.toString(process.pid()), "stat"));
         // The second field (the command) may contain spaces, but ends with the last closing parenthesis.
         String[] fields = stat.substring(stat.lastIndexOf(')') + 2).split(" ");
@@ -162,7 +162,7 @@
     }
 
     /** Peak resident memory of the process so far, in megabytes. */
-    double peakMb() throws IOException {
+    double peakMemoryMb() throws IOException {
         try (Stream<String> lines = Files.lines(Path.of("/proc", Long.toString(process.pid()), "status"))) {
             return lines.filter(line -> line.startsWith("VmHWM:"))
                     .mapToDouble(line -> Double.parseDouble(line.replaceAll("\\D", "")) / 1024).findFirst()
@@ -171,8 +171,8 @@
     }
 
     /** The last line of its log without the timestamp, for error messages. */
-    String lastWords() throws IOException {
-        List<String> lines = Files.readAllLines(folder.resolve("log"));
+    String lastLogLine() throws IOException {
+        List<String> lines = Files.readAllLines(directory.resolve("log"));
         return lines.isEmpty() ? "the log is empty" : "last log line: " + lines.get(lines.size() - 1)
                 .replaceFirst("^[0-9T:.Z-]+ ", "");
     }
@@ -191,7 +191,7 @@
                 Thread.currentThread().interrupt();
             }
         }
-        try (Stream<Path> files = Files.walk(folder)) {
+        try (Stream<Path> files = Files.walk(directory)) {
             for (Path file : files.sorted(Comparator.reverseOrder()).toList()) {
                 Files.delete(file);
             }
--- a/src/main/java/kestreldeal/scale/Slope.java
+++ b/src/main/java/kestreldeal/scale/Slope.java
@@ -7,13 +7,13 @@
  * A set of costs that is measured at several sizes, so that their growth with the size can be fitted.
  *
  * @param name name on the command line and in results
- * @param by what the size counts
- * @param sizes default sizes, which span two decades where that is feasible
- * @param quick few and small sizes, for {@code --quick}
- * @param fitted names of the measured values to fit; each name ends with its unit
+ * @param sizeMeaning what the size counts
+ * @param defaultSizes default sizes, which span two decades where that is feasible
+ * @param quickSizes few and small sizes, for {@code --quick}
+ * @param fittedValues names of the measured values to fit; each name ends with its unit
  * @param measurement measures all values at one size
  */
-record Slope(String name, String by, List<Integer> sizes, List<Integer> quick, List<String> fitted,
+record Slope(String name, String sizeMeaning, List<Integer> defaultSizes, List<Integer> quickSizes, List<String> fittedValues,
              Measurement measurement) {
     interface Measurement {
         /**
@@ -30,8 +30,8 @@
     static final class MeasurementFailedException extends Exception {
         private static final long serialVersionUID = 1;
 
-        MeasurementFailedException(String why) {
-            super(why);
+        MeasurementFailedException(String reason) {
+            super(reason);
         }
     }
 }
--- a/src/main/java/kestreldeal/scale/SlopesCommand.java
+++ b/src/main/java/kestreldeal/scale/SlopesCommand.java
@@ -22,14 +22,14 @@
         description = "Measures the costs of a sender at several sizes of its list, its pending messages and its "
                 + "load, and fits how they grow. Runs from the root of a checkout after the build.")
 final class SlopesCommand implements Callable<Integer> {
-    private static final int MOST_REPEATS = 20;
-    private static final int MOST = 1_000_000;
+    private static final int MAX_REPEATS = 20;
+    private static final int MAX_SIZE = 1_000_000;
 
     @Spec
     private CommandSpec spec;
 
     @Option(names = "--only", split = ",", paramLabel = "SLOPE", description = "slopes to measure; default: all")
-    private List<String> only = List.of();
+    private List<String> selectedNames = List.of();
 
     @Option(names = "--sizes", split = ",", paramLabel = "N", description = "sizes that replace each slope's own")
     private List<Integer> sizes = List.of();
@@ -41,24 +41,24 @@
     private long seed = 1;
 
     @Option(names = "--out", paramLabel = "FILE", description = "file for the results, one JSON object per line")
-    private Path out;
+    private Path outputFile;
 
     @Option(names = "--quick", description = "small sizes, one short run each")
     private boolean quick;
 
     @Option(names = "--limit-s", paramLabel = "S", description = "start no further run after this many seconds")
-    private int limitS = 3600;
+    private int timeLimitSeconds = 3600;
 
     /** The repeated measurements of one value, by size. */
     private static final class Series {
-        private final Map<Integer, List<Double>> bySize = new TreeMap<>();
+        private final Map<Integer, List<Double>> valuesBySize = new TreeMap<>();
 
         void add(int size, double value) {
-            bySize.computeIfAbsent(size, s -> new ArrayList<>()).add(value);
+            valuesBySize.computeIfAbsent(size, s -> new ArrayList<>()).add(value);
         }
 
         double median(int size) {
-            List<Double> sorted = bySize.getOrDefault(size, List.of()).stream().sorted().toList();
+            List<Double> sorted = valuesBySize.getOrDefault(size, List.of()).stream().sorted().toList();
             if (sorted.isEmpty()) {
                 return Double.NaN;
             }
@@ -69,7 +69,7 @@
         Optional<Fit> fit() {
             List<Double> x = new ArrayList<>();
             List<Double> y = new ArrayList<>();
-            bySize.forEach((size, values) -> values.stream().filter(value -> value > 0).forEach(value -> {
+            valuesBySize.forEach((size, values) -> values.stream().filter(value -> value > 0).forEach(value -> {
                 x.add((double) size);
                 y.add(value);
             }));
@@ -78,80 +78,80 @@
     }
 
     /** All slopes that can be measured. */
-    static List<Slope> slopes() {
+    static List<Slope> allSlopes() {
         return Stream.of(ModuleSlopes.all(), SenderSlopes.all()).flatMap(List::stream).toList();
     }
 
     @Override
     public Integer call() throws Exception {
-        List<Slope> chosen = check();
-        long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(limitS);
-        MeasurementSetup setup = MeasurementSetup.here(seed, quick);
-        try (ResultWriter results = ResultWriter.open(Optional.ofNullable(out), "slopes", seed, sizes)) {
-            for (Slope slope : chosen) {
-                run(slope, setup, results, until);
+        List<Slope> selected = selectSlopes();
+        long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(timeLimitSeconds);
+        MeasurementSetup setup = MeasurementSetup.load(seed, quick);
+        try (ResultWriter results = ResultWriter.open(Optional.ofNullable(outputFile), "slopes", seed, sizes)) {
+            for (Slope slope : selected) {
+                measureSlope(slope, setup, results, deadlineNanos);
             }
         }
         return 0;
     }
 
-    private List<Slope> check() {
-        List<String> known = slopes().stream().map(Slope::name).toList();
-        only.stream().filter(name -> !known.contains(name)).findFirst().ifPresent(name ->
-                refuse("no slope '" + name + "': the slopes are " + String.join(", ", known)));
-        if (repeats < 1 || repeats > MOST_REPEATS) {
-            refuse("--repeats must be from 1 to " + MOST_REPEATS);
+    private List<Slope> selectSlopes() {
+        List<String> names = allSlopes().stream().map(Slope::name).toList();
+        selectedNames.stream().filter(name -> !names.contains(name)).findFirst().ifPresent(name ->
+                failUsage("no slope '" + name + "': the slopes are " + String.join(", ", names)));
+        if (repeats < 1 || repeats > MAX_REPEATS) {
+            failUsage("--repeats must be from 1 to " + MAX_REPEATS);
         }
-        if (sizes.stream().anyMatch(size -> size < 1 || size > MOST)) {
-            refuse("--sizes must be from 1 to " + MOST);
+        if (sizes.stream().anyMatch(size -> size < 1 || size > MAX_SIZE)) {
+            failUsage("--sizes must be from 1 to " + MAX_SIZE);
         }
         if (!sizes.isEmpty() && sizes.stream().distinct().count() < 2) {
-            refuse("--sizes needs at least two different sizes, or growth can't be fitted");
+            failUsage("--sizes needs at least two different sizes, or growth can't be fitted");
         }
-        if (limitS < 1) {
-            refuse("--limit-s must be at least 1");
+        if (timeLimitSeconds < 1) {
+            failUsage("--limit-s must be at least 1");
         }
         if (!Files.isReadable(MeasurementSetup.JAR)) {
-            refuse("no " + MeasurementSetup.JAR + " here: run this from the root of a checkout after the build");
+            failUsage("no " + MeasurementSetup.JAR + " here: run this from the root of a checkout after the build");
         }
-        return slopes().stream().filter(slope -> only.isEmpty() || only.contains(slope.name())).toList();
+        return allSlopes().stream().filter(slope -> selectedNames.isEmpty() || selectedNames.contains(slope.name())).toList();
     }
 
-    private void refuse(String why) {
-        throw new ParameterException(spec.commandLine(), why);
+    private void failUsage(String message) {
+        throw new ParameterException(spec.commandLine(), message);
     }
 
-    private void run(Slope slope, MeasurementSetup setup, ResultWriter results, long until) throws Exception {
-        List<Integer> at = !sizes.isEmpty() ? sizes : quick ? slope.quick() : slope.sizes();
+    private void measureSlope(Slope slope, MeasurementSetup setup, ResultWriter results, long deadlineNanos) throws Exception {
+        List<Integer> sizesToRun = !sizes.isEmpty() ? sizes : quick ? slope.quickSizes() : slope.defaultSizes();
         Map<String, Series> series = new LinkedHashMap<>();
-        Object jvm = setup.options();
-        slope.fitted().forEach(figure -> series.put(figure, new Series()));
+        Object jvm = setup.jvmOptions();
+        slope.fittedValues().forEach(name -> series.put(name, new Series()));
         // Sizes are the inner loop, so that a drift over time affects all sizes alike.
         for (int repeat = 0; repeat < (quick ? 1 : repeats); repeat++) {
-            for (int size : at) {
-                Map<String, Object> line = once(slope, setup, size, repeat, until);
+            for (int size : sizesToRun) {
+                Map<String, Object> line = measureOnce(slope, setup, size, repeat, deadlineNanos);
                 results.writeLine("point", line);
                 jvm = line.getOrDefault("jvm", jvm);
-                series.forEach((figure, s) -> {
-                    if (line.get(figure) instanceof Number value) {
-                        s.add(size, value.doubleValue());
+                series.forEach((name, valueSeries) -> {
+                    if (line.get(name) instanceof Number value) {
+                        valueSeries.add(size, value.doubleValue());
                     }
                 });
             }
         }
-        tell(slope, at, series, jvm, results);
+        reportSlope(slope, sizesToRun, series, jvm, results);
     }
 
-    private Map<String, Object> once(Slope slope, MeasurementSetup setup, int size, int repeat, long until) throws Exception {
+    private Map<String, Object> measureOnce(Slope slope, MeasurementSetup setup, int size, int repeat, long deadlineNanos) throws Exception {
         Map<String, Object> line = new LinkedHashMap<>();
         line.put("slope", slope.name());
         line.put("size", size);
         line.put("repeat", repeat);
-        line.put("by", slope.by());
+        line.put("by", slope.sizeMeaning());
         line.put("unit", units(slope));
-        line.put("pinned", !setup.pin().isEmpty());
-        line.put("sizes", sizes.isEmpty() ? quick ? slope.quick() : slope.sizes() : sizes);
-        if (System.nanoTime() > until) {
+        line.put("pinned", !setup.pinCommand().isEmpty());
+        line.put("sizes", sizes.isEmpty() ? quick ? slope.quickSizes() : slope.defaultSizes() : sizes);
+        if (System.nanoTime() > deadlineNanos) {
             line.put("failed", "not run: the time limit set by --limit-s was reached");
         } else {
             try {
@@ -160,62 +160,62 @@
                 line.put("failed", e.getMessage());
             }
         }
-        Object said = line.containsKey("failed") ? line.get("failed") : figures(slope, line);
-        ResultWriter.printProgress(slope.name() + " " + size + " (" + (repeat + 1) + "): " + said);
+        Object summary = line.containsKey("failed") ? line.get("failed") : formatValues(slope, line);
+        ResultWriter.printProgress(slope.name() + " " + size + " (" + (repeat + 1) + "): " + summary);
         return line;
     }
 
-    private static String figures(Slope slope, Map<String, Object> line) {
+    private static String formatValues(Slope slope, Map<String, Object> line) {
         List<String> parts = new ArrayList<>();
-        slope.fitted().forEach(figure -> parts.add(figure + " " + (line.get(figure) instanceof Number value
-                ? ResultWriter.number(value.doubleValue()) : "-")));
+        slope.fittedValues().forEach(name -> parts.add(name + " " + (line.get(name) instanceof Number value
+                ? ResultWriter.formatNumber(value.doubleValue()) : "-")));
         return String.join(", ", parts);
     }
 
     /** The unit of each fitted value in full; the names of values end with an abbreviation of it. */
     private static Map<String, String> units(Slope slope) {
         Map<String, String> units = new LinkedHashMap<>();
-        slope.fitted().forEach(figure -> units.put(figure, figure.endsWith("_us") ? "microseconds"
-                : figure.endsWith("_ms") ? "milliseconds" : figure.endsWith("_mb") ? "megabytes (2^20 bytes)"
-                : figure.endsWith("_bytes_s") ? "bytes a second" : figure.endsWith("share") ? "cores" : "bytes"));
+        slope.fittedValues().forEach(name -> units.put(name, name.endsWith("_us") ? "microseconds"
+                : name.endsWith("_ms") ? "milliseconds" : name.endsWith("_mb") ? "megabytes (2^20 bytes)"
+                : name.endsWith("_bytes_s") ? "bytes a second" : name.endsWith("share") ? "cores" : "bytes"));
         return units;
     }
 
-    private static void tell(Slope slope, List<Integer> at, Map<String, Series> series, Object jvm,
+    private static void reportSlope(Slope slope, List<Integer> measuredSizes, Map<String, Series> series, Object jvm,
             ResultWriter results)
             throws Exception {
         List<List<Object>> rows = new ArrayList<>();
-        for (int size : at) {
+        for (int size : measuredSizes) {
             List<Object> row = new ArrayList<>(List.of(size));
-            series.values().forEach(s -> row.add(s.median(size)));
+            series.values().forEach(valueSeries -> row.add(valueSeries.median(size)));
             rows.add(row);
         }
-        List<String> heads = new ArrayList<>(List.of("size"));
-        heads.addAll(series.keySet());
-        results.printTable(slope.name() + ": by " + slope.by() + " (medians)", heads, rows);
+        List<String> headers = new ArrayList<>(List.of("size"));
+        headers.addAll(series.keySet());
+        results.printTable(slope.name() + ": by " + slope.sizeMeaning() + " (medians)", headers, rows);
         List<List<Object>> fits = new ArrayList<>();
-        for (Map.Entry<String, Series> figure : series.entrySet()) {
-            Optional<Fit> fit = figure.getValue().fit();
-            fits.add(List.of(figure.getKey(), fit.map(Fit::words).orElse("fewer than two sizes were measured")));
+        for (Map.Entry<String, Series> entry : series.entrySet()) {
+            Optional<Fit> fit = entry.getValue().fit();
+            fits.add(List.of(entry.getKey(), fit.map(Fit::describe).orElse("fewer than two sizes were measured")));
             if (fit.isPresent()) {
-                results.writeLine("fit", fitLine(slope, at, figure.getKey(), fit.get(), jvm));
+                results.writeLine("fit", fitLine(slope, measuredSizes, entry.getKey(), fit.get(), jvm));
             }
         }
         results.printTable("", List.of("figure", "growth"), fits);
     }
 
-    private static Map<String, Object> fitLine(Slope slope, List<Integer> at, String figure, Fit fit,
+    private static Map<String, Object> fitLine(Slope slope, List<Integer> measuredSizes, String name, Fit fit,
             Object jvm) {
         Map<String, Object> line = new LinkedHashMap<>();
         line.put("slope", slope.name());
-        line.put("figure", figure);
+        line.put("figure", name);
         line.put("growth", fit.growth().toString());
         line.put("exponent", fit.exponent());
         line.put("base", fit.base());
         line.put("factor", fit.factor());
         line.put("residual", fit.residual());
-        line.put("unit", units(slope).get(figure));
-        line.put("sizes", at);
+        line.put("unit", units(slope).get(name));
+        line.put("sizes", measuredSizes);
         line.put("jvm", jvm);
         return line;
     }
--- a/src/main/java/kestreldeal/scale/StubEnvironment.java
+++ b/src/main/java/kestreldeal/scale/StubEnvironment.java
@@ -38,40 +38,40 @@
  */
 final class StubEnvironment implements AutoCloseable {
     /** Destinations of a list of 100 endpoints; clients send messages to all but the last. */
-    static final int DESTINATIONS = 50;
+    static final int DESTINATION_COUNT = 50;
     /** The only endpoint of this destination is draining, so messages to it stay pending. */
-    static final int DRAINING = 1_000_000;
-    private static final int LONGEST = 1 << 20;
-    private static final double ENDPOINTS_EACH = 2;
-
-    private final EventLoopGroup loops = new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
-    private final Channel agent;
-    private final Channel endpoints;
-    private final long answerMs;
+    static final int DRAINING_DESTINATION = 1_000_000;
+    private static final int MAX_REQUEST_BYTES = 1 << 20;
+    private static final double ENDPOINTS_PER_DESTINATION = 2;
+
+    private final EventLoopGroup eventLoops = new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
+    private final Channel agentServer;
+    private final Channel endpointServer;
+    private final long responseDelayMs;
     final AtomicLong agentBytes = new AtomicLong();
     final AtomicLong delivered = new AtomicLong();
     final AtomicLong notices = new AtomicLong();
 
     /** Guarded by this object: both loops may serve the agent's connections. */
-    private final TreeMap<Long, String> changes = new TreeMap<>();
-    private final List<Watch> watches = new ArrayList<>();
-    private List<String> list = List.of();
+    private final TreeMap<Long, String> changesByGeneration = new TreeMap<>();
+    private final List<Watch> pendingWatches = new ArrayList<>();
+    private List<String> listEntries = List.of();
     private long generation = 1;
     /** Generation of the last replacement of the full list. */
-    private long replaced = 1;
+    private long fullListGeneration = 1;
 
-    private record Watch(ChannelHandlerContext ctx, long after) {
+    private record Watch(ChannelHandlerContext ctx, long afterGeneration) {
     }
 
     /** Starts both servers; endpoints respond after the given delay. */
-    StubEnvironment(long answerMs) {
-        this.answerMs = answerMs;
-        agent = listen(true);
-        endpoints = listen(false);
+    StubEnvironment(long responseDelayMs) {
+        this.responseDelayMs = responseDelayMs;
+        agentServer = listen(true);
+        endpointServer = listen(false);
     }
 
     String agentAddress() {
-        return hostPort(agent);
+        return hostPort(agentServer);
     }
 
     private static String hostPort(Channel channel) {
@@ -79,7 +79,7 @@
     }
 
     private Channel listen(boolean isAgent) {
-        return new ServerBootstrap().group(loops).channel(NioServerSocketChannel.class)
+        return new ServerBootstrap().group(eventLoops).channel(NioServerSocketChannel.class)
                 .childOption(ChannelOption.TCP_NODELAY, true)
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
@@ -87,7 +87,7 @@
                         if (isAgent) {
                             channel.pipeline().addLast(new ByteCounter());
                         }
-                        channel.pipeline().addLast(new HttpServerCodec(), new HttpObjectAggregator(LONGEST),
+                        channel.pipeline().addLast(new HttpServerCodec(), new HttpObjectAggregator(MAX_REQUEST_BYTES),
                                 isAgent ? new AgentHandler() : new EndpointHandler());
                     }
                 }).bind("127.0.0.1", 0).syncUninterruptibly().channel();
@@ -96,71 +96,71 @@
     // ---- the list ----
 
     /** Replaces the list with one of the given number of endpoints, two for each destination. */
-    synchronized void replaceList(int size) {
+    synchronized void replaceList(int endpointCount) {
         List<String> entries = new ArrayList<>();
-        for (int i = 0; i < size; i++) {
-            entries.add(entry(i, "SERVING", 10));
+        for (int i = 0; i < endpointCount; i++) {
+            entries.add(formatEntry(i, "SERVING", 10));
         }
-        entries.set(size - 1, entry(size - 1, (long) DRAINING, "DRAINING", 10));
-        list = entries;
-        changes.clear();
-        replaced = ++generation;
-        answerWatches();
+        entries.set(endpointCount - 1, formatEntry(endpointCount - 1, (long) DRAINING_DESTINATION, "DRAINING", 10));
+        listEntries = entries;
+        changesByGeneration.clear();
+        fullListGeneration = ++generation;
+        respondToWatches();
     }
 
     /** Changes the weight of one entry. */
-    synchronized void change(int index, int weight) {
-        String changed = entry(index, "SERVING", weight);
-        changes.put(++generation, changed);
-        answerWatches();
+    synchronized void changeWeight(int index, int weight) {
+        String changed = formatEntry(index, "SERVING", weight);
+        changesByGeneration.put(++generation, changed);
+        respondToWatches();
     }
 
-    private String entry(int index, String lifecycle, int weight) {
-        return entry(index, (long) (index / ENDPOINTS_EACH), lifecycle, weight);
+    private String formatEntry(int index, String lifecycle, int weight) {
+        return formatEntry(index, (long) (index / ENDPOINTS_PER_DESTINATION), lifecycle, weight);
     }
 
     /** An entry of about 190 bytes, as in a real list. */
-    private String entry(int index, long destination, String lifecycle, int weight) {
+    private String formatEntry(int index, long destination, String lifecycle, int weight) {
         return String.format(Locale.ROOT, "{\"instanceId\":\"s-%08x\",\"hostPort\":\"%s\",\"zone\":\"a\","
                 + "\"machineType\":\"m\",\"cell\":%d,\"lifecycle\":\"%s\",\"weight\":%d.0,\"startedAtMs\":0}", index,
-                hostPort(endpoints), destination, lifecycle, weight);
+                hostPort(endpointServer), destination, lifecycle, weight);
     }
 
-    private void answerWatches() {
-        List<Watch> due = new ArrayList<>(watches);
-        watches.clear();
-        due.forEach(watch -> answerSince(watch.ctx(), watch.after()));
+    private void respondToWatches() {
+        List<Watch> answered = new ArrayList<>(pendingWatches);
+        pendingWatches.clear();
+        answered.forEach(watch -> respondWithUpdate(watch.ctx(), watch.afterGeneration()));
     }
 
     /** Responds with the full list if the requester's generation is older than it, else with the changes since. */
-    private void answerSince(ChannelHandlerContext ctx, long after) {
-        boolean whole = after < replaced;
-        List<String> entries = whole ? list : new ArrayList<>(changes.tailMap(after, false).values());
-        answer(ctx, HttpResponseStatus.OK, "{\"generation\":" + generation + ",\"reset\":" + whole
+    private void respondWithUpdate(ChannelHandlerContext ctx, long afterGeneration) {
+        boolean fullList = afterGeneration < fullListGeneration;
+        List<String> entries = fullList ? listEntries : new ArrayList<>(changesByGeneration.tailMap(afterGeneration, false).values());
+        respond(ctx, HttpResponseStatus.OK, "{\"generation\":" + generation + ",\"reset\":" + fullList
                 + ",\"instances\":[" + String.join(",", entries) + "]}");
     }
 
-    private synchronized void watch(ChannelHandlerContext ctx, long after, long waitMs) {
-        Watch watch = new Watch(ctx, after);
-        if (after < generation || waitMs == 0) {
-            answerSince(ctx, after);
+    private synchronized void watch(ChannelHandlerContext ctx, long afterGeneration, long waitMs) {
+        Watch watch = new Watch(ctx, afterGeneration);
+        if (afterGeneration < generation || waitMs == 0) {
+            respondWithUpdate(ctx, afterGeneration);
             return;
         }
-        watches.add(watch);
+        pendingWatches.add(watch);
         ctx.executor().schedule(() -> {
             synchronized (StubEnvironment.this) {
-                if (watches.remove(watch)) {
-                    answerSince(ctx, after);
+                if (pendingWatches.remove(watch)) {
+                    respondWithUpdate(ctx, afterGeneration);
                 }
             }
         }, waitMs, TimeUnit.MILLISECONDS);
     }
 
-    private static void answer(ChannelHandlerContext ctx, HttpResponseStatus status, String body) {
+    private static void respond(ChannelHandlerContext ctx, HttpResponseStatus status, String body) {
         ByteBuf bytes = Unpooled.copiedBuffer(body, StandardCharsets.UTF_8);
-        DefaultFullHttpResponse answer = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, bytes);
-        answer.headers().set(HttpHeaderNames.CONTENT_LENGTH, bytes.readableBytes());
-        ctx.writeAndFlush(answer);
+        DefaultFullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, bytes);
+        response.headers().set(HttpHeaderNames.CONTENT_LENGTH, bytes.readableBytes());
+        ctx.writeAndFlush(response);
     }
 
     // ---- connections ----
@@ -168,17 +168,17 @@
     /** Counts the bytes on the agent's connections in both directions. */
     private final class ByteCounter extends ChannelDuplexHandler {
         @Override
-        public void channelRead(ChannelHandlerContext ctx, Object read) {
-            agentBytes.addAndGet(((ByteBuf) read).readableBytes());
-            ctx.fireChannelRead(read);
+        public void channelRead(ChannelHandlerContext ctx, Object message) {
+            agentBytes.addAndGet(((ByteBuf) message).readableBytes());
+            ctx.fireChannelRead(message);
         }
 
         @Override
-        public void write(ChannelHandlerContext ctx, Object written, ChannelPromise promise) {
-            if (written instanceof ByteBuf bytes) {
+        public void write(ChannelHandlerContext ctx, Object message, ChannelPromise promise) {
+            if (message instanceof ByteBuf bytes) {
                 agentBytes.addAndGet(bytes.readableBytes());
             }
-            ctx.write(written, promise);
+            ctx.write(message, promise);
         }
     }
 
@@ -187,15 +187,15 @@
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
             if (request.method().equals(HttpMethod.POST)) {
                 notices.addAndGet(request.content().toString(StandardCharsets.UTF_8).lines().count());
-                answer(ctx, HttpResponseStatus.NO_CONTENT, "");
+                respond(ctx, HttpResponseStatus.NO_CONTENT, "");
                 return;
             }
             QueryStringDecoder query = new QueryStringDecoder(request.uri());
-            watch(ctx, number(query, "after"), number(query, "wait_ms"));
+            watch(ctx, longParameter(query, "after"), longParameter(query, "wait_ms"));
         }
 
         /** A parameter, or 0 if absent: the first request has none and gets the full list immediately. */
-        private long number(QueryStringDecoder query, String name) {
+        private long longParameter(QueryStringDecoder query, String name) {
             return query.parameters().containsKey(name) ? Long.parseLong(query.parameters().get(name).get(0)) : 0;
         }
 
@@ -210,8 +210,8 @@
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
             ctx.executor().schedule(() -> {
                 delivered.incrementAndGet();
-                answer(ctx, HttpResponseStatus.OK, "{}");
-            }, answerMs, TimeUnit.MILLISECONDS);
+                respond(ctx, HttpResponseStatus.OK, "{}");
+            }, responseDelayMs, TimeUnit.MILLISECONDS);
         }
 
         @Override
@@ -222,8 +222,8 @@
 
     @Override
     public void close() {
-        agent.close().syncUninterruptibly();
-        endpoints.close().syncUninterruptibly();
-        loops.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS).syncUninterruptibly();
+        agentServer.close().syncUninterruptibly();
+        endpointServer.close().syncUninterruptibly();
+        eventLoops.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS).syncUninterruptibly();
     }
 }
--- a/src/main/java/kestreldeal/scale/fleet/Counts.java
+++ b/src/main/java/kestreldeal/scale/fleet/Counts.java
@@ -8,150 +8,150 @@
 
 /** Counters and histograms of a simulation run, over the whole fleet. */
 final class Counts {
-    private static final long MOST_MS = 3_600_000;
+    private static final long MAX_MS = 3_600_000;
 
     /** Requests of clients, and the submissions that senders accepted for them; a retry is another submission. */
-    long asked;
-    long handedIn;
+    long requests;
+    long submissions;
     /** Requests whose last submission was rejected because the sender had too many pending messages. */
-    long turnedAway;
+    long rejectedAtCapacity;
     /** Requests given up because the last sender tried was down and too little time was left to try another. */
-    long unanswered;
+    long noSenderReached;
     /** Requests delivered within and after the target latency of their class. */
-    long inTime;
-    long late;
+    long deliveredInTime;
+    long deliveredLate;
     /** Requests whose last submission was accepted, but then rejected by the module. */
-    long refusedToClients;
+    long rejectedBySenders;
     long failed;
-    long deliveredAfterEnd;
+    long deliveredAfterResult;
     /** Calls written by senders, and those that reached an endpoint that accepts connections. */
     long callsWritten;
     long callsReceived;
     long connects;
     /** Calls refused by endpoints, and those of them that were refused by a rate limit. */
-    long refused;
-    long refusedAboveLimit;
+    long callsRefused;
+    long callsRefusedByLimit;
     /** Attempts to an endpoint that the sender assumes to be in an outage. */
-    long trials;
-    long firstSends;
-    long copies;
+    long probes;
+    long firstAttempts;
+    long hedgedAttempts;
     /** Messages in calls that an endpoint processed to the end. */
-    long itemsRun;
+    long messagesProcessed;
     long outages;
     /** Collapses of recovering destinations under more calls than their load budget. */
-    long falls;
+    long collapses;
     /** Collapses that were mostly caused by senders that had learned of the outage. */
-    long brokenReturns;
+    long collapsesByInformedSenders;
     /** Recoveries with a window over budget, more than two thirds of it from senders that had learned of the outage. */
-    long toldOverBudget;
+    long recoveriesOverBudgetByInformedSenders;
     long restarts;
-    long changes;
+    long listChanges;
     /** Attempts to draining or removed endpoints after their sender was notified, and the longest time after that. */
-    long callsAfterWord;
-    double afterWordMs;
+    long attemptsAfterDrainNotification;
+    double maxMsAfterDrainNotification;
     /** The same, counted from the publication by discovery. */
-    long callsAfterPublished;
-    double afterPublishedMs;
+    long attemptsAfterDrainPublication;
+    double maxMsAfterDrainPublication;
     /** Time from the first submission of a request to its delivery. */
-    final Histogram deliveryMs = new Histogram(MOST_MS, 3);
+    final Histogram deliveryLatencyMs = new Histogram(MAX_MS, 3);
     /** Time from the publication of a change until a sender's agent has it, for each agent and for the last one. */
-    final Histogram inForceMs = new Histogram(MOST_MS, 3);
-    final Histogram inForceAtAllMs = new Histogram(MOST_MS, 3);
+    final Histogram propagationMs = new Histogram(MAX_MS, 3);
+    final Histogram fullPropagationMs = new Histogram(MAX_MS, 3);
     /** The worst window of each recovery. */
-    final List<DestinationRecovery.LoadWindow> coldReturns = new ArrayList<>();
+    final List<DestinationRecovery.LoadWindow> worstWindows = new ArrayList<>();
 
     /** Records a delivery, with the time since the first submission of the request. */
-    void delivered(double tookMs, boolean wantedBy) {
-        inTime += wantedBy ? 1 : 0;
-        late += wantedBy ? 0 : 1;
-        deliveryMs.recordValue(Math.round(tookMs));
+    void recordDelivery(double latencyMs, boolean inTime) {
+        deliveredInTime += inTime ? 1 : 0;
+        deliveredLate += inTime ? 0 : 1;
+        deliveryLatencyMs.recordValue(Math.round(latencyMs));
     }
 
-    void coldReturnOver(DestinationRecovery seen) {
-        coldReturns.add(seen.worst());
-        toldOverBudget += seen.isBroken() ? 1 : 0;
+    void recoveryEnded(DestinationRecovery recovery) {
+        worstWindows.add(recovery.worstWindow());
+        recoveriesOverBudgetByInformedSenders += recovery.isBudgetBrokenByInformed() ? 1 : 0;
     }
 
     /** The window with the highest ratio of calls to its budget, or {@link DestinationRecovery.LoadWindow#NONE}. */
     DestinationRecovery.LoadWindow worstWindow() {
-        return coldReturns.stream().reduce(DestinationRecovery.LoadWindow.NONE,
+        return worstWindows.stream().reduce(DestinationRecovery.LoadWindow.NONE,
                 (a, b) -> b.ratio() > a.ratio() ? b : a);
     }
 
     /** Number of recoveries with a window over its budget. */
-    long overBudget() {
-        return coldReturns.stream().filter(window -> window.ratio() > 1).count();
+    long recoveriesOverBudget() {
+        return worstWindows.stream().filter(window -> window.ratio() > 1).count();
     }
 
-    double refusedShare() {
-        return share(refused, callsReceived);
+    double refusedCallShare() {
+        return share(callsRefused, callsReceived);
     }
 
-    double copyShare() {
-        return share(copies, firstSends);
+    double hedgingShare() {
+        return share(hedgedAttempts, firstAttempts);
     }
 
     /** The share of processed messages whose processing did not deliver them. */
     double wastedShare() {
-        return share(itemsRun - inTime - late, itemsRun);
+        return share(messagesProcessed - deliveredInTime - deliveredLate, messagesProcessed);
     }
 
     /** All values by their names in the results. */
-    Map<String, Object> figures() {
-        Map<String, Object> all = new LinkedHashMap<>();
-        all.put("asked", asked);
-        all.put("handedIn", handedIn);
-        all.put("turnedAway", turnedAway);
-        all.put("unanswered", unanswered);
-        all.put("deliveredInTime", inTime);
-        all.put("deliveredLate", late);
-        all.put("refusedToClients", refusedToClients);
-        all.put("failed", failed);
-        all.put("deliveredAfterEnd", deliveredAfterEnd);
-        all.put("callsWritten", callsWritten);
-        all.put("callsReceived", callsReceived);
-        all.put("connects", connects);
-        all.put("refused", refused);
-        all.put("refusedAboveLimit", refusedAboveLimit);
-        all.put("refusedShare", refusedShare());
-        all.put("trials", trials);
-        all.put("probes", 0);
-        all.put("firstSends", firstSends);
-        all.put("copies", copies);
-        all.put("copyShare", copyShare());
-        all.put("itemsRun", itemsRun);
-        all.put("wastedShare", wastedShare());
-        all.put("outages", outages);
-        all.put("coldReturns", coldReturns.size());
+    Map<String, Object> values() {
+        Map<String, Object> values = new LinkedHashMap<>();
+        values.put("asked", requests);
+        values.put("handedIn", submissions);
+        values.put("turnedAway", rejectedAtCapacity);
+        values.put("unanswered", noSenderReached);
+        values.put("deliveredInTime", deliveredInTime);
+        values.put("deliveredLate", deliveredLate);
+        values.put("refusedToClients", rejectedBySenders);
+        values.put("failed", failed);
+        values.put("deliveredAfterEnd", deliveredAfterResult);
+        values.put("callsWritten", callsWritten);
+        values.put("callsReceived", callsReceived);
+        values.put("connects", connects);
+        values.put("refused", callsRefused);
+        values.put("refusedAboveLimit", callsRefusedByLimit);
+        values.put("refusedShare", refusedCallShare());
+        values.put("trials", probes);
+        values.put("probes", 0);
+        values.put("firstSends", firstAttempts);
+        values.put("copies", hedgedAttempts);
+        values.put("copyShare", hedgingShare());
+        values.put("itemsRun", messagesProcessed);
+        values.put("wastedShare", wastedShare());
+        values.put("outages", outages);
+        values.put("coldReturns", worstWindows.size());
         DestinationRecovery.LoadWindow worst = worstWindow();
-        all.put("coldWorstRatio", worst.ratio());
-        all.put("coldWorstCalls", worst.calls());
-        all.put("coldWorstMost", worst.most());
-        all.put("coldWorstToldCalls", worst.told());
-        all.put("coldWorstHeldUpCalls", worst.heldUp());
-        all.put("coldWorstTrials", worst.trials());
-        all.put("coldWorstAfter", worst.after().toString());
-        all.put("coldWorstEndMs", worst.endMs());
-        all.put("coldOverBudget", overBudget());
-        all.put("coldToldOverBudget", toldOverBudget);
-        all.put("falls", falls);
-        all.put("brokenReturns", brokenReturns);
-        all.put("restarts", restarts);
-        all.put("changes", changes);
-        all.put("callsAfterWord", callsAfterWord);
-        all.put("afterWordMostMs", afterWordMs);
-        all.put("callsAfterPublished", callsAfterPublished);
-        all.put("afterPublishedMostMs", afterPublishedMs);
-        all.put("inForceMedianMs", inForceMs.getValueAtPercentile(50));
-        all.put("inForceMostMs", inForceMs.getMaxValue());
-        all.put("inForceAtAllMedianMs", inForceAtAllMs.getValueAtPercentile(50));
-        all.put("inForceAtAllMostMs", inForceAtAllMs.getMaxValue());
-        all.put("deliveryMedianMs", deliveryMs.getValueAtPercentile(50));
-        all.put("delivery99Ms", deliveryMs.getValueAtPercentile(99));
-        return all;
+        values.put("coldWorstRatio", worst.ratio());
+        values.put("coldWorstCalls", worst.calls());
+        values.put("coldWorstMost", worst.maxCalls());
+        values.put("coldWorstToldCalls", worst.informedCalls());
+        values.put("coldWorstHeldUpCalls", worst.assumedUpCalls());
+        values.put("coldWorstTrials", worst.probes());
+        values.put("coldWorstAfter", worst.outageState().toString());
+        values.put("coldWorstEndMs", worst.endMs());
+        values.put("coldOverBudget", recoveriesOverBudget());
+        values.put("coldToldOverBudget", recoveriesOverBudgetByInformedSenders);
+        values.put("falls", collapses);
+        values.put("brokenReturns", collapsesByInformedSenders);
+        values.put("restarts", restarts);
+        values.put("changes", listChanges);
+        values.put("callsAfterWord", attemptsAfterDrainNotification);
+        values.put("afterWordMostMs", maxMsAfterDrainNotification);
+        values.put("callsAfterPublished", attemptsAfterDrainPublication);
+        values.put("afterPublishedMostMs", maxMsAfterDrainPublication);
+        values.put("inForceMedianMs", propagationMs.getValueAtPercentile(50));
+        values.put("inForceMostMs", propagationMs.getMaxValue());
+        values.put("inForceAtAllMedianMs", fullPropagationMs.getValueAtPercentile(50));
+        values.put("inForceAtAllMostMs", fullPropagationMs.getMaxValue());
+        values.put("deliveryMedianMs", deliveryLatencyMs.getValueAtPercentile(50));
+        values.put("delivery99Ms", deliveryLatencyMs.getValueAtPercentile(99));
+        return values;
     }
 
-    private static double share(long part, long all) {
-        return all == 0 ? 0 : (double) part / all;
+    private static double share(long part, long total) {
+        return total == 0 ? 0 : (double) part / total;
     }
 }
--- a/src/main/java/kestreldeal/scale/fleet/DestinationRecovery.java
+++ b/src/main/java/kestreldeal/scale/fleet/DestinationRecovery.java
@@ -14,15 +14,15 @@
  */
 final class DestinationRecovery {
     private final double capacityPerMs;
-    private final Relay.SlowStart rule;
-    private final double returnedAt;
-    private final SimulatedEndpoint.State after;
-    private final Deque<Arrival> window = new ArrayDeque<>();
-    private double worst;
+    private final Relay.SlowStart slowStart;
+    private final double startMs;
+    private final SimulatedEndpoint.State outageState;
+    private final Deque<Arrival> recentArrivals = new ArrayDeque<>();
+    private double worstRatio;
     private LoadWindow worstWindow = LoadWindow.NONE;
-    private boolean broken;
+    private boolean budgetBrokenByInformed;
 
-    private record Arrival(double at, boolean told, Relay.EndpointState heldAs) {
+    private record Arrival(double timeMs, boolean informed, Relay.EndpointState assumedState) {
     }
 
     /**
@@ -30,87 +30,87 @@
      *
      * @param endMs end of the window
      * @param calls calls that arrived in the window
-     * @param most maximum number of calls by the load budget
-     * @param told calls from senders that had learned of the outage, by a call that failed or was refused
-     * @param heldUp calls from senders that assumed that the endpoint was in service
-     * @param trials calls from senders that assumed that it was in an outage, which are probe attempts
-     * @param after kind of outage before the recovery
+     * @param maxCalls maximum number of calls by the load budget
+     * @param informedCalls calls from senders that had learned of the outage, by a call that failed or was refused
+     * @param assumedUpCalls calls from senders that assumed that the endpoint was in service
+     * @param probes calls from senders that assumed that it was in an outage, which are probe attempts
+     * @param outageState kind of outage before the recovery
      */
-    record LoadWindow(double endMs, int calls, double most, int told, int heldUp, int trials, SimulatedEndpoint.State after) {
+    record LoadWindow(double endMs, int calls, double maxCalls, int informedCalls, int assumedUpCalls, int probes, SimulatedEndpoint.State outageState) {
         static final LoadWindow NONE = new LoadWindow(0, 0, 0, 0, 0, 0, SimulatedEndpoint.State.SERVING);
 
         double ratio() {
-            return most == 0 ? 0 : calls / most;
+            return maxCalls == 0 ? 0 : calls / maxCalls;
         }
 
         /** Whether more than two thirds of the calls came from senders that had learned of the outage. */
-        boolean isTold() {
-            return told * 3 > calls * 2;
+        boolean isMostlyInformed() {
+            return informedCalls * 3 > calls * 2;
         }
     }
 
-    DestinationRecovery(double capacityPerMs, Relay.SlowStart rule, double returnedAt, SimulatedEndpoint.State after) {
+    DestinationRecovery(double capacityPerMs, Relay.SlowStart slowStart, double startMs, SimulatedEndpoint.State outageState) {
         this.capacityPerMs = capacityPerMs;
-        this.rule = rule;
-        this.returnedAt = returnedAt;
-        this.after = after;
+        this.slowStart = slowStart;
+        this.startMs = startMs;
+        this.outageState = outageState;
     }
 
-    boolean isOver(double now) {
-        return now >= returnedAt + rule.rampUpMs();
+    boolean isOver(double nowMs) {
+        return nowMs >= startMs + slowStart.rampUpMs();
     }
 
     /** The share of its capacity that the destination has at a time. */
-    double share(double now) {
-        double warm = Math.min(1, Math.max(0, (now - returnedAt) / rule.rampUpMs()));
-        return rule.initialCapacityShare() + (1 - rule.initialCapacityShare()) * warm;
+    double capacityShare(double nowMs) {
+        double rampUpProgress = Math.min(1, Math.max(0, (nowMs - startMs) / slowStart.rampUpMs()));
+        return slowStart.initialCapacityShare() + (1 - slowStart.initialCapacityShare()) * rampUpProgress;
     }
 
     /** Records a call that has arrived; returns the window that ends with it. */
-    LoadWindow arrived(double now, boolean told, Relay.EndpointState heldAs) {
-        window.add(new Arrival(now, told, heldAs));
-        while (window.peek().at <= now - rule.overloadMs()) {
-            window.remove();
+    LoadWindow callArrived(double nowMs, boolean informed, Relay.EndpointState assumedState) {
+        recentArrivals.add(new Arrival(nowMs, informed, assumedState));
+        while (recentArrivals.peek().timeMs <= nowMs - slowStart.overloadMs()) {
+            recentArrivals.remove();
         }
-        LoadWindow ended = new LoadWindow(now, window.size(), most(now), count(Arrival::told),
-                count(call -> call.heldAs == Relay.EndpointState.UP),
-                count(call -> call.heldAs == Relay.EndpointState.DOWN), after);
-        broken |= ended.ratio() > 1 && ended.isTold();
-        if (ended.ratio() > worst) {
-            worst = ended.ratio();
-            worstWindow = ended;
+        LoadWindow window = new LoadWindow(nowMs, recentArrivals.size(), maxCalls(nowMs), count(Arrival::informed),
+                count(call -> call.assumedState == Relay.EndpointState.UP),
+                count(call -> call.assumedState == Relay.EndpointState.DOWN), outageState);
+        budgetBrokenByInformed |= window.ratio() > 1 && window.isMostlyInformed();
+        if (window.ratio() > worstRatio) {
+            worstRatio = window.ratio();
+            worstWindow = window;
         }
-        return ended;
+        return window;
     }
 
-    private int count(Predicate<Arrival> which) {
-        return (int) window.stream().filter(which).count();
+    private int count(Predicate<Arrival> condition) {
+        return (int) recentArrivals.stream().filter(condition).count();
     }
 
     /** The load budget N + 2 sqrt(N) + 2 of the window that ends now. */
-    double most(double now) {
-        double n = rule.overloadMultiple() * capacityPerMs * (capacityUntil(now)
-                - capacityUntil(now - rule.overloadMs()));
+    double maxCalls(double nowMs) {
+        double n = slowStart.overloadMultiple() * capacityPerMs * (capacityShareIntegral(nowMs)
+                - capacityShareIntegral(nowMs - slowStart.overloadMs()));
         return n + 2 * Math.sqrt(n) + 2;
     }
 
-    LoadWindow worst() {
+    LoadWindow worstWindow() {
         return worstWindow;
     }
 
     /** Whether a window exceeded its budget mostly by calls of senders that had learned of the outage. */
-    boolean isBroken() {
-        return broken;
+    boolean isBudgetBrokenByInformed() {
+        return budgetBrokenByInformed;
     }
 
-    /** The integral of {@link #share} from the start of the recovery to a time; negative for a time before it. */
-    private double capacityUntil(double time) {
-        double since = time - returnedAt;
-        if (since <= 0) {
-            return rule.initialCapacityShare() * since;
+    /** The integral of {@link #capacityShare} from the start of the recovery to a time; negative for a time before it. */
+    private double capacityShareIntegral(double timeMs) {
+        double elapsedMs = timeMs - startMs;
+        if (elapsedMs <= 0) {
+            return slowStart.initialCapacityShare() * elapsedMs;
         }
-        double warming = Math.min(since, rule.rampUpMs());
-        double mean = (rule.initialCapacityShare() + share(returnedAt + warming)) / 2;
-        return mean * warming + since - warming;
+        double rampUpElapsedMs = Math.min(elapsedMs, slowStart.rampUpMs());
+        double meanShare = (slowStart.initialCapacityShare() + capacityShare(startMs + rampUpElapsedMs)) / 2;
+        return meanShare * rampUpElapsedMs + elapsedMs - rampUpElapsedMs;
     }
 }
--- a/src/main/java/kestreldeal/scale/fleet/FleetCommand.java
+++ b/src/main/java/kestreldeal/scale/fleet/FleetCommand.java
@@ -27,20 +27,20 @@
                 + " checks invariants. Exits with code 1 at the first violation.")
 public final class FleetCommand implements Callable<Integer> {
     /** Generous estimates of the heap needed for each endpoint of each sender, for each sender, and for the rest. */
-    private static final long BYTES_AN_ENTRY = 1200;
-    private static final long BYTES_A_SENDER = 50_000;
-    private static final long BYTES_BESIDES = 100_000_000;
+    private static final long BYTES_PER_ENTRY = 1200;
+    private static final long BYTES_PER_SENDER = 50_000;
+    private static final long BYTES_BASE = 100_000_000;
     /** Mean number of endpoints of a destination, including replaced ones. */
-    private static final double ENDPOINTS_A_DESTINATION = 1.8;
-    private static final double PROGRESS_NANOS = 5e9;
-    private static final int MOST_SENDERS = 10_000;
+    private static final double ENDPOINTS_PER_DESTINATION = 1.8;
+    private static final double PROGRESS_INTERVAL_NANOS = 5e9;
+    private static final int MAX_SENDERS = 10_000;
 
     /**
      * Columns of the table. Among them: "away", requests rejected at capacity or without a sender that is up; "over",
      * recoveries with a window over its load budget; "told", those of them that are mostly due to senders that had
      * learned of the outage; "worst", highest ratio of calls to the load budget; "fell", collapses.
      */
-    private static final List<String> HEADS = List.of("senders", "asked", "in time", "late", "refused", "failed",
+    private static final List<String> TABLE_HEADERS = List.of("senders", "asked", "in time", "late", "refused", "failed",
             "away", "calls", "calls refused", "trials", "copies", "wasted", "returns", "over", "told", "worst",
             "calls/most", "fell", "propagation ms", "after drain");
 
@@ -65,7 +65,7 @@
 
     @Option(names = "--rate-a-sender", paramLabel = "RATE", description = "Messages per second of each sender,"
             + " instead of --rate: the load of a destination then grows with the number of senders.")
-    private Optional<Double> rateASender = Optional.empty();
+    private Optional<Double> ratePerSender = Optional.empty();
 
     @Option(names = "--seconds", defaultValue = "120",
             description = "Simulated seconds in which clients submit messages. Default: ${DEFAULT-VALUE}.")
@@ -77,7 +77,7 @@
 
     @Option(names = "--no-falls", description = "Recovering destinations do not collapse when they get more calls than"
             + " their load budget, so that the whole worst window is seen.")
-    private boolean noFalls;
+    private boolean noCollapse;
 
     @Option(names = "--most-real-seconds", defaultValue = "600",
             description = "Aborts after this many seconds of real time. Default: ${DEFAULT-VALUE}.")
@@ -86,7 +86,7 @@
     @Option(names = "--out", paramLabel = "FILE", description = "File for the results, one JSON object per line.")
     private Optional<Path> out = Optional.empty();
 
-    private final long begun = System.nanoTime();
+    private final long startNanos = System.nanoTime();
 
     /** The run has used up its real time. */
     private static final class TimeLimitExceededException extends RuntimeException {
@@ -96,107 +96,107 @@
     /** Runs each scenario with each number of senders. */
     @Override
     public Integer call() throws IOException {
-        check();
-        List<Scenario> played = scenarios.isEmpty() ? List.of(Scenario.values()) : scenarios;
+        validateOptions();
+        List<Scenario> selected = scenarios.isEmpty() ? List.of(Scenario.values()) : scenarios;
         PrintWriter err = spec.commandLine().getErr();
         try (ResultWriter results = ResultWriter.open(out, "fleet", seed, senders)) {
-            for (Scenario scenario : played) {
-                play(scenario, results);
+            for (Scenario scenario : selected) {
+                runScenario(scenario, results);
             }
             return CommandLine.ExitCode.OK;
         } catch (InvariantViolationException e) {
             err.println(e.getMessage());
         } catch (TimeLimitExceededException e) {
-            err.println("aborted: the run takes more than " + plain(mostRealSeconds) + " s of real time; use fewer"
+            err.println("aborted: the run takes more than " + formatPlain(mostRealSeconds) + " s of real time; use fewer"
                     + " senders, destinations or seconds, or a higher --most-real-seconds");
         }
         return CommandLine.ExitCode.SOFTWARE;
     }
 
-    private void check() {
-        require(!senders.isEmpty() && senders.stream().allMatch(n -> n >= 1 && n <= MOST_SENDERS),
-                "--senders must be numbers from 1 to " + MOST_SENDERS);
+    private void validateOptions() {
+        require(!senders.isEmpty() && senders.stream().allMatch(n -> n >= 1 && n <= MAX_SENDERS),
+                "--senders must be numbers from 1 to " + MAX_SENDERS);
         require(destinations >= 1, "--destinations must be at least 1");
-        require(isRate(rate), "--rate must be above 0");
-        require(rateASender.map(FleetCommand::isRate).orElse(true), "--rate-a-sender must be above 0");
+        require(isValidRate(rate), "--rate must be above 0");
+        require(ratePerSender.map(FleetCommand::isValidRate).orElse(true), "--rate-a-sender must be above 0");
         require(seconds >= 1 && seconds <= 86_400, "--seconds must be from 1 to 86400");
         require(mostRealSeconds > 0, "--most-real-seconds must be above 0");
-        long entries = (long) (destinations * ENDPOINTS_A_DESTINATION);
-        int most = senders.stream().mapToInt(n -> n).max().orElseThrow();
-        long needed = BYTES_BESIDES + most * (BYTES_A_SENDER + entries * BYTES_AN_ENTRY);
-        require(needed <= Runtime.getRuntime().maxMemory(), String.format(Locale.ROOT, "%d senders with %d"
-                + " destinations need about %d MB of heap, but -Xmx allows only %d MB", most, destinations,
-                needed >> 20, Runtime.getRuntime().maxMemory() >> 20));
+        long entries = (long) (destinations * ENDPOINTS_PER_DESTINATION);
+        int maxSenderCount = senders.stream().mapToInt(n -> n).max().orElseThrow();
+        long neededBytes = BYTES_BASE + maxSenderCount * (BYTES_PER_SENDER + entries * BYTES_PER_ENTRY);
+        require(neededBytes <= Runtime.getRuntime().maxMemory(), String.format(Locale.ROOT, "%d senders with %d"
+                + " destinations need about %d MB of heap, but -Xmx allows only %d MB", maxSenderCount, destinations,
+                neededBytes >> 20, Runtime.getRuntime().maxMemory() >> 20));
     }
 
-    private static boolean isRate(double rate) {
+    private static boolean isValidRate(double rate) {
         return rate > 0 && rate < Double.POSITIVE_INFINITY;
     }
 
-    private void require(boolean holds, String text) {
+    private void require(boolean holds, String message) {
         if (!holds) {
-            throw new CommandLine.ParameterException(spec.commandLine(), text);
+            throw new CommandLine.ParameterException(spec.commandLine(), message);
         }
     }
 
-    private void play(Scenario scenario, ResultWriter results) throws IOException {
+    private void runScenario(Scenario scenario, ResultWriter results) throws IOException {
         List<List<?>> rows = new ArrayList<>();
-        for (int size : senders) {
-            double rateOfEach = rateASender.map(each -> each * size / destinations).orElse(rate);
-            FleetSettings settings = new FleetSettings(size, destinations, rateOfEach, seconds, seed, scenario,
-                    !noFalls, FleetModel.STANDARD);
-            long startedAt = System.nanoTime();
+        for (int senderCount : senders) {
+            double destinationRate = ratePerSender.map(each -> each * senderCount / destinations).orElse(rate);
+            FleetSettings settings = new FleetSettings(senderCount, destinations, destinationRate, seconds, seed, scenario,
+                    !noCollapse, FleetModel.STANDARD);
+            long runStartNanos = System.nanoTime();
             FleetSimulation fleet = new FleetSimulation(settings);
-            Counts counts = fleet.run(watch(scenario + " with " + size + " senders"));
+            Counts counts = fleet.run(progressObserver(scenario + " with " + senderCount + " senders"));
             Map<String, Object> line = new LinkedHashMap<>();
             line.put("scenario", scenario.toString());
-            line.put("senders", size);
+            line.put("senders", senderCount);
             line.put("destinations", destinations);
             line.put("endpoints", fleet.endpoints().size());
-            line.put("rate", rateOfEach);
+            line.put("rate", destinationRate);
             line.put("seconds", seconds);
-            line.put("falls", !noFalls);
-            line.putAll(counts.figures());
-            line.put("events", fleet.world().events());
-            line.put("realMs", (System.nanoTime() - startedAt) / 1_000_000);
+            line.put("falls", !noCollapse);
+            line.putAll(counts.values());
+            line.put("events", fleet.clock().eventCount());
+            line.put("realMs", (System.nanoTime() - runStartNanos) / 1_000_000);
             results.writeLine("fleet", line);
-            rows.add(row(size, counts));
+            rows.add(row(senderCount, counts));
         }
-        String load = rateASender.map(each -> plain(each) + " messages/s per sender")
-                .orElse(plain(rate) + " messages/s per destination");
+        String load = ratePerSender.map(each -> formatPlain(each) + " messages/s per sender")
+                .orElse(formatPlain(rate) + " messages/s per destination");
         results.printTable(String.format(Locale.ROOT, "%s: %d destinations, %s, %s s, seed %d", scenario, destinations, load,
-                plain(seconds), seed), HEADS, rows);
+                formatPlain(seconds), seed), TABLE_HEADERS, rows);
     }
 
-    private static List<Object> row(int size, Counts c) {
-        DestinationRecovery.LoadWindow worst = c.worstWindow();
-        return List.of(size, c.asked, share(c.inTime, c.asked), share(c.late, c.asked),
-                share(c.refusedToClients, c.asked), share(c.failed, c.asked),
-                share(c.turnedAway + c.unanswered, c.asked), c.callsWritten, c.refusedShare(), c.trials, c.copyShare(),
-                c.wastedShare(), c.coldReturns.size(), c.overBudget(), c.toldOverBudget, worst.ratio(),
-                String.format(Locale.ROOT, "%d/%.1f", worst.calls(), worst.most()), c.falls,
-                c.inForceAtAllMs.getMaxValue(), c.callsAfterWord);
+    private static List<Object> row(int senderCount, Counts counts) {
+        DestinationRecovery.LoadWindow worst = counts.worstWindow();
+        return List.of(senderCount, counts.requests, share(counts.deliveredInTime, counts.requests), share(counts.deliveredLate, counts.requests),
+                share(counts.rejectedBySenders, counts.requests), share(counts.failed, counts.requests),
+                share(counts.rejectedAtCapacity + counts.noSenderReached, counts.requests), counts.callsWritten, counts.refusedCallShare(), counts.probes, counts.hedgingShare(),
+                counts.wastedShare(), counts.worstWindows.size(), counts.recoveriesOverBudget(), counts.recoveriesOverBudgetByInformedSenders, worst.ratio(),
+                String.format(Locale.ROOT, "%d/%.1f", worst.calls(), worst.maxCalls()), counts.collapses,
+                counts.fullPropagationMs.getMaxValue(), counts.attemptsAfterDrainNotification);
     }
 
-    private static double share(long part, long all) {
-        return (double) part / Math.max(1, all);
+    private static double share(long part, long total) {
+        return (double) part / Math.max(1, total);
     }
 
-    private static String plain(double value) {
+    private static String formatPlain(double value) {
         return value == Math.rint(value) ? String.valueOf((long) value) : String.valueOf(value);
     }
 
     /** Prints the progress of a run now and then, and aborts it when its real time is used up. */
-    private SimulationClock.Observer watch(String run) {
-        double[] toldAt = {System.nanoTime()};
-        return (now, events) -> {
-            long real = System.nanoTime();
-            if (real - begun > mostRealSeconds * 1e9) {
+    private SimulationClock.Observer progressObserver(String runName) {
+        double[] reportedAtNanos = {System.nanoTime()};
+        return (nowMs, eventCount) -> {
+            long realNanos = System.nanoTime();
+            if (realNanos - startNanos > mostRealSeconds * 1e9) {
                 throw new TimeLimitExceededException();
             }
-            if (real - toldAt[0] > PROGRESS_NANOS) {
-                toldAt[0] = real;
-                ResultWriter.printProgress(String.format(Locale.ROOT, "%s: %.0f s, %d events", run, now / 1000, events));
+            if (realNanos - reportedAtNanos[0] > PROGRESS_INTERVAL_NANOS) {
+                reportedAtNanos[0] = realNanos;
+                ResultWriter.printProgress(String.format(Locale.ROOT, "%s: %.0f s, %d events", runName, nowMs / 1000, eventCount));
             }
         };
     }
--- a/src/main/java/kestreldeal/scale/fleet/FleetModel.java
+++ b/src/main/java/kestreldeal/scale/fleet/FleetModel.java
@@ -8,55 +8,55 @@
  * deployment whose destinations belong to other parties: uneven traffic, rate limits shared by all senders, delayed
  * list updates. Times are in milliseconds, or in seconds where the name ends with {@code S}; shares are from 0 to 1.
  *
- * @param regions number of regions, which are of equal size
+ * @param regionCount number of regions, which are of equal size
  * @param zonesPerRegion number of zones of each region
- * @param oneWayMs one-way network delay within a zone, between zones of a region, and between regions
- * @param jitter maximum increase of a network delay, as a share of it
- * @param zipf exponent of the Zipf distribution of traffic over destinations
- * @param senderSpread standard deviation of the logarithm of a sender's share of the traffic
- * @param moreEndpoints probability of each further endpoint of a destination, up to four endpoints: 0.4 gives a mean
+ * @param networkDelayMs one-way network delay within a zone, between zones of a region, and between regions
+ * @param networkJitter maximum increase of a network delay, as a share of it
+ * @param trafficZipfExponent exponent of the Zipf distribution of traffic over destinations
+ * @param senderTrafficSpread standard deviation of the logarithm of a sender's share of the traffic
+ * @param moreEndpointsProbability probability of each further endpoint of a destination, up to four endpoints: 0.4 gives a mean
  *     of 1.6
- * @param headroom rate limit of a destination as a multiple of its mean traffic
- * @param leastLimit lower bound of the rate limit, in calls per second
- * @param spare capacity of a destination as a multiple of its rate limit
- * @param windowMs window of a fixed-window rate limit
- * @param depthS bucket size of a token bucket, in seconds of its rate
- * @param waitMs minimum Retry-After wait above a token bucket limit
+ * @param limitHeadroom rate limit of a destination as a multiple of its mean traffic
+ * @param minLimitPerSecond lower bound of the rate limit, in calls per second
+ * @param capacityHeadroom capacity of a destination as a multiple of its rate limit
+ * @param limitWindowMs window of a fixed-window rate limit
+ * @param bucketSeconds bucket size of a token bucket, in seconds of its rate
+ * @param minRetryAfterMs minimum Retry-After wait above a token bucket limit
  * @param kinds kinds of destination; destinations take them in turn, in the order of their traffic
- * @param workMs mean service time of an endpoint
- * @param workSpread standard deviation of the logarithm of a service time
- * @param itemCost share by which each further message of a call increases its service time
+ * @param serviceTimeMs mean service time of an endpoint
+ * @param serviceTimeSpread standard deviation of the logarithm of a service time
+ * @param extraMessageCost share by which each further message of a call increases its service time
  * @param queuePerCore queue length of an endpoint for each core
  * @param errorRate share of calls that fail without an injected fault
- * @param listedError maximum relative error of the rate in the list
- * @param reportMs how long a destination repeats a load report before it makes a new one
+ * @param listedRateError maximum relative error of the rate in the list
+ * @param reportIntervalMs how long a destination repeats a load report before it makes a new one
  * @param reportNoise maximum relative error of a load report
  * @param unsafeShare share of messages that must not run twice
- * @param clumpShare share of messages that arrive in bursts
- * @param clumpS size of a burst, in seconds of its destination's rate limit
- * @param comesAgain share of clients that retry once after a rejection
- * @param backoffMs minimum delay of that retry; the wait in the rejection may be longer
- * @param againMs delay until a client of a sender that is down tries another one
- * @param frontNoticeMs how long the load balancer still routes clients to a sender that is down
- * @param noticeMs delay from a change of an endpoint to its publication by discovery
- * @param spreadMs delay from the publication to an agent
+ * @param burstShare share of messages that arrive in bursts
+ * @param burstSeconds size of a burst, in seconds of its destination's rate limit
+ * @param retryShare share of clients that retry once after a rejection
+ * @param retryDelayMs minimum delay of that retry; the wait in the rejection may be longer
+ * @param otherSenderDelayMs delay until a client of a sender that is down tries another one
+ * @param loadBalancerDelayMs how long the load balancer still routes clients to a sender that is down
+ * @param publicationDelayMs delay from a change of an endpoint to its publication by discovery
+ * @param agentDelayMs delay from the publication to an agent
  * @param drainMs time that an endpoint drains before its process ends
  * @param outageMs length of an outage
- * @param failShare share of calls that fail during an outage with errors
+ * @param failingShare share of calls that fail during an outage with errors
  * @param senderDownMs time from the kill of a sender to its restart
  * @param connectTimeoutMs connect timeout
  * @param replacedShare share of endpoints that are replaced in a run; at least three are
  */
-record FleetModel(int regions, int zonesPerRegion, List<Double> oneWayMs, double jitter, double zipf, double senderSpread,
-             double moreEndpoints, UniformRange headroom, UniformRange leastLimit, UniformRange spare, UniformRange windowMs, UniformRange depthS,
-             UniformRange waitMs, List<Kind> kinds, UniformRange workMs, double workSpread, UniformRange itemCost, UniformRange queuePerCore,
-             double errorRate, double listedError, UniformRange reportMs, double reportNoise, double unsafeShare,
-             double clumpShare, UniformRange clumpS, double comesAgain, UniformRange backoffMs, UniformRange againMs, UniformRange frontNoticeMs,
-             UniformRange noticeMs, UniformRange spreadMs, UniformRange drainMs, UniformRange outageMs, UniformRange failShare, UniformRange senderDownMs,
+record FleetModel(int regionCount, int zonesPerRegion, List<Double> networkDelayMs, double networkJitter, double trafficZipfExponent, double senderTrafficSpread,
+             double moreEndpointsProbability, UniformRange limitHeadroom, UniformRange minLimitPerSecond, UniformRange capacityHeadroom, UniformRange limitWindowMs, UniformRange bucketSeconds,
+             UniformRange minRetryAfterMs, List<Kind> kinds, UniformRange serviceTimeMs, double serviceTimeSpread, UniformRange extraMessageCost, UniformRange queuePerCore,
+             double errorRate, double listedRateError, UniformRange reportIntervalMs, double reportNoise, double unsafeShare,
+             double burstShare, UniformRange burstSeconds, double retryShare, UniformRange retryDelayMs, UniformRange otherSenderDelayMs, UniformRange loadBalancerDelayMs,
+             UniformRange publicationDelayMs, UniformRange agentDelayMs, UniformRange drainMs, UniformRange outageMs, UniformRange failingShare, UniformRange senderDownMs,
              double connectTimeoutMs, double replacedShare) {
     /** Indexes in the settings of the message class with an idempotency key, and of the one that must not run twice. */
-    static final int KEYED = 0;
-    static final int UNSAFE = 1;
+    static final int KEYED_CLASS = 0;
+    static final int UNSAFE_CLASS = 1;
 
     static final FleetModel STANDARD = new FleetModel(3, 2, List.of(15.0, 25.0, 68.0), 0.2, 0.8, 0.6, 0.4,
             new UniformRange(1.1, 2.2), new UniformRange(1.8, 4.9), new UniformRange(1.2, 1.6), new UniformRange(1000, 2000),
@@ -69,48 +69,48 @@
             new UniformRange(1300, 3700), new UniformRange(33, 1800), new UniformRange(6000, 9000), new UniformRange(6700, 18_000),
             new UniformRange(0.6, 0.98), new UniformRange(3100, 7800), 1500, 0.02);
 
-    private static final int LEAST_SLOTS = 4;
-    private static final double SLOTS_ROOM = 2.1;
+    private static final int MIN_SLOTS = 4;
+    private static final double SLOTS_HEADROOM = 2.1;
     /** Mean duration of a call, network delay included. */
-    private static final double CALL_S = 0.35;
-    private static final int LEAST_OPEN = 8;
-    private static final double OPEN_S = 9;
-    private static final int MOST_ATTEMPTS = 12;
+    private static final double MEAN_CALL_SECONDS = 0.35;
+    private static final int MIN_PENDING = 8;
+    private static final double PENDING_SECONDS = 9;
+    private static final int MAX_ATTEMPTS = 12;
     private static final double KEEP_ALIVE_MS = 15_000;
 
     /**
      * A kind of destination; each is one kind in the settings of the decision module.
      *
-     * @param batch maximum number of messages of a call
-     * @param byCount whether the rate limit is a fixed-window counter and not a token bucket
-     * @param tellsWait probability that a refusal has a Retry-After wait, drawn for each destination
+     * @param maxBatchSize maximum number of messages of a call
+     * @param fixedWindowLimit whether the rate limit is a fixed-window counter and not a token bucket
+     * @param retryAfterProbability probability that a refusal has a Retry-After wait, drawn for each destination
      */
-    record Kind(int batch, boolean byCount, UniformRange tellsWait) {
+    record Kind(int maxBatchSize, boolean fixedWindowLimit, UniformRange retryAfterProbability) {
     }
 
-    int zones() {
-        return regions * zonesPerRegion;
+    int zoneCount() {
+        return regionCount * zonesPerRegion;
     }
 
-    int region(int zone) {
+    int regionOf(int zone) {
         return zone / zonesPerRegion;
     }
 
     /** The settings of each sender's decision module, for the mean load of the fleet. */
-    Relay.Settings settings(int senders, double messagesPerSecond) {
-        double load = messagesPerSecond / senders;
+    Relay.Settings relaySettings(int senderCount, double messagesPerSecond) {
+        double messagesPerSecondOfSender = messagesPerSecond / senderCount;
         List<Relay.MessageClass> classes = List.of(
                 new Relay.MessageClass(2500, 20_000, 1, 0.3, Relay.Effect.KEYED, false, 8000, false),
                 new Relay.MessageClass(3000, 16_000, 2, 0.3, Relay.Effect.UNSAFE, false, 5000, false));
-        List<Relay.DestinationKind> routes = kinds.stream().map(kind -> new Relay.DestinationKind(false, kind.batch))
+        List<Relay.DestinationKind> destinationKinds = kinds.stream().map(kind -> new Relay.DestinationKind(false, kind.maxBatchSize))
                 .toList();
-        int slots = Math.max(LEAST_SLOTS, (int) Math.ceil(SLOTS_ROOM * load * CALL_S));
-        return new Relay.Settings(classes, routes, true, Relay.Decay.LINEAR, List.of(), senders, slots, MOST_ATTEMPTS,
+        int slots = Math.max(MIN_SLOTS, (int) Math.ceil(SLOTS_HEADROOM * messagesPerSecondOfSender * MEAN_CALL_SECONDS));
+        return new Relay.Settings(classes, destinationKinds, true, Relay.Decay.LINEAR, List.of(), senderCount, slots, MAX_ATTEMPTS,
                 true, true, 500, KEEP_ALIVE_MS, new Relay.SlowStart(0.2, 12_000, 2, 3000));
     }
 
     /** Maximum number of pending messages of a sender; clients get further ones rejected. */
-    int mostOpen(int senders, double messagesPerSecond) {
-        return Math.max(LEAST_OPEN, (int) Math.ceil(OPEN_S * messagesPerSecond / senders));
+    int maxPending(int senderCount, double messagesPerSecond) {
+        return Math.max(MIN_PENDING, (int) Math.ceil(PENDING_SECONDS * messagesPerSecond / senderCount));
     }
 }
--- a/src/main/java/kestreldeal/scale/fleet/FleetSimulation.java
+++ b/src/main/java/kestreldeal/scale/fleet/FleetSimulation.java
@@ -16,23 +16,23 @@
  * draws more numbers does not change the others.
  */
 final class FleetSimulation {
-    private static final double AFTERWARDS_MS = 25_000;
-    private static final int MOST_ENDPOINTS = 4;
+    private static final double COMPLETION_MS = 25_000;
+    private static final int MAX_ENDPOINTS_PER_DESTINATION = 4;
 
     private final FleetSettings settings;
-    private final RelayFactory factory;
+    private final RelayFactory relayFactory;
     private final Relay.Settings relaySettings;
-    private final int mostOpen;
-    private final SimulationClock world = new SimulationClock();
+    private final int maxPending;
+    private final SimulationClock clock = new SimulationClock();
     private final Counts counts = new Counts();
-    private final Random seeds;
+    private final Random seedRandom;
     private final Random endpointRandom;
     private final SimulatedNetwork network;
-    private final InvariantChecker ledger;
-    private final SimulatedDiscovery directory;
-    private final FaultInjector faults;
+    private final InvariantChecker invariants;
+    private final SimulatedDiscovery discovery;
+    private final FaultInjector faultInjector;
     private final SimulatedClients clients;
-    private final List<SimulatedDestination> partners = new ArrayList<>();
+    private final List<SimulatedDestination> destinations = new ArrayList<>();
     private final Map<Long, SimulatedEndpoint> endpoints = new LinkedHashMap<>();
     private final List<SimulatedSender> senders = new ArrayList<>();
 
@@ -45,40 +45,40 @@
         this(settings, Relay::create);
     }
 
-    FleetSimulation(FleetSettings settings, RelayFactory factory) {
+    FleetSimulation(FleetSettings settings, RelayFactory relayFactory) {
         this.settings = settings;
-        this.factory = factory;
+        this.relayFactory = relayFactory;
         FleetModel model = settings.model();
-        this.relaySettings = model.settings(settings.senders(), settings.messagesPerSecond());
-        this.mostOpen = model.mostOpen(settings.senders(), settings.messagesPerSecond());
-        this.seeds = new Random(settings.seed());
-        this.endpointRandom = stream();
-        this.network = new SimulatedNetwork(model, stream());
-        this.ledger = new InvariantChecker(world, relaySettings, settings.senders(), counts);
-        IntStream.range(0, settings.senders())
-                .forEach(i -> senders.add(new SimulatedSender(i, i % model.zones(), this)));
-        this.directory = new SimulatedDiscovery(this, stream());
-        WeightedSampler traffic = WeightedSampler.zipf(settings.destinations(), model.zipf());
-        addPartners(traffic, stream());
-        this.clients = new SimulatedClients(this, traffic, settings.seconds() * 1000, stream());
-        this.faults = new FaultInjector(this, stream());
-    }
-
-    private Random stream() {
-        return new Random(seeds.nextLong());
-    }
-
-    private void addPartners(WeightedSampler traffic, Random random) {
-        for (int i = 0; i < settings.destinations(); i++) {
-            SimulatedDestination partner = new SimulatedDestination(i, settings.messagesPerSecond() * traffic.of(i), settings,
-                    relaySettings.slowStart(), counts, stream());
-            partners.add(partner);
-            int many = 1;
-            while (many < MOST_ENDPOINTS && random.nextDouble() < settings.model().moreEndpoints()) {
-                many++;
+        this.relaySettings = model.relaySettings(settings.senderCount(), settings.totalMessagesPerSecond());
+        this.maxPending = model.maxPending(settings.senderCount(), settings.totalMessagesPerSecond());
+        this.seedRandom = new Random(settings.seed());
+        this.endpointRandom = newRandom();
+        this.network = new SimulatedNetwork(model, newRandom());
+        this.invariants = new InvariantChecker(clock, relaySettings, settings.senderCount(), counts);
+        IntStream.range(0, settings.senderCount())
+                .forEach(i -> senders.add(new SimulatedSender(i, i % model.zoneCount(), this)));
+        this.discovery = new SimulatedDiscovery(this, newRandom());
+        WeightedSampler traffic = WeightedSampler.zipf(settings.destinationCount(), model.trafficZipfExponent());
+        addDestinations(traffic, newRandom());
+        this.clients = new SimulatedClients(this, traffic, settings.seconds() * 1000, newRandom());
+        this.faultInjector = new FaultInjector(this, newRandom());
+    }
+
+    private Random newRandom() {
+        return new Random(seedRandom.nextLong());
+    }
+
+    private void addDestinations(WeightedSampler traffic, Random random) {
+        for (int i = 0; i < settings.destinationCount(); i++) {
+            SimulatedDestination destination = new SimulatedDestination(i, settings.totalMessagesPerSecond() * traffic.probability(i), settings,
+                    relaySettings.slowStart(), counts, newRandom());
+            destinations.add(destination);
+            int endpointCount = 1;
+            while (endpointCount < MAX_ENDPOINTS_PER_DESTINATION && random.nextDouble() < settings.model().moreEndpointsProbability()) {
+                endpointCount++;
             }
-            for (int n = 0; n < many; n++) {
-                directory.add(newEndpoint(partner, random.nextInt(settings.model().zones()), many));
+            for (int added = 0; added < endpointCount; added++) {
+                discovery.addInitial(addEndpoint(destination, random.nextInt(settings.model().zoneCount()), endpointCount));
             }
         }
     }
@@ -88,41 +88,41 @@
      *
      * @throws Broken at the first violation of an invariant
      */
-    Counts run(SimulationClock.Observer watch) {
+    Counts run(SimulationClock.Observer observer) {
         senders.forEach(SimulatedSender::start);
         clients.start();
-        faults.start();
-        world.run(settings.seconds() * 1000 + AFTERWARDS_MS, watch);
-        if (ledger.open() > 0) {
-            throw new InvariantViolationException(world.now(), ledger.open() + " messages have no final result at the end of the run");
+        faultInjector.start();
+        clock.runUntil(settings.seconds() * 1000 + COMPLETION_MS, observer);
+        if (invariants.unfinishedCount() > 0) {
+            throw new InvariantViolationException(clock.nowMs(), invariants.unfinishedCount() + " messages have no final result at the end of the run");
         }
-        partners.forEach(SimulatedDestination::coldReturnOver);
+        destinations.forEach(SimulatedDestination::recoveryEnded);
         return counts;
     }
 
     /** A recovering destination got more calls than its load budget: it collapses into another outage. */
-    void fall(SimulatedDestination partner, DestinationRecovery.LoadWindow window) {
-        counts.falls++;
-        counts.brokenReturns += window.isTold() ? 1 : 0;
-        faults.outage(partner, SimulatedEndpoint.State.REFUSING, world.now() + settings.model().outageMs().most());
+    void collapse(SimulatedDestination destination, DestinationRecovery.LoadWindow window) {
+        counts.collapses++;
+        counts.collapsesByInformedSenders += window.isMostlyInformed() ? 1 : 0;
+        faultInjector.startOutage(destination, SimulatedEndpoint.State.REFUSING, clock.nowMs() + settings.model().outageMs().max());
     }
 
     /** Adds an endpoint with the same capacity as the others of its destination; it is not in any list yet. */
-    SimulatedEndpoint newEndpoint(SimulatedDestination partner, int zone) {
-        return newEndpoint(partner, zone, partner.endpoints.size());
+    SimulatedEndpoint addEndpoint(SimulatedDestination destination, int zone) {
+        return addEndpoint(destination, zone, destination.endpoints.size());
     }
 
-    private SimulatedEndpoint newEndpoint(SimulatedDestination partner, int zone, int of) {
-        SimulatedEndpoint endpoint = new SimulatedEndpoint(endpoints.size() + 1L, partner, zone, of, this, endpointRandom);
-        partner.endpoints.add(endpoint);
+    private SimulatedEndpoint addEndpoint(SimulatedDestination destination, int zone, int endpointCount) {
+        SimulatedEndpoint endpoint = new SimulatedEndpoint(endpoints.size() + 1L, destination, zone, endpointCount, this, endpointRandom);
+        destination.endpoints.add(endpoint);
         endpoints.put(endpoint.id, endpoint);
         return endpoint;
     }
 
     /** Creates the decision module for one process of a sender, with a seed of its own. */
-    Relay newRelay(int sender, int life, Relay.Actions actions) {
-        long seed = new Random(settings.seed() * 31 + sender).nextLong() + life;
-        return factory.create(relaySettings, seed, actions);
+    Relay newRelay(int senderNumber, int processNumber, Relay.Actions actions) {
+        long seed = new Random(settings.seed() * 31 + senderNumber).nextLong() + processNumber;
+        return relayFactory.create(relaySettings, seed, actions);
     }
 
     FleetSettings settings() {
@@ -133,12 +133,12 @@
         return relaySettings;
     }
 
-    int mostOpen() {
-        return mostOpen;
+    int maxPending() {
+        return maxPending;
     }
 
-    SimulationClock world() {
-        return world;
+    SimulationClock clock() {
+        return clock;
     }
 
     Counts counts() {
@@ -149,20 +149,20 @@
         return network;
     }
 
-    InvariantChecker ledger() {
-        return ledger;
+    InvariantChecker invariants() {
+        return invariants;
     }
 
-    SimulatedDiscovery directory() {
-        return directory;
+    SimulatedDiscovery discovery() {
+        return discovery;
     }
 
     SimulatedClients clients() {
         return clients;
     }
 
-    List<SimulatedDestination> partners() {
-        return Collections.unmodifiableList(partners);
+    List<SimulatedDestination> destinations() {
+        return Collections.unmodifiableList(destinations);
     }
 
     List<SimulatedSender> senders() {
--- a/src/main/java/kestreldeal/scale/fleet/InvariantViolationException.java
+++ b/src/main/java/kestreldeal/scale/fleet/InvariantViolationException.java
@@ -6,7 +6,7 @@
 final class InvariantViolationException extends RuntimeException {
     private static final long serialVersionUID = 1;
 
-    InvariantViolationException(double nowMs, String what) {
-        super(String.format(Locale.ROOT, "invariant violated at %.3f s: %s", nowMs / 1000, what));
+    InvariantViolationException(double nowMs, String description) {
+        super(String.format(Locale.ROOT, "invariant violated at %.3f s: %s", nowMs / 1000, description));
     }
 }
--- a/src/main/java/kestreldeal/scale/fleet/RateLimit.java
+++ b/src/main/java/kestreldeal/scale/fleet/RateLimit.java
@@ -3,48 +3,48 @@
 /** The rate limit of a destination for the calls of all senders together; refused calls do not use it up. */
 interface RateLimit {
     /** Admits a call if the limit allows it. */
-    boolean take(double now);
+    boolean tryAcquire(double nowMs);
 
     /** Milliseconds until the next call would be admitted, if no other call comes before. */
-    double roomIn(double now);
+    double msUntilAvailable(double nowMs);
 
     /** The unused share of the limit, 0 to 1. */
-    double left(double now);
+    double remainingShare(double nowMs);
 
     /**
      * A token bucket.
      *
      * @param perMs refill rate in calls per millisecond
-     * @param depth bucket size in calls; treated as 1 if smaller
+     * @param bucketSize bucket size in calls; treated as 1 if smaller
      */
-    static RateLimit byRate(double perMs, double depth) {
+    static RateLimit tokenBucket(double perMs, double bucketSize) {
         return new RateLimit() {
-            private double room = Math.max(1, depth);
+            private double room = Math.max(1, bucketSize);
             private double at;
 
-            private void fill(double now) {
-                room = Math.min(Math.max(1, depth), room + perMs * (now - at));
-                at = now;
+            private void fill(double nowMs) {
+                room = Math.min(Math.max(1, bucketSize), room + perMs * (nowMs - at));
+                at = nowMs;
             }
 
             @Override
-            public boolean take(double now) {
-                fill(now);
+            public boolean tryAcquire(double nowMs) {
+                fill(nowMs);
                 boolean taken = room >= 1;
                 room -= taken ? 1 : 0;
                 return taken;
             }
 
             @Override
-            public double roomIn(double now) {
-                fill(now);
+            public double msUntilAvailable(double nowMs) {
+                fill(nowMs);
                 return Math.max(0, (1 - room) / perMs);
             }
 
             @Override
-            public double left(double now) {
-                fill(now);
-                return room / Math.max(1, depth);
+            public double remainingShare(double nowMs) {
+                fill(nowMs);
+                return room / Math.max(1, bucketSize);
             }
         };
     }
@@ -53,37 +53,37 @@
      * A fixed-window counter.
      *
      * @param perMs mean calls per millisecond
-     * @param spanMs length of a window; the first starts at time 0
+     * @param windowMs length of a window; the first starts at time 0
      */
-    static RateLimit byCount(double perMs, double spanMs) {
+    static RateLimit fixedWindow(double perMs, double windowMs) {
         return new RateLimit() {
-            private final long most = Math.max(1, Math.round(perMs * spanMs));
+            private final long most = Math.max(1, Math.round(perMs * windowMs));
             private long span = -1;
             private long taken;
 
-            private void turnTo(double now) {
-                long current = (long) Math.floor(now / spanMs);
+            private void turnTo(double nowMs) {
+                long current = (long) Math.floor(nowMs / windowMs);
                 taken = current == span ? taken : 0;
                 span = current;
             }
 
             @Override
-            public boolean take(double now) {
-                turnTo(now);
+            public boolean tryAcquire(double nowMs) {
+                turnTo(nowMs);
                 boolean room = taken < most;
                 taken += room ? 1 : 0;
                 return room;
             }
 
             @Override
-            public double roomIn(double now) {
-                turnTo(now);
-                return taken < most ? 0 : (span + 1) * spanMs - now;
+            public double msUntilAvailable(double nowMs) {
+                turnTo(nowMs);
+                return taken < most ? 0 : (span + 1) * windowMs - nowMs;
             }
 
             @Override
-            public double left(double now) {
-                turnTo(now);
+            public double remainingShare(double nowMs) {
+                turnTo(nowMs);
                 return 1 - (double) taken / most;
             }
         };
--- a/src/main/java/kestreldeal/scale/fleet/SimulatedClients.java
+++ b/src/main/java/kestreldeal/scale/fleet/SimulatedClients.java
@@ -12,144 +12,144 @@
  */
 final class SimulatedClients {
     /** How often the load balancer draws another sender, if the drawn one is known to be down. */
-    private static final int FRONT_DRAWS = 8;
+    private static final int MAX_SENDER_DRAWS = 8;
 
     private final FleetSimulation fleet;
-    private final SimulationClock world;
+    private final SimulationClock clock;
     private final FleetModel model;
     private final Random random;
-    private final double end;
-    private final WeightedSampler partnerParts;
-    private final WeightedSampler senderParts;
-    private final double unsafeAmongLarge;
-    private final double meanClump;
-    private long lastId;
+    private final double endMs;
+    private final WeightedSampler destinationSampler;
+    private final WeightedSampler senderSampler;
+    private final double unsafeShareOfFirstKind;
+    private final double meanBurstSize;
+    private long lastMessageId;
 
     /** Creates clients that submit messages until the end time, with the given distribution over destinations. */
-    SimulatedClients(FleetSimulation fleet, WeightedSampler partnerParts, double end, Random random) {
+    SimulatedClients(FleetSimulation fleet, WeightedSampler destinationSampler, double endMs, Random random) {
         this.fleet = fleet;
-        this.world = fleet.world();
+        this.clock = fleet.clock();
         this.model = fleet.settings().model();
         this.random = random;
-        this.end = end;
-        this.partnerParts = partnerParts;
-        double[] parts = new double[fleet.settings().senders()];
-        Arrays.setAll(parts, i -> Math.exp(model.senderSpread() * random.nextGaussian()));
-        this.senderParts = new WeightedSampler(parts);
-        double middle = (model.clumpS().least() + model.clumpS().most()) / 2;
-        double large = 0;
-        double clump = 0;
-        for (SimulatedDestination partner : fleet.partners()) {
-            double part = partnerParts.of(partner.id);
-            large += partner.kind == 0 ? part : 0;
-            clump += part * clumpSize(partner, middle);
+        this.endMs = endMs;
+        this.destinationSampler = destinationSampler;
+        double[] weights = new double[fleet.settings().senderCount()];
+        Arrays.setAll(weights, i -> Math.exp(model.senderTrafficSpread() * random.nextGaussian()));
+        this.senderSampler = new WeightedSampler(weights);
+        double meanBurstSeconds = (model.burstSeconds().min() + model.burstSeconds().max()) / 2;
+        double firstKindShare = 0;
+        double weightedBurstSize = 0;
+        for (SimulatedDestination destination : fleet.destinations()) {
+            double share = destinationSampler.probability(destination.id);
+            firstKindShare += destination.kindIndex == 0 ? share : 0;
+            weightedBurstSize += share * burstSize(destination, meanBurstSeconds);
         }
-        this.unsafeAmongLarge = Math.min(1, model.unsafeShare() / large);
-        this.meanClump = clump;
+        this.unsafeShareOfFirstKind = Math.min(1, model.unsafeShare() / firstKindShare);
+        this.meanBurstSize = weightedBurstSize;
     }
 
     /** Starts the arrivals of single messages and of bursts. */
     void start() {
-        double perMs = fleet.settings().messagesPerSecond() / 1000;
-        next(perMs * (1 - model.clumpShare()), this::single);
-        next(perMs * model.clumpShare() / meanClump, this::clump);
+        double messagesPerMs = fleet.settings().totalMessagesPerSecond() / 1000;
+        scheduleArrival(messagesPerMs * (1 - model.burstShare()), this::submitSingle);
+        scheduleArrival(messagesPerMs * model.burstShare() / meanBurstSize, this::submitBurst);
     }
 
-    private void next(double perMs, Runnable arrival) {
-        double at = world.now() - Math.log(1 - random.nextDouble()) / perMs;
-        if (at < end) {
-            world.at(at, () -> {
+    private void scheduleArrival(double arrivalsPerMs, Runnable arrival) {
+        double timeMs = clock.nowMs() - Math.log(1 - random.nextDouble()) / arrivalsPerMs;
+        if (timeMs < endMs) {
+            clock.schedule(timeMs, () -> {
                 arrival.run();
-                next(perMs, arrival);
+                scheduleArrival(arrivalsPerMs, arrival);
             });
         }
     }
 
-    private void single() {
-        SimulatedDestination partner = fleet.partners().get(partnerParts.draw(random));
-        handIn(asked(partner), senderParts.draw(random));
+    private void submitSingle() {
+        SimulatedDestination destination = fleet.destinations().get(destinationSampler.draw(random));
+        submit(newRequest(destination), senderSampler.draw(random));
     }
 
     /** Submits a burst at one time; half of the bursts go to a single sender. */
-    private void clump() {
-        SimulatedDestination partner = fleet.partners().get(partnerParts.draw(random));
-        int size = clumpSize(partner, model.clumpS().draw(random));
-        boolean together = random.nextBoolean();
-        int sender = senderParts.draw(random);
+    private void submitBurst() {
+        SimulatedDestination destination = fleet.destinations().get(destinationSampler.draw(random));
+        int size = burstSize(destination, model.burstSeconds().draw(random));
+        boolean sameSender = random.nextBoolean();
+        int senderNumber = senderSampler.draw(random);
         for (int i = 0; i < size; i++) {
-            handIn(asked(partner), together ? sender : senderParts.draw(random));
+            submit(newRequest(destination), sameSender ? senderNumber : senderSampler.draw(random));
         }
     }
 
-    private static int clumpSize(SimulatedDestination partner, double seconds) {
-        return (int) Math.max(1, Math.round(partner.limitPerSecond * seconds));
+    private static int burstSize(SimulatedDestination destination, double seconds) {
+        return (int) Math.max(1, Math.round(destination.limitPerSecond * seconds));
     }
 
-    private ClientRequest asked(SimulatedDestination partner) {
-        fleet.counts().asked++;
-        int messageClass = partner.kind == 0 && random.nextDouble() < unsafeAmongLarge ? FleetModel.UNSAFE : FleetModel.KEYED;
+    private ClientRequest newRequest(SimulatedDestination destination) {
+        fleet.counts().requests++;
+        int messageClass = destination.kindIndex == 0 && random.nextDouble() < unsafeShareOfFirstKind ? FleetModel.UNSAFE_CLASS : FleetModel.KEYED_CLASS;
         double deadline = fleet.relaySettings().classes().get(messageClass).deadlineMs();
-        int tries = random.nextDouble() < model.comesAgain() ? 1 : 0;
-        return new ClientRequest(messageClass, partner, world.now(), world.now() + deadline, tries);
+        int retries = random.nextDouble() < model.retryShare() ? 1 : 0;
+        return new ClientRequest(messageClass, destination, clock.nowMs(), clock.nowMs() + deadline, retries);
     }
 
     /** Submits to the given sender, or to another one if the load balancer knows that this one is down. */
-    private void handIn(ClientRequest asked, int first) {
-        SimulatedSender sender = fleet.senders().get(first);
-        for (int i = 0; i < FRONT_DRAWS && isKnownDead(sender); i++) {
-            sender = fleet.senders().get(senderParts.draw(random));
+    private void submit(ClientRequest request, int firstSender) {
+        SimulatedSender sender = fleet.senders().get(firstSender);
+        for (int i = 0; i < MAX_SENDER_DRAWS && isKnownDown(sender); i++) {
+            sender = fleet.senders().get(senderSampler.draw(random));
         }
-        if (!sender.takes()) {
-            later(asked, model.againMs().draw(random), () -> fleet.counts().unanswered++);
+        if (!sender.isAccepting()) {
+            retryLater(request, model.otherSenderDelayMs().draw(random), () -> fleet.counts().noSenderReached++);
             return;
         }
-        if (sender.holds() >= fleet.mostOpen()) {
-            turnedAway(asked);
+        if (sender.pendingCount() >= fleet.maxPending()) {
+            rejectedAtCapacity(request);
             return;
         }
-        fleet.counts().handedIn++;
-        sender.take(new SimulatedMessage(++lastId, asked, sender, asked.deadline));
+        fleet.counts().submissions++;
+        sender.accept(new SimulatedMessage(++lastMessageId, request, sender, request.deadlineMs));
     }
 
-    private boolean isKnownDead(SimulatedSender sender) {
-        return !sender.takes() && world.now() > sender.stoppedAt() + model.frontNoticeMs().draw(random);
+    private boolean isKnownDown(SimulatedSender sender) {
+        return !sender.isAccepting() && clock.nowMs() > sender.stoppedAtMs() + model.loadBalancerDelayMs().draw(random);
     }
 
-    private void turnedAway(ClientRequest asked) {
-        if (asked.triesLeft-- > 0) {
-            later(asked, model.backoffMs().draw(random), () -> fleet.counts().turnedAway++);
+    private void rejectedAtCapacity(ClientRequest request) {
+        if (request.retriesLeft-- > 0) {
+            retryLater(request, model.retryDelayMs().draw(random), () -> fleet.counts().rejectedAtCapacity++);
         } else {
-            fleet.counts().turnedAway++;
+            fleet.counts().rejectedAtCapacity++;
         }
     }
 
     /** Retries after a delay, or records the failure if the deadline would have passed by then. */
-    private void later(ClientRequest asked, double ms, Runnable nothing) {
-        if (world.now() + ms >= asked.deadline) {
-            nothing.run();
+    private void retryLater(ClientRequest request, double delayMs, Runnable onGivenUp) {
+        if (clock.nowMs() + delayMs >= request.deadlineMs) {
+            onGivenUp.run();
         } else {
-            world.in(ms, () -> handIn(asked, senderParts.draw(random)));
+            clock.scheduleAfter(delayMs, () -> submit(request, senderSampler.draw(random)));
         }
     }
 
     /** A sender has rejected a message. */
-    void refused(SimulatedMessage message, double waitMs) {
-        ClientRequest asked = message.asked;
-        if (asked.triesLeft-- > 0) {
-            later(asked, Math.max(waitMs, model.backoffMs().draw(random)), () -> fleet.counts().refusedToClients++);
+    void messageRejected(SimulatedMessage message, double retryAfterMs) {
+        ClientRequest request = message.request;
+        if (request.retriesLeft-- > 0) {
+            retryLater(request, Math.max(retryAfterMs, model.retryDelayMs().draw(random)), () -> fleet.counts().rejectedBySenders++);
         } else {
-            fleet.counts().refusedToClients++;
+            fleet.counts().rejectedBySenders++;
         }
     }
 
     /** A sender has reported a message as failed; clients do not retry it. */
-    void failed(SimulatedMessage message) {
+    void messageFailed(SimulatedMessage message) {
         fleet.counts().failed++;
     }
 
-    void delivered(SimulatedMessage message) {
-        double took = world.now() - message.asked.at;
-        Relay.MessageClass type = fleet.relaySettings().classes().get(message.asked.messageClass);
-        fleet.counts().delivered(took, took <= type.targetLatencyMs());
+    void messageDelivered(SimulatedMessage message) {
+        double latencyMs = clock.nowMs() - message.request.submittedAtMs;
+        Relay.MessageClass messageClass = fleet.relaySettings().classes().get(message.request.messageClass);
+        fleet.counts().recordDelivery(latencyMs, latencyMs <= messageClass.targetLatencyMs());
     }
 }
--- a/src/main/java/kestreldeal/scale/fleet/SimulatedDiscovery.java
+++ b/src/main/java/kestreldeal/scale/fleet/SimulatedDiscovery.java
@@ -14,114 +14,114 @@
  */
 final class SimulatedDiscovery {
     private final FleetSimulation fleet;
-    private final SimulationClock world;
+    private final SimulationClock clock;
     private final Random random;
-    private final Map<Long, Relay.Endpoint> first = new LinkedHashMap<>();
+    private final Map<Long, Relay.Endpoint> initialList = new LinkedHashMap<>();
     private final List<Agent> agents = new ArrayList<>();
 
     /** The list of one agent, as the changes to the initial list that it has received. */
     private static final class Agent {
-        final Map<Long, Change> heard = new LinkedHashMap<>();
+        final Map<Long, Change> received = new LinkedHashMap<>();
         final List<Change> missed = new ArrayList<>();
-        boolean lost;
+        boolean machineDown;
         /** Since when missed changes can reach it, after a partition or a failure. */
-        double reachedSince;
+        double reachableSinceMs;
     }
 
     /** A published change of an endpoint in a zone, and how many agents have not received it yet. */
     private static final class Change {
         final Relay.Endpoint entry;
         final int zone;
-        final double at;
-        final long number;
-        int toHear;
-        double latest;
+        final double publishedAtMs;
+        final long sequence;
+        int agentsPending;
+        double maxPropagationMs;
 
-        Change(Relay.Endpoint entry, int zone, double at, long number, int toHear) {
+        Change(Relay.Endpoint entry, int zone, double publishedAtMs, long sequence, int agentsPending) {
             this.entry = entry;
             this.zone = zone;
-            this.at = at;
-            this.number = number;
-            this.toHear = toHear;
+            this.publishedAtMs = publishedAtMs;
+            this.sequence = sequence;
+            this.agentsPending = agentsPending;
         }
     }
 
     SimulatedDiscovery(FleetSimulation fleet, Random random) {
         this.fleet = fleet;
-        this.world = fleet.world();
+        this.clock = fleet.clock();
         this.random = random;
-        for (int i = 0; i < fleet.settings().senders(); i++) {
+        for (int i = 0; i < fleet.settings().senderCount(); i++) {
             agents.add(new Agent());
         }
     }
 
     /** Adds an endpoint to the initial list. */
-    void add(SimulatedEndpoint endpoint) {
-        first.put(endpoint.id, entry(endpoint, true, false));
+    void addInitial(SimulatedEndpoint endpoint) {
+        initialList.put(endpoint.id, toListEntry(endpoint, true, false));
     }
 
     /** Changes the entry of an endpoint; discovery publishes the change after a delay. */
-    void change(SimulatedEndpoint endpoint, boolean serving, boolean gone) {
-        Relay.Endpoint entry = entry(endpoint, serving, gone);
-        world.in(fleet.settings().model().noticeMs().draw(random), () -> publish(entry, endpoint.zone));
+    void changeEntry(SimulatedEndpoint endpoint, boolean serving, boolean removed) {
+        Relay.Endpoint entry = toListEntry(endpoint, serving, removed);
+        clock.scheduleAfter(fleet.settings().model().publicationDelayMs().draw(random), () -> publish(entry, endpoint.zone));
     }
 
-    private static Relay.Endpoint entry(SimulatedEndpoint e, boolean serving, boolean gone) {
-        return new Relay.Endpoint(e.id, e.partner.id, e.partner.kind, e.zone, serving, e.partner.listedPerSecond, gone);
+    private static Relay.Endpoint toListEntry(SimulatedEndpoint endpoint, boolean serving, boolean removed) {
+        return new Relay.Endpoint(endpoint.id, endpoint.destination.id, endpoint.destination.kindIndex, endpoint.zone, serving, endpoint.destination.listedLimitPerSecond, removed);
     }
 
     private void publish(Relay.Endpoint entry, int zone) {
-        Change change = new Change(entry, zone, world.now(), fleet.counts().changes++, agents.size());
-        fleet.ledger().published(entry);
-        fleet.senders().forEach(sender -> tellLater(sender, change));
+        Change change = new Change(entry, zone, clock.nowMs(), fleet.counts().listChanges++, agents.size());
+        fleet.invariants().changePublished(entry);
+        fleet.senders().forEach(sender -> deliverLater(sender, change));
     }
 
-    private void tellLater(SimulatedSender sender, Change change) {
-        world.in(fleet.settings().model().spreadMs().draw(random), () -> tell(sender, change));
+    private void deliverLater(SimulatedSender sender, Change change) {
+        clock.scheduleAfter(fleet.settings().model().agentDelayMs().draw(random), () -> deliver(sender, change));
     }
 
-    private void tell(SimulatedSender sender, Change change) {
+    private void deliver(SimulatedSender sender, Change change) {
         Agent agent = agents.get(sender.number);
-        if (agent.lost || !fleet.network().passes(change.zone, sender.zone)) {
+        if (agent.machineDown || !fleet.network().isConnected(change.zone, sender.zone)) {
             agent.missed.add(change);
             return;
         }
-        Change before = agent.heard.get(change.entry.id());
-        if (before == null || before.number < change.number) {
-            agent.heard.put(change.entry.id(), change);
-            sender.listed(change.entry);
+        Change previous = agent.received.get(change.entry.id());
+        if (previous == null || previous.sequence < change.sequence) {
+            agent.received.put(change.entry.id(), change);
+            sender.listUpdated(change.entry);
         }
-        inForce(change, world.now() - Math.max(change.at, agent.reachedSince));
+        recordPropagation(change, clock.nowMs() - Math.max(change.publishedAtMs, agent.reachableSinceMs));
     }
 
     /** Records the propagation time of a change to one agent, which counts from when the agent was reachable. */
-    private void inForce(Change change, double ms) {
-        fleet.counts().inForceMs.recordValue(Math.round(ms));
-        change.latest = Math.max(change.latest, ms);
-        if (--change.toHear == 0) {
-            fleet.counts().inForceAtAllMs.recordValue(Math.round(change.latest));
+    private void recordPropagation(Change change, double delayMs) {
+        fleet.counts().propagationMs.recordValue(Math.round(delayMs));
+        change.maxPropagationMs = Math.max(change.maxPropagationMs, delayMs);
+        if (--change.agentsPending == 0) {
+            fleet.counts().fullPropagationMs.recordValue(Math.round(change.maxPropagationMs));
         }
     }
 
     /** Notes that the machine of a sender, with its agent, has failed or is back. */
-    void machine(SimulatedSender sender, boolean lost) {
-        agents.get(sender.number).lost = lost;
+    void setMachineDown(SimulatedSender sender, boolean down) {
+        agents.get(sender.number).machineDown = down;
     }
 
     /** Delivers, after the usual delay, what agents have missed while they were partitioned or down. */
-    void reachable() {
+    void deliverMissed() {
         for (SimulatedSender sender : fleet.senders()) {
             Agent agent = agents.get(sender.number);
-            agent.reachedSince = agent.missed.isEmpty() ? agent.reachedSince : world.now();
-            List.copyOf(agent.missed).forEach(change -> tellLater(sender, change));
+            agent.reachableSinceMs = agent.missed.isEmpty() ? agent.reachableSinceMs : clock.nowMs();
+            List.copyOf(agent.missed).forEach(change -> deliverLater(sender, change));
             agent.missed.clear();
         }
     }
 
     /** The full list of a sender's agent, without removed entries. */
-    List<Relay.Endpoint> listAt(SimulatedSender sender) {
-        Map<Long, Relay.Endpoint> list = new LinkedHashMap<>(first);
-        agents.get(sender.number).heard.forEach((id, change) -> list.put(id, change.entry));
+    List<Relay.Endpoint> fullListOf(SimulatedSender sender) {
+        Map<Long, Relay.Endpoint> list = new LinkedHashMap<>(initialList);
+        agents.get(sender.number).received.forEach((id, change) -> list.put(id, change.entry));
         return list.values().stream().filter(entry -> !entry.removed()).toList();
     }
 }
--- a/src/main/java/kestreldeal/scale/fleet/SimulatedEndpoint.java
+++ b/src/main/java/kestreldeal/scale/fleet/SimulatedEndpoint.java
@@ -17,26 +17,26 @@
  */
 final class SimulatedEndpoint {
     /** Service time of a call that fails with an injected error. */
-    private static final double ERROR_MS = 20;
+    private static final double ERROR_SERVICE_MS = 20;
 
     final long id;
-    final SimulatedDestination partner;
+    final SimulatedDestination destination;
     final int zone;
     private final FleetSimulation fleet;
     private final Random random;
-    private final double meanMs;
-    private final double itemCost;
+    private final double meanServiceMs;
+    private final double extraMessageCost;
     private final int cores;
-    private final int depth;
-    private final Deque<Call> queue = new ArrayDeque<>();
-    private final Set<Call> running = new LinkedHashSet<>();
+    private final int maxQueueLength;
+    private final Deque<Call> queuedCalls = new ArrayDeque<>();
+    private final Set<Call> runningCalls = new LinkedHashSet<>();
     private State state = State.SERVING;
-    private double failShare;
-    private double shutUntil;
-    private boolean gone;
+    private double failingShare;
+    private double shutUntilMs;
+    private boolean removed;
     /** Counts how often all queued and running calls were lost. */
     private int epoch;
-    private int resets;
+    private int resetCount;
 
     /** The state of an endpoint; each except the first is a kind of outage. */
     enum State {
@@ -54,25 +54,25 @@
         SHUT
     }
 
-    SimulatedEndpoint(long id, SimulatedDestination partner, int zone, int of, FleetSimulation fleet, Random random) {
+    SimulatedEndpoint(long id, SimulatedDestination destination, int zone, int endpointCount, FleetSimulation fleet, Random random) {
         FleetModel model = fleet.settings().model();
         this.id = id;
-        this.partner = partner;
+        this.destination = destination;
         this.zone = zone;
         this.fleet = fleet;
         this.random = random;
-        this.meanMs = model.workMs().draw(random);
-        this.itemCost = model.itemCost().draw(random);
-        this.cores = Math.max(1, (int) Math.ceil(partner.capacityPerMs / of * meanMs));
-        this.depth = (int) Math.ceil(cores * model.queuePerCore().draw(random));
+        this.meanServiceMs = model.serviceTimeMs().draw(random);
+        this.extraMessageCost = model.extraMessageCost().draw(random);
+        this.cores = Math.max(1, (int) Math.ceil(destination.capacityPerMs / endpointCount * meanServiceMs));
+        this.maxQueueLength = (int) Math.ceil(cores * model.queuePerCore().draw(random));
     }
 
-    boolean serves() {
-        return state == State.SERVING && !gone;
+    boolean isServing() {
+        return state == State.SERVING && !removed;
     }
 
-    boolean isGone() {
-        return gone;
+    boolean isRemoved() {
+        return removed;
     }
 
     State state() {
@@ -80,136 +80,136 @@
     }
 
     /** Whether it accepts connections; otherwise they are refused, or dropped if it is {@link State#SILENT}. */
-    boolean accepts() {
-        return state != State.REFUSING && state != State.SILENT && !gone;
+    boolean acceptsConnections() {
+        return state != State.REFUSING && state != State.SILENT && !removed;
     }
 
     /** How often its connections were reset; a connection from before the last reset is closed. */
-    int resets() {
-        return resets;
+    int resetCount() {
+        return resetCount;
     }
 
     /**
      * Changes the state.
      *
-     * @param opensAt for {@link State#SHUT}: when the endpoint will serve again, for its Retry-After waits
+     * @param opensAtMs for {@link State#SHUT}: when the endpoint will serve again, for its Retry-After waits
      */
-    void become(State next, double opensAt) {
-        if (gone) {
+    void changeState(State newState, double opensAtMs) {
+        if (removed) {
             return;
         }
-        state = next;
-        shutUntil = opensAt;
-        failShare = fleet.settings().model().failShare().draw(random);
-        if (next == State.REFUSING) {
-            reset();
-        } else if (next == State.SILENT || next == State.HUNG) {
-            lose();
+        state = newState;
+        shutUntilMs = opensAtMs;
+        failingShare = fleet.settings().model().failingShare().draw(random);
+        if (newState == State.REFUSING) {
+            resetConnections();
+        } else if (newState == State.SILENT || newState == State.HUNG) {
+            loseCalls();
         }
-        partner.endpointChanged(fleet.world().now(), next);
+        destination.endpointChanged(fleet.clock().nowMs(), newState);
     }
 
     /** Ends the process for good, after a drain. */
-    void end() {
-        gone = true;
-        reset();
-        partner.endpointChanged(fleet.world().now(), State.REFUSING);
+    void shutDown() {
+        removed = true;
+        resetConnections();
+        destination.endpointChanged(fleet.clock().nowMs(), State.REFUSING);
     }
 
     /** Resets all connections, those of queued and running calls and idle ones. */
-    private void reset() {
-        List<Call> lost = new ArrayList<>(running);
-        lost.addAll(queue);
-        lose();
-        resets++;
-        lost.forEach(call -> answer(call, Outcome.BROKEN, 0));
+    private void resetConnections() {
+        List<Call> lost = new ArrayList<>(runningCalls);
+        lost.addAll(queuedCalls);
+        loseCalls();
+        resetCount++;
+        lost.forEach(call -> respond(call, Outcome.BROKEN, 0));
     }
 
-    private void lose() {
+    private void loseCalls() {
         epoch++;
-        queue.clear();
-        running.clear();
+        queuedCalls.clear();
+        runningCalls.clear();
     }
 
     /** Handles a call that has arrived completely. */
     void receive(Call call) {
-        double now = fleet.world().now();
-        if (!accepts()) {
+        double nowMs = fleet.clock().nowMs();
+        if (!acceptsConnections()) {
             if (state != State.SILENT) {
-                answer(call, Outcome.BROKEN, 0);
+                respond(call, Outcome.BROKEN, 0);
             }
             return;
         }
         fleet.counts().callsReceived++;
-        Optional<DestinationRecovery.LoadWindow> tooMuch = partner.arrived(now, call);
-        if (tooMuch.isPresent() && fleet.settings().falls()) {
-            fleet.fall(partner, tooMuch.get());
+        Optional<DestinationRecovery.LoadWindow> overBudget = destination.callArrived(nowMs, call);
+        if (overBudget.isPresent() && fleet.settings().collapseOnOverload()) {
+            fleet.collapse(destination, overBudget.get());
             return;
         }
         switch (state) {
             case HUNG -> { }
-            case SHUT -> turnAway(call, partner.waitUntil(now, shutUntil));
+            case SHUT -> refuse(call, destination.retryAfterUntilMs(nowMs, shutUntilMs));
             case FAILING -> {
-                if (random.nextDouble() < failShare) {
-                    fleet.world().in(ERROR_MS, () -> answer(call, Outcome.ERROR, 0));
+                if (random.nextDouble() < failingShare) {
+                    fleet.clock().scheduleAfter(ERROR_SERVICE_MS, () -> respond(call, Outcome.ERROR, 0));
                 } else {
-                    take(call, now);
+                    admit(call, nowMs);
                 }
             }
-            default -> take(call, now);
+            default -> admit(call, nowMs);
         }
     }
 
-    private void take(Call call, double now) {
-        if (!partner.limit.take(now)) {
-            fleet.counts().refusedAboveLimit++;
-            turnAway(call, partner.waitAboveLimit(now));
-        } else if (running.size() < cores) {
+    private void admit(Call call, double nowMs) {
+        if (!destination.rateLimit.tryAcquire(nowMs)) {
+            fleet.counts().callsRefusedByLimit++;
+            refuse(call, destination.retryAfterAboveLimitMs(nowMs));
+        } else if (runningCalls.size() < cores) {
             serve(call);
-        } else if (queue.size() < depth) {
-            queue.add(call);
+        } else if (queuedCalls.size() < maxQueueLength) {
+            queuedCalls.add(call);
         } else {
-            turnAway(call, 0);
+            refuse(call, 0);
         }
     }
 
-    private void turnAway(Call call, double waitMs) {
-        fleet.counts().refused++;
-        answer(call, Outcome.FULL, waitMs);
+    private void refuse(Call call, double retryAfterMs) {
+        fleet.counts().callsRefused++;
+        respond(call, Outcome.FULL, retryAfterMs);
     }
 
     private void serve(Call call) {
         FleetModel model = fleet.settings().model();
-        running.add(call);
-        int epochThen = epoch;
-        double spread = model.workSpread();
-        double drawn = Math.exp(spread * random.nextGaussian() - spread * spread / 2);
-        double work = meanMs * drawn * (1 + itemCost * (call.items.size() - 1));
+        runningCalls.add(call);
+        int expectedEpoch = epoch;
+        double spread = model.serviceTimeSpread();
+        double factor = Math.exp(spread * random.nextGaussian() - spread * spread / 2);
+        double serviceMs = meanServiceMs * factor * (1 + extraMessageCost * (call.items.size() - 1));
         Outcome outcome = random.nextDouble() < model.errorRate() ? Outcome.ERROR : Outcome.DELIVERED;
-        fleet.world().in(work / partner.share(fleet.world().now()), () -> {
-            if (epoch == epochThen) {
-                done(call, outcome);
+        fleet.clock().scheduleAfter(serviceMs / destination.capacityShare(fleet.clock().nowMs()), () -> {
+            if (epoch == expectedEpoch) {
+                finish(call, outcome);
             }
         });
     }
 
-    private void done(Call call, Outcome outcome) {
-        running.remove(call);
-        fleet.counts().itemsRun += call.items.size();
-        answer(call, outcome, 0);
-        if (!queue.isEmpty()) {
-            serve(queue.remove());
+    private void finish(Call call, Outcome outcome) {
+        runningCalls.remove(call);
+        fleet.counts().messagesProcessed += call.items.size();
+        respond(call, outcome, 0);
+        if (!queuedCalls.isEmpty()) {
+            serve(queuedCalls.remove());
         }
     }
 
     /** Sends a response, or a connection reset, to the sender of a call. */
-    private void answer(Call call, Outcome outcome, double waitMs) {
+    private void respond(Call call, Outcome outcome, double retryAfterMs) {
         Relay.LoadReport report = outcome == Outcome.DELIVERED || outcome == Outcome.FULL
-                ? partner.report(fleet.world().now()) : Relay.LoadReport.NONE;
+                ? destination.loadReport(fleet.clock().nowMs()) : Relay.LoadReport.NONE;
         SimulatedNetwork network = fleet.network();
-        fleet.world().in(network.delay(zone, call.sender.zone), () -> {
-            if (network.passes(zone, call.sender.zone)) {
-                call.sender.answered(call, outcome, waitMs, report);
+        fleet.clock().scheduleAfter(network.drawDelayMs(zone, call.sender.zone), () -> {
+            if (network.isConnected(zone, call.sender.zone)) {
+                call.sender.responseReceived(call, outcome, retryAfterMs, report);
             }
         });
     }
--- a/src/main/java/kestreldeal/scale/fleet/SimulatedMessage.java
+++ b/src/main/java/kestreldeal/scale/fleet/SimulatedMessage.java
@@ -8,49 +8,49 @@
 /** A message that a sender has accepted, with what a journal would store of it; it outlasts the sender's process. */
 final class SimulatedMessage {
     final long id;
-    final ClientRequest asked;
+    final ClientRequest request;
     final SimulatedSender sender;
-    final double deadline;
+    final double deadlineMs;
     final List<Attempt> attempts = new ArrayList<>();
-    boolean ended;
+    boolean finished;
 
-    SimulatedMessage(long id, ClientRequest asked, SimulatedSender sender, double deadline) {
+    SimulatedMessage(long id, ClientRequest request, SimulatedSender sender, double deadlineMs) {
         this.id = id;
-        this.asked = asked;
+        this.request = request;
         this.sender = sender;
-        this.deadline = deadline;
+        this.deadlineMs = deadlineMs;
     }
 
-    int out() {
-        return (int) attempts.stream().filter(a -> a.outcome.isEmpty()).count();
+    int inFlightCount() {
+        return (int) attempts.stream().filter(attempt -> attempt.outcome.isEmpty()).count();
     }
 
     /** What a client wants delivered; a retry submits the same request again, as another message. */
     static final class ClientRequest {
         final int messageClass;
-        final SimulatedDestination partner;
-        final double at;
-        final double deadline;
-        int triesLeft;
+        final SimulatedDestination destination;
+        final double submittedAtMs;
+        final double deadlineMs;
+        int retriesLeft;
 
-        ClientRequest(int messageClass, SimulatedDestination partner, double at, double deadline, int triesLeft) {
+        ClientRequest(int messageClass, SimulatedDestination destination, double submittedAtMs, double deadlineMs, int retriesLeft) {
             this.messageClass = messageClass;
-            this.partner = partner;
-            this.at = at;
-            this.deadline = deadline;
-            this.triesLeft = triesLeft;
+            this.destination = destination;
+            this.submittedAtMs = submittedAtMs;
+            this.deadlineMs = deadlineMs;
+            this.retriesLeft = retriesLeft;
         }
     }
 
     /** One attempt, which is in flight until it has an outcome. */
     static final class Attempt {
         final SimulatedEndpoint endpoint;
-        final double sentAt;
+        final double sentAtMs;
         Optional<Relay.Outcome> outcome = Optional.empty();
 
-        Attempt(SimulatedEndpoint endpoint, double sentAt) {
+        Attempt(SimulatedEndpoint endpoint, double sentAtMs) {
             this.endpoint = endpoint;
-            this.sentAt = sentAt;
+            this.sentAtMs = sentAtMs;
         }
 
         boolean mayHaveRun() {
--- a/src/main/java/kestreldeal/scale/fleet/SimulatedNetwork.java
+++ b/src/main/java/kestreldeal/scale/fleet/SimulatedNetwork.java
@@ -4,11 +4,11 @@
 
 /** Network delays between zones, and partitions: a packet that would cross a partition is dropped silently. */
 final class SimulatedNetwork {
-    private static final int NONE = -1;
+    private static final int NO_REGION = -1;
 
     private final FleetModel model;
     private final Random random;
-    private int isolated = NONE;
+    private int isolatedRegion = NO_REGION;
 
     SimulatedNetwork(FleetModel model, Random random) {
         this.model = model;
@@ -16,22 +16,22 @@
     }
 
     /** Draws a one-way delay between two zones, in milliseconds. */
-    double delay(int from, int to) {
-        int distance = from == to ? 0 : model.region(from) == model.region(to) ? 1 : 2;
-        return model.oneWayMs().get(distance) * (1 + model.jitter() * random.nextDouble());
+    double drawDelayMs(int fromZone, int toZone) {
+        int distance = fromZone == toZone ? 0 : model.regionOf(fromZone) == model.regionOf(toZone) ? 1 : 2;
+        return model.networkDelayMs().get(distance) * (1 + model.networkJitter() * random.nextDouble());
     }
 
     /** Separates a region from all others. */
     void isolate(int region) {
-        isolated = region;
+        isolatedRegion = region;
     }
 
     void heal() {
-        isolated = NONE;
+        isolatedRegion = NO_REGION;
     }
 
-    boolean passes(int from, int to) {
-        return model.region(from) == model.region(to)
-                || model.region(from) != isolated && model.region(to) != isolated;
+    boolean isConnected(int fromZone, int toZone) {
+        return model.regionOf(fromZone) == model.regionOf(toZone)
+                || model.regionOf(fromZone) != isolatedRegion && model.regionOf(toZone) != isolatedRegion;
     }
 }
