--- a/src/main/java/kestreldeal/scale/fleet/SimulatedSender.java
+++ b/src/main/java/kestreldeal/scale/fleet/SimulatedSender.java
@@ -17,49 +17,49 @@
  */
 final class SimulatedSender implements Relay.Actions {
     /** A repeated attempt of a keyed message is no longer written this short a time before its window ends. */
-    private static final double WRITTEN_MARGIN_MS = 100;
+    private static final double DEDUP_WINDOW_MARGIN_MS = 100;
     /** In a graceful restart: time until the announced end, until the kill, and from the kill to the next start. */
-    private static final double CLOSING_MS = 3000;
-    private static final double KILLED_AFTER_MS = 3700;
-    private static final double NEXT_LIFE_MS = 600;
+    private static final double SHUTDOWN_MS = 3000;
+    private static final double KILL_DELAY_MS = 3700;
+    private static final double RESTART_DELAY_MS = 600;
 
     final int number;
     final int zone;
     private final FleetSimulation fleet;
-    private final SimulationClock world;
-    private final Map<Long, SimulatedMessage> held = new LinkedHashMap<>();
+    private final SimulationClock clock;
+    private final Map<Long, SimulatedMessage> pending = new LinkedHashMap<>();
     /** The pending messages, and completed ones that still have an attempt in flight. */
-    private final Map<Long, SimulatedMessage> known = new HashMap<>();
-    private final Map<Long, Relay.EndpointHealth> health = new LinkedHashMap<>();
-    private final Map<Long, ConnectionPool> connections = new HashMap<>();
+    private final Map<Long, SimulatedMessage> tracked = new HashMap<>();
+    private final Map<Long, Relay.EndpointHealth> savedHealth = new LinkedHashMap<>();
+    private final Map<Long, ConnectionPool> connectionPools = new HashMap<>();
     /** The calls decided in this turn, which start at its end, by endpoint. */
-    private final Map<Long, List<Call>> forming = new LinkedHashMap<>();
+    private final Map<Long, List<Call>> callsOfTurn = new LinkedHashMap<>();
     private Optional<Relay> relay = Optional.empty();
-    private Optional<Relay.LearnedState> memory = Optional.empty();
-    private int life;
-    private double readyAt;
-    private double diedAt;
-    private boolean takes;
+    private Optional<Relay.LearnedState> learnedState = Optional.empty();
+    private int processNumber;
+    private double startedAtMs;
+    private double stoppedAtMs;
+    private boolean accepting;
     private boolean turnOpen;
-    private long wakesAsked;
+    private long wakeRequests;
 
     /** The idle connections to one endpoint. */
     private static final class ConnectionPool {
-        int idle;
-        int resets;
-        double usedAt;
-
-        boolean take(double now, double keepAliveMs, int resetsNow) {
-            idle = now - usedAt < keepAliveMs && resets == resetsNow ? idle : 0;
-            boolean taken = idle > 0;
-            idle -= taken ? 1 : 0;
-            return taken;
+        int idleCount;
+        int endpointResetCount;
+        double lastUsedMs;
+
+        boolean acquire(double nowMs, double keepAliveMs, int resetCount) {
+            idleCount = nowMs - lastUsedMs < keepAliveMs && endpointResetCount == resetCount ? idleCount : 0;
+            boolean acquired = idleCount > 0;
+            idleCount -= acquired ? 1 : 0;
+            return acquired;
         }
 
-        void give(double now, int resetsNow) {
-            idle = resets == resetsNow ? idle + 1 : 1;
-            resets = resetsNow;
-            usedAt = now;
+        void release(double nowMs, int resetCount) {
+            idleCount = endpointResetCount == resetCount ? idleCount + 1 : 1;
+            endpointResetCount = resetCount;
+            lastUsedMs = nowMs;
         }
     }
 
@@ -67,32 +67,32 @@
         this.number = number;
         this.zone = zone;
         this.fleet = fleet;
-        this.world = fleet.world();
+        this.clock = fleet.clock();
     }
 
     // ---- start and stop ----
 
     /** Starts a process and restores the state left by the previous one. */
     void start() {
-        double now = world.now();
-        readyAt = now;
-        takes = true;
-        relay = Optional.of(fleet.newRelay(number, life, this));
-        List<Relay.Endpoint> list = fleet.directory().listAt(this);
-        list.forEach(entry -> fleet.ledger().listed(this, entry));
-        event(r -> {
-            r.endpointsChanged(now, true, list);
-            memory.ifPresent(m -> r.restoreLearnedState(now, m));
-            new LinkedHashMap<>(health).forEach((endpoint, h) -> r.restoreEndpointHealth(now, endpoint, h));
-            List.copyOf(held.values()).forEach(message -> resume(r, message));
+        double nowMs = clock.nowMs();
+        startedAtMs = nowMs;
+        accepting = true;
+        relay = Optional.of(fleet.newRelay(number, processNumber, this));
+        List<Relay.Endpoint> list = fleet.discovery().fullListOf(this);
+        list.forEach(entry -> fleet.invariants().senderNotified(this, entry));
+        notifyModule(r -> {
+            r.endpointsChanged(nowMs, true, list);
+            learnedState.ifPresent(m -> r.restoreLearnedState(nowMs, m));
+            new LinkedHashMap<>(savedHealth).forEach((endpoint, saved) -> r.restoreEndpointHealth(nowMs, endpoint, saved));
+            List.copyOf(pending.values()).forEach(message -> restore(r, message));
         });
-        memory = Optional.empty();
+        learnedState = Optional.empty();
     }
 
-    private void resume(Relay r, SimulatedMessage message) {
-        fleet.ledger().resumed(message);
-        r.messageRestored(world.now(), message(message), message.attempts.stream()
-                .map(a -> new Relay.EarlierAttempt(a.endpoint.id, a.sentAt, a.mayHaveRun())).toList());
+    private void restore(Relay module, SimulatedMessage message) {
+        fleet.invariants().restored(message);
+        module.messageRestored(clock.nowMs(), toRelayMessage(message), message.attempts.stream()
+                .map(a -> new Relay.EarlierAttempt(a.endpoint.id, a.sentAtMs, a.mayHaveRun())).toList());
     }
 
     /** Kills the process: connections are reset, and attempts in flight may have run. */
@@ -101,25 +101,25 @@
             return;
         }
         relay = Optional.empty();
-        life++;
-        takes = false;
+        processNumber++;
+        accepting = false;
         turnOpen = false;
-        diedAt = world.now();
-        connections.clear();
-        forming.clear();
-        held.values().forEach(message -> message.attempts.stream().filter(a -> a.outcome.isEmpty())
+        stoppedAtMs = clock.nowMs();
+        connectionPools.clear();
+        callsOfTurn.clear();
+        pending.values().forEach(message -> message.attempts.stream().filter(a -> a.outcome.isEmpty())
                 .forEach(a -> a.outcome = Optional.of(Outcome.BROKEN)));
-        known.clear();
-        known.putAll(held);
-        fleet.ledger().restarted(this);
+        tracked.clear();
+        tracked.putAll(pending);
+        fleet.invariants().senderRestarted(this);
     }
 
     /** Kills the process, and starts another after a time. */
-    void restartAfter(double ms) {
+    void restartAfter(double delayMs) {
         if (relay.isPresent()) {
             fleet.counts().restarts++;
             kill();
-            world.in(ms, this::start);
+            clock.scheduleAfter(delayMs, this::start);
         }
     }
 
@@ -127,15 +127,15 @@
      * Restarts gracefully: accepts no more messages, lets calls complete, and hands the module's learned state to the
      * next process.
      */
-    void restartInOrder() {
-        int lifeThen = life;
-        takes = false;
-        diedAt = world.now();
-        event(r -> r.shutdownScheduled(world.now(), world.now() + CLOSING_MS));
-        world.in(KILLED_AFTER_MS, () -> {
-            if (life == lifeThen) {
-                memory = relay.map(r -> r.learnedState(world.now()));
-                restartAfter(NEXT_LIFE_MS);
+    void restartGracefully() {
+        int expectedProcess = processNumber;
+        accepting = false;
+        stoppedAtMs = clock.nowMs();
+        notifyModule(r -> r.shutdownScheduled(clock.nowMs(), clock.nowMs() + SHUTDOWN_MS));
+        clock.scheduleAfter(KILL_DELAY_MS, () -> {
+            if (processNumber == expectedProcess) {
+                learnedState = relay.map(r -> r.learnedState(clock.nowMs()));
+                restartAfter(RESTART_DELAY_MS);
             }
         });
     }
@@ -145,34 +145,34 @@
     }
 
     /** Whether the process runs and was started no later than the given time. */
-    boolean isReadySince(double time) {
-        return isAlive() && readyAt <= time;
+    boolean isReadySince(double timeMs) {
+        return isAlive() && startedAtMs <= timeMs;
     }
 
-    boolean takes() {
-        return takes;
+    boolean isAccepting() {
+        return accepting;
     }
 
     /** When the sender last stopped accepting messages. */
-    double stoppedAt() {
-        return diedAt;
+    double stoppedAtMs() {
+        return stoppedAtMs;
     }
 
-    int holds() {
-        return held.size();
+    int pendingCount() {
+        return pending.size();
     }
 
     // ---- events ----
 
     /** Passes an event to the module in the turn of the current time; does nothing while the sender is down. */
-    private void event(Consumer<Relay> event) {
+    private void notifyModule(Consumer<Relay> event) {
         relay.ifPresent(r -> {
             event.accept(r);
             if (!turnOpen) {
                 turnOpen = true;
-                int lifeThen = life;
-                world.at(world.now(), () -> {
-                    if (life == lifeThen) {
+                int expectedProcess = processNumber;
+                clock.schedule(clock.nowMs(), () -> {
+                    if (processNumber == expectedProcess) {
                         endTurn(r);
                     }
                 });
@@ -180,32 +180,32 @@
         });
     }
 
-    private void endTurn(Relay r) {
+    private void endTurn(Relay module) {
         turnOpen = false;
-        r.endTurn(world.now());
-        List<Call> calls = forming.values().stream().flatMap(List::stream).toList();
-        forming.clear();
-        calls.forEach(this::begin);
+        module.endTurn(clock.nowMs());
+        List<Call> calls = callsOfTurn.values().stream().flatMap(List::stream).toList();
+        callsOfTurn.clear();
+        calls.forEach(this::dispatch);
     }
 
     /** Accepts a message from a client. */
-    void take(SimulatedMessage message) {
-        held.put(message.id, message);
-        known.put(message.id, message);
-        fleet.ledger().taken(message);
-        event(r -> r.messageAccepted(world.now(), message(message)));
+    void accept(SimulatedMessage message) {
+        pending.put(message.id, message);
+        tracked.put(message.id, message);
+        fleet.invariants().accepted(message);
+        notifyModule(r -> r.messageAccepted(clock.nowMs(), toRelayMessage(message)));
     }
 
-    private Relay.Message message(SimulatedMessage m) {
-        return new Relay.Message(m.id, m.asked.messageClass, 0, Optional.empty(), m.deadline - world.now(),
-                m.asked.partner.id);
+    private Relay.Message toRelayMessage(SimulatedMessage m) {
+        return new Relay.Message(m.id, m.request.messageClass, 0, Optional.empty(), m.deadlineMs - clock.nowMs(),
+                m.request.destination.id);
     }
 
     /** Applies a list update from the agent. */
-    void listed(Relay.Endpoint entry) {
+    void listUpdated(Relay.Endpoint entry) {
         if (isAlive()) {
-            fleet.ledger().listed(this, entry);
-            event(r -> r.endpointsChanged(world.now(), false, List.of(entry)));
+            fleet.invariants().senderNotified(this, entry);
+            notifyModule(r -> r.endpointsChanged(clock.nowMs(), false, List.of(entry)));
         }
     }
 
@@ -213,53 +213,53 @@
      * Handles a response or a connection reset. It is ignored for a call whose attempts have all completed, because
      * the sender has closed the connection of such a call.
      */
-    void answered(Call call, Outcome outcome, double waitMs, Relay.LoadReport report) {
-        if (call.life != life || !isAlive() || !call.isAwaited()) {
+    void responseReceived(Call call, Outcome outcome, double retryAfterMs, Relay.LoadReport report) {
+        if (call.processNumber != processNumber || !isAlive() || !call.hasAttemptInFlight()) {
             return;
         }
         if (outcome != Outcome.BROKEN) {
-            connectionsTo(call.endpoint).give(world.now(), call.endpoint.resets());
+            poolOf(call.endpoint).release(clock.nowMs(), call.endpoint.resetCount());
         }
-        if (waitMs > 0) {
-            fleet.ledger().waitTold(this, call.endpoint.partner, waitMs);
+        if (retryAfterMs > 0) {
+            fleet.invariants().retryAfterReceived(this, call.endpoint.destination, retryAfterMs);
         }
-        endAll(call, outcome, waitMs, report);
+        completeAll(call, outcome, retryAfterMs, report);
     }
 
-    private void endAll(Call call, Outcome outcome, double waitMs, Relay.LoadReport report) {
+    private void completeAll(Call call, Outcome outcome, double retryAfterMs, Relay.LoadReport report) {
         call.items.stream().filter(item -> item.attempt().outcome.isEmpty())
-                .forEach(item -> end(item, outcome, waitMs, report));
+                .forEach(item -> completeAttempt(item, outcome, retryAfterMs, report));
     }
 
-    private void end(Call.Item item, Outcome outcome, double waitMs, Relay.LoadReport report) {
+    private void completeAttempt(Call.Item item, Outcome outcome, double retryAfterMs, Relay.LoadReport report) {
         SimulatedMessage message = item.message();
         SimulatedMessage.Attempt attempt = item.attempt();
         attempt.outcome = Optional.of(outcome);
         boolean delivered = outcome == Outcome.DELIVERED;
         if (!delivered && outcome != Outcome.CANCELLED && outcome != Outcome.NOT_SENT) {
-            attempt.endpoint.partner.told(this, attempt.sentAt);
+            attempt.endpoint.destination.senderLearnedOfOutage(this, attempt.sentAtMs);
         }
-        if (delivered && message.ended) {
-            fleet.counts().deliveredAfterEnd++;
+        if (delivered && message.finished) {
+            fleet.counts().deliveredAfterResult++;
         } else if (delivered) {
-            fleet.ledger().delivered(message);
-            held.remove(message.id);
-            fleet.clients().delivered(message);
+            fleet.invariants().messageDelivered(message);
+            pending.remove(message.id);
+            fleet.clients().messageDelivered(message);
         }
-        forgetIfOver(message);
-        event(r -> r.attemptCompleted(world.now(), new Relay.AttemptResult(message.id, item.number(), outcome,
-                world.now() - attempt.sentAt, message.ended, waitMs, report)));
+        untrackIfFinished(message);
+        notifyModule(r -> r.attemptCompleted(clock.nowMs(), new Relay.AttemptResult(message.id, item.attemptNumber(), outcome,
+                clock.nowMs() - attempt.sentAtMs, message.finished, retryAfterMs, report)));
     }
 
     // ---- calls ----
 
-    private ConnectionPool connectionsTo(SimulatedEndpoint endpoint) {
-        return connections.computeIfAbsent(endpoint.id, unknown -> new ConnectionPool());
+    private ConnectionPool poolOf(SimulatedEndpoint endpoint) {
+        return connectionPools.computeIfAbsent(endpoint.id, unknown -> new ConnectionPool());
     }
 
-    private void begin(Call call) {
-        SimulatedEndpoint to = call.endpoint;
-        if (connectionsTo(to).take(world.now(), fleet.relaySettings().keepAliveMs(), to.resets())) {
+    private void dispatch(Call call) {
+        SimulatedEndpoint endpoint = call.endpoint;
+        if (poolOf(endpoint).acquire(clock.nowMs(), fleet.relaySettings().keepAliveMs(), endpoint.resetCount())) {
             write(call);
         } else {
             connect(call);
@@ -267,174 +267,174 @@
     }
 
     private void connect(Call call) {
-        SimulatedEndpoint to = call.endpoint;
+        SimulatedEndpoint endpoint = call.endpoint;
         SimulatedNetwork network = fleet.network();
-        double way = network.delay(zone, to.zone);
+        double delayMs = network.drawDelayMs(zone, endpoint.zone);
         fleet.counts().connects++;
-        world.in(way, () -> {
-            if (!network.passes(zone, to.zone) || to.state() == SimulatedEndpoint.State.SILENT) {
-                later(call, fleet.settings().model().connectTimeoutMs() - way, this::unreachable);
+        clock.scheduleAfter(delayMs, () -> {
+            if (!network.isConnected(zone, endpoint.zone) || endpoint.state() == SimulatedEndpoint.State.SILENT) {
+                scheduleForCall(call, fleet.settings().model().connectTimeoutMs() - delayMs, this::failUnreachable);
             } else {
-                later(call, network.delay(to.zone, zone), to.accepts() ? this::write : this::unreachable);
+                scheduleForCall(call, network.drawDelayMs(endpoint.zone, zone), endpoint.acceptsConnections() ? this::write : this::failUnreachable);
             }
         });
     }
 
-    private void later(Call call, double ms, Consumer<Call> then) {
-        world.in(ms, () -> {
-            if (call.life == life && isAlive()) {
+    private void scheduleForCall(Call call, double delayMs, Consumer<Call> then) {
+        clock.scheduleAfter(delayMs, () -> {
+            if (call.processNumber == processNumber && isAlive()) {
                 then.accept(call);
             }
         });
     }
 
-    private void unreachable(Call call) {
-        endAll(call, Outcome.UNREACHABLE, 0, Relay.LoadReport.NONE);
+    private void failUnreachable(Call call) {
+        completeAll(call, Outcome.UNREACHABLE, 0, Relay.LoadReport.NONE);
     }
 
     /** Writes a call, without the attempts that may no longer be sent: opening the connection took time. */
     private void write(Call call) {
         List<Call.Item> dropped = call.items.stream()
-                .filter(item -> item.attempt().outcome.isPresent() || !mayStillGo(item)).toList();
+                .filter(item -> item.attempt().outcome.isPresent() || !sendStillAllowed(item)).toList();
         call.items.removeAll(dropped);
         dropped.stream().filter(item -> item.attempt().outcome.isEmpty())
-                .forEach(item -> end(item, Outcome.NOT_SENT, 0, Relay.LoadReport.NONE));
+                .forEach(item -> completeAttempt(item, Outcome.NOT_SENT, 0, Relay.LoadReport.NONE));
         if (call.items.isEmpty()) {
-            connectionsTo(call.endpoint).give(world.now(), call.endpoint.resets());
+            poolOf(call.endpoint).release(clock.nowMs(), call.endpoint.resetCount());
             return;
         }
-        call.items.forEach(item -> fleet.ledger().written(item.message(), item.number(), call.endpoint));
+        call.items.forEach(item -> fleet.invariants().attemptWritten(item.message(), item.attemptNumber(), call.endpoint));
         fleet.counts().callsWritten++;
-        call.writtenAt = world.now();
+        call.writtenAtMs = clock.nowMs();
         SimulatedNetwork network = fleet.network();
-        world.in(network.delay(zone, call.endpoint.zone), () -> {
-            if (network.passes(zone, call.endpoint.zone)) {
+        clock.scheduleAfter(network.drawDelayMs(zone, call.endpoint.zone), () -> {
+            if (network.isConnected(zone, call.endpoint.zone)) {
                 call.endpoint.receive(call);
             }
         });
     }
 
-    private boolean mayStillGo(Call.Item item) {
+    private boolean sendStillAllowed(Call.Item item) {
         SimulatedMessage message = item.message();
-        if (message.ended || !relay.get().sendAllowed(world.now(), item.attempt().endpoint.id)) {
+        if (message.finished || !relay.get().sendAllowed(clock.nowMs(), item.attempt().endpoint.id)) {
             return false;
         }
-        Relay.MessageClass type = fleet.relaySettings().classes().get(message.asked.messageClass);
-        return type.effect() != Relay.Effect.KEYED || message.attempts.subList(0, item.number()).stream()
+        Relay.MessageClass messageClass = fleet.relaySettings().classes().get(message.request.messageClass);
+        return messageClass.effect() != Relay.Effect.KEYED || message.attempts.subList(0, item.attemptNumber()).stream()
                 .noneMatch(a -> a.mayHaveRun()
-                        && world.now() > a.sentAt + type.dedupWindowMs() - WRITTEN_MARGIN_MS);
+                        && clock.nowMs() > a.sentAtMs + messageClass.dedupWindowMs() - DEDUP_WINDOW_MARGIN_MS);
     }
 
     // ---- actions of the module ----
 
     @Override
     public void send(long id, long endpointId, double timeoutMs) {
-        SimulatedMessage message = known(id, "sent");
+        SimulatedMessage message = requireTracked(id, "sent");
         SimulatedEndpoint endpoint = fleet.endpoint(endpointId);
-        fleet.ledger().sent(message, endpoint);
-        boolean copy = message.out() > 0;
-        int count = message.attempts.size();
-        fleet.counts().copies += copy ? 1 : 0;
-        fleet.counts().firstSends += count == 0 ? 1 : 0;
-        fleet.counts().trials += heldAs(endpointId) == Relay.EndpointState.DOWN ? 1 : 0;
-        SimulatedMessage.Attempt attempt = new SimulatedMessage.Attempt(endpoint, world.now());
+        fleet.invariants().attemptDecided(message, endpoint);
+        boolean hedged = message.inFlightCount() > 0;
+        int attemptNumber = message.attempts.size();
+        fleet.counts().hedgedAttempts += hedged ? 1 : 0;
+        fleet.counts().firstAttempts += attemptNumber == 0 ? 1 : 0;
+        fleet.counts().probes += assumedState(endpointId) == Relay.EndpointState.DOWN ? 1 : 0;
+        SimulatedMessage.Attempt attempt = new SimulatedMessage.Attempt(endpoint, clock.nowMs());
         message.attempts.add(attempt);
-        Call.Item item = new Call.Item(message, count, attempt);
-        Call call = callTo(endpoint);
+        Call.Item item = new Call.Item(message, attemptNumber, attempt);
+        Call call = callWithRoom(endpoint);
         call.items.add(item);
-        later(call, timeoutMs, c -> {
+        scheduleForCall(call, timeoutMs, ignored -> {
             if (attempt.outcome.isEmpty()) {
-                boolean written = call.writtenAt <= world.now();
-                end(item, written ? Outcome.TIMED_OUT : Outcome.UNREACHABLE, 0, Relay.LoadReport.NONE);
+                boolean written = call.writtenAtMs <= clock.nowMs();
+                completeAttempt(item, written ? Outcome.TIMED_OUT : Outcome.UNREACHABLE, 0, Relay.LoadReport.NONE);
             }
         });
     }
 
-    private Relay.EndpointState heldAs(long endpoint) {
-        return Optional.ofNullable(health.get(endpoint)).map(Relay.EndpointHealth::state)
+    private Relay.EndpointState assumedState(long endpoint) {
+        return Optional.ofNullable(savedHealth.get(endpoint)).map(Relay.EndpointHealth::state)
                 .orElse(Relay.EndpointState.UP);
     }
 
-    private Call callTo(SimulatedEndpoint endpoint) {
-        List<Call> calls = forming.computeIfAbsent(endpoint.id, unknown -> new ArrayList<>());
-        if (calls.isEmpty() || calls.get(calls.size() - 1).items.size() >= endpoint.partner.type.batch()) {
-            calls.add(new Call(this, life, endpoint, heldAs(endpoint.id)));
+    private Call callWithRoom(SimulatedEndpoint endpoint) {
+        List<Call> calls = callsOfTurn.computeIfAbsent(endpoint.id, unknown -> new ArrayList<>());
+        if (calls.isEmpty() || calls.get(calls.size() - 1).items.size() >= endpoint.destination.kind.maxBatchSize()) {
+            calls.add(new Call(this, processNumber, endpoint, assumedState(endpoint.id)));
         }
         return calls.get(calls.size() - 1);
     }
 
     @Override
-    public void cancel(long id, int number) {
-        SimulatedMessage message = known(id, "cancelled");
-        SimulatedMessage.Attempt attempt = message.attempts.get(number);
-        int lifeThen = life;
-        world.at(world.now(), () -> {
-            if (lifeThen == life && attempt.outcome.isEmpty()) {
-                end(new Call.Item(message, number, attempt), Outcome.CANCELLED, 0, Relay.LoadReport.NONE);
+    public void cancel(long id, int attemptNumber) {
+        SimulatedMessage message = requireTracked(id, "cancelled");
+        SimulatedMessage.Attempt attempt = message.attempts.get(attemptNumber);
+        int expectedProcess = processNumber;
+        clock.schedule(clock.nowMs(), () -> {
+            if (expectedProcess == processNumber && attempt.outcome.isEmpty()) {
+                completeAttempt(new Call.Item(message, attemptNumber, attempt), Outcome.CANCELLED, 0, Relay.LoadReport.NONE);
             }
         });
     }
 
     @Override
     public void closeIdleConnections(long endpoint) {
-        connections.remove(endpoint);
+        connectionPools.remove(endpoint);
     }
 
     @Override
-    public void reject(long id, double waitMs) {
-        SimulatedMessage message = end(id, "refused");
-        fleet.ledger().refused(message);
-        fleet.clients().refused(message, waitMs);
+    public void reject(long id, double retryAfterMs) {
+        SimulatedMessage message = finish(id, "refused");
+        fleet.invariants().messageRejected(message);
+        fleet.clients().messageRejected(message, retryAfterMs);
     }
 
     @Override
     public void fail(long id) {
-        SimulatedMessage message = end(id, "failed");
-        fleet.ledger().failed(message);
-        fleet.clients().failed(message);
+        SimulatedMessage message = finish(id, "failed");
+        fleet.invariants().messageFailed(message);
+        fleet.clients().messageFailed(message);
     }
 
-    private SimulatedMessage end(long id, String how) {
-        SimulatedMessage message = known(id, how);
-        held.remove(id);
-        forgetIfOver(message);
+    private SimulatedMessage finish(long id, String action) {
+        SimulatedMessage message = requireTracked(id, action);
+        pending.remove(id);
+        untrackIfFinished(message);
         return message;
     }
 
-    private SimulatedMessage known(long id, String how) {
-        SimulatedMessage message = known.get(id);
+    private SimulatedMessage requireTracked(long id, String action) {
+        SimulatedMessage message = tracked.get(id);
         if (message == null) {
-            throw new InvariantViolationException(world.now(), "message " + id + ": " + how + " by sender " + number
+            throw new InvariantViolationException(clock.nowMs(), "message " + id + ": " + action + " by sender " + number
                     + ", which does not have it");
         }
         return message;
     }
 
     /** Stops tracking a message that is completed and has no attempt in flight. */
-    private void forgetIfOver(SimulatedMessage message) {
-        if (!held.containsKey(message.id) && message.out() == 0) {
-            known.remove(message.id);
+    private void untrackIfFinished(SimulatedMessage message) {
+        if (!pending.containsKey(message.id) && message.inFlightCount() == 0) {
+            tracked.remove(message.id);
         }
     }
 
     /** Schedules a wake-up; it replaces an earlier request, because the module requests only the next one. */
     @Override
-    public void wakeAt(double time) {
-        long asked = ++wakesAsked;
-        int lifeThen = life;
-        world.at(time, () -> {
-            if (asked == wakesAsked && life == lifeThen) {
-                event(r -> r.wake(world.now()));
+    public void wakeAt(double timeMs) {
+        long request = ++wakeRequests;
+        int expectedProcess = processNumber;
+        clock.schedule(timeMs, () -> {
+            if (request == wakeRequests && processNumber == expectedProcess) {
+                notifyModule(r -> r.wake(clock.nowMs()));
             }
         });
     }
 
     @Override
-    public void saveEndpointHealth(long endpoint, Relay.EndpointHealth now) {
-        if (now.state() == Relay.EndpointState.UP) {
-            health.remove(endpoint);
+    public void saveEndpointHealth(long endpoint, Relay.EndpointHealth newHealth) {
+        if (newHealth.state() == Relay.EndpointState.UP) {
+            savedHealth.remove(endpoint);
         } else {
-            health.put(endpoint, now);
+            savedHealth.put(endpoint, newHealth);
         }
     }
 
--- a/src/main/java/kestreldeal/scale/fleet/SimulationClock.java
+++ b/src/main/java/kestreldeal/scale/fleet/SimulationClock.java
@@ -9,50 +9,50 @@
  */
 final class SimulationClock {
     /** The observer, which reads the real clock, is called once in this many events. */
-    private static final int EVENTS_A_LOOK = 4096;
+    private static final int EVENTS_PER_OBSERVATION = 4096;
 
-    private final PriorityQueue<ScheduledEvent> due =
-            new PriorityQueue<>(Comparator.comparingDouble(ScheduledEvent::at).thenComparingLong(ScheduledEvent::number));
-    private long asked;
-    private long done;
-    private double now;
+    private final PriorityQueue<ScheduledEvent> queue =
+            new PriorityQueue<>(Comparator.comparingDouble(ScheduledEvent::timeMs).thenComparingLong(ScheduledEvent::sequence));
+    private long scheduledCount;
+    private long eventCount;
+    private double nowMs;
 
-    private record ScheduledEvent(double at, long number, Runnable event) {
+    private record ScheduledEvent(double timeMs, long sequence, Runnable action) {
     }
 
     /** Called now and then during a run; may abort it by an exception. */
     interface Observer {
-        void look(double now, long events);
+        void observe(double nowMs, long eventCount);
     }
 
-    double now() {
-        return now;
+    double nowMs() {
+        return nowMs;
     }
 
     /** Number of events that have run so far. */
-    long events() {
-        return done;
+    long eventCount() {
+        return eventCount;
     }
 
     /** Schedules an event; one in the past runs at the current time, after those already scheduled for it. */
-    void at(double time, Runnable event) {
-        due.add(new ScheduledEvent(Math.max(time, now), asked++, event));
+    void schedule(double timeMs, Runnable action) {
+        queue.add(new ScheduledEvent(Math.max(timeMs, nowMs), scheduledCount++, action));
     }
 
-    void in(double ms, Runnable event) {
-        at(now + ms, event);
+    void scheduleAfter(double delayMs, Runnable action) {
+        schedule(nowMs + delayMs, action);
     }
 
     /** Runs all events up to the end time, inclusive, and advances the clock to it. */
-    void run(double end, Observer watch) {
-        while (!due.isEmpty() && due.peek().at <= end) {
-            ScheduledEvent next = due.remove();
-            now = next.at;
-            next.event.run();
-            if (++done % EVENTS_A_LOOK == 0) {
-                watch.look(now, done);
+    void runUntil(double endMs, Observer observer) {
+        while (!queue.isEmpty() && queue.peek().timeMs <= endMs) {
+            ScheduledEvent next = queue.remove();
+            nowMs = next.timeMs;
+            next.action.run();
+            if (++eventCount % EVENTS_PER_OBSERVATION == 0) {
+                observer.observe(nowMs, eventCount);
             }
         }
-        now = end;
+        nowMs = endMs;
     }
 }
--- a/src/main/java/kestreldeal/scale/fleet/UniformRange.java
+++ b/src/main/java/kestreldeal/scale/fleet/UniformRange.java
@@ -3,15 +3,15 @@
 import java.util.Random;
 
 /** Bounds of a uniform distribution, in the unit of the parameter that it belongs to. */
-record UniformRange(double least, double most) {
+record UniformRange(double min, double max) {
     /** Checks the order of the bounds. */
     UniformRange {
-        if (!(least <= most)) {
-            throw new IllegalArgumentException("the lower bound of a range is above the upper: " + least + ", " + most);
+        if (!(min <= max)) {
+            throw new IllegalArgumentException("the lower bound of a range is above the upper: " + min + ", " + max);
         }
     }
 
     double draw(Random random) {
-        return least + (most - least) * random.nextDouble();
+        return min + (max - min) * random.nextDouble();
     }
 }
--- a/src/test/java/kestreldeal/scale/FitTest.java
+++ b/src/test/java/kestreldeal/scale/FitTest.java
@@ -16,7 +16,7 @@
     }
 
     @Test
-    void eachOrderOfGrowthIsKnownByItsOwnFigures() {
+    void eachOrderOfGrowthIsRecognized() {
         assertEquals(Fit.Growth.CONSTANT, fit(n -> 7).growth());
         assertEquals(Fit.Growth.LOG_N, fit(n -> 2 + 3 * Math.log(n)).growth());
         assertEquals(Fit.Growth.LINEAR, fit(n -> 300 + 0.04 * n).growth());
@@ -26,7 +26,7 @@
     }
 
     @Test
-    void aLineHasItsBaseItsFactorAndNoResidual() {
+    void linearCostsGiveBaseFactorAndNoResidual() {
         Fit fit = fit(n -> 300 + 0.04 * n);
         assertEquals(300, fit.base(), 1e-6);
         assertEquals(0.04, fit.factor(), 1e-9);
@@ -39,28 +39,28 @@
     }
 
     @Test
-    void scatterGoesIntoTheResidualAndDoesNotChangeTheOrder() {
+    void scatterIncreasesTheResidualAndKeepsTheOrder() {
         List<Double> costs = List.of(1e3 * 1.1, 3e3 * 0.9, 1e4 * 1.1, 3e4 * 0.9, 1e5 * 1.1);
         Fit fit = Fit.of(SIZES, costs);
         assertEquals(Fit.Growth.LINEAR, fit.growth());
-        assertTrue(fit.residual() > 0.05 && fit.residual() < 0.15, fit.words());
+        assertTrue(fit.residual() > 0.05 && fit.residual() < 0.15, fit.describe());
     }
 
     @Test
-    void aBaseUnderNoughtIsLeftOut() {
+    void aNegativeBaseIsReplacedByZero() {
         Fit fit = fit(n -> n - 900);
-        assertTrue(fit.base() >= 0, fit.words());
-        assertTrue(fit.residual() > 0.01, "the exact fit has a base of -900: " + fit.words());
+        assertTrue(fit.base() >= 0, fit.describe());
+        assertTrue(fit.residual() > 0.01, "the exact fit has a base of -900: " + fit.describe());
     }
 
     @Test
-    void wordsNameTheOrderTheLawAndTheResidual() {
-        assertEquals("grows as n: 300.0 + 0.0400 x n (exponent 0.55, residual 0%)", fit(n -> 300 + 0.04 * n).words());
-        assertEquals("constant: 7.000 (exponent 0.00, residual 0%)", fit(n -> 7).words());
+    void describeHasTheOrderTheFormulaAndTheResidual() {
+        assertEquals("grows as n: 300.0 + 0.0400 x n (exponent 0.55, residual 0%)", fit(n -> 300 + 0.04 * n).describe());
+        assertEquals("constant: 7.000 (exponent 0.00, residual 0%)", fit(n -> 7).describe());
     }
 
     @Test
-    void whatCannotBeFittedIsAnError() {
+    void invalidInputIsRejected() {
         assertThrows(IllegalArgumentException.class, () -> Fit.of(List.of(1.0, 1.0), List.of(1.0, 2.0)));
         assertThrows(IllegalArgumentException.class, () -> Fit.of(List.of(1.0, 2.0), List.of(1.0, 0.0)));
         assertThrows(IllegalArgumentException.class, () -> Fit.of(List.of(1.0, 2.0), List.of(1.0)));
--- a/src/test/java/kestreldeal/scale/JarsIT.java
+++ b/src/test/java/kestreldeal/scale/JarsIT.java
@@ -19,18 +19,18 @@
     private static final Path TARGET = Path.of("target");
 
     @Test
-    void theSendersJarHasNothingOfTheScaleTests() throws Exception {
-        List<String> libraries = names(TARGET.resolve("scale-lib"));
+    void theSenderJarContainsNothingOfTheScaleTests() throws Exception {
+        List<String> libraries = fileNames(TARGET.resolve("scale-lib"));
         assertEquals(2, libraries.size(), libraries.toString());
         assertTrue(Stream.of("picocli", "HdrHistogram").allMatch(l -> libraries.stream().anyMatch(n -> n.startsWith(l))));
         try (JarFile jar = new JarFile(TARGET.resolve("kestreldeal.jar").toFile())) {
             assertTrue(jar.stream().noneMatch(entry -> entry.getName().startsWith("kestreldeal/scale")));
             assertTrue(jar.stream().anyMatch(entry -> entry.getName().equals("kestreldeal/Main.class")));
             String path = jar.getManifest().getMainAttributes().getValue("Class-Path");
-            List<String> named = Arrays.asList(path.split(" "));
-            assertTrue(named.stream().allMatch(name -> name.startsWith("lib/")), path);
-            assertTrue(libraries.stream().noneMatch(library -> named.contains("lib/" + library)), path);
-            assertEquals(names(TARGET.resolve("lib")), named.stream().map(n -> n.substring(4)).sorted().toList());
+            List<String> classPath = Arrays.asList(path.split(" "));
+            assertTrue(classPath.stream().allMatch(name -> name.startsWith("lib/")), path);
+            assertTrue(libraries.stream().noneMatch(library -> classPath.contains("lib/" + library)), path);
+            assertEquals(fileNames(TARGET.resolve("lib")), classPath.stream().map(n -> n.substring(4)).sorted().toList());
         }
         try (JarFile jar = new JarFile(TARGET.resolve("kestreldeal-scale.jar").toFile())) {
             assertTrue(jar.stream().filter(entry -> entry.getName().endsWith(".class"))
@@ -38,7 +38,7 @@
         }
     }
 
-    private static List<String> names(Path folder) {
-        return Stream.of(folder.toFile().listFiles()).map(File::getName).sorted().toList();
+    private static List<String> fileNames(Path directory) {
+        return Stream.of(directory.toFile().listFiles()).map(File::getName).sorted().toList();
     }
 }
--- a/src/test/java/kestreldeal/scale/ResultWriterTest.java
+++ b/src/test/java/kestreldeal/scale/ResultWriterTest.java
@@ -16,11 +16,11 @@
 
 class ResultWriterTest {
     @TempDir
-    private Path folder;
+    private Path directory;
 
     @Test
-    void aLineSaysWhatItTakesToRunItAgain() throws Exception {
-        Path file = folder.resolve("out.jsonl");
+    void aLineHasWhatIsNeededToRepeatTheRun() throws Exception {
+        Path file = directory.resolve("out.jsonl");
         try (ResultWriter results = ResultWriter.open(Optional.of(file), "slopes", 42, List.of(10, 100))) {
             results.writeLine("point", Map.of("turn_us", 1.5, "unit", "microseconds"));
             results.writeLine("fit", Map.of("growth", "grows as n", "jvm", List.of("-Xmx48m")));
@@ -42,8 +42,8 @@
     }
 
     @Test
-    void whatWasMeasuredIsInTheFileBeforeTheRunEnds() throws Exception {
-        Path file = folder.resolve("out.jsonl");
+    void eachLineIsInTheFileImmediately() throws Exception {
+        Path file = directory.resolve("out.jsonl");
         try (ResultWriter results = ResultWriter.open(Optional.of(file), "slopes", 1, List.of())) {
             results.writeLine("point", Map.of("size", 1));
             assertEquals(1, Files.readAllLines(file).size());
@@ -51,10 +51,10 @@
     }
 
     @Test
-    void numbersHaveThreeOrFourDigits() {
-        assertEquals("12346", ResultWriter.number(12345.6));
-        assertEquals("12.3", ResultWriter.number(12.345));
-        assertEquals("1.234", ResultWriter.number(1.2344));
-        assertEquals("-", ResultWriter.number(Double.NaN));
+    void numbersHaveLimitedPrecision() {
+        assertEquals("12346", ResultWriter.formatNumber(12345.6));
+        assertEquals("12.3", ResultWriter.formatNumber(12.345));
+        assertEquals("1.234", ResultWriter.formatNumber(1.2344));
+        assertEquals("-", ResultWriter.formatNumber(Double.NaN));
     }
 }
--- a/src/test/java/kestreldeal/scale/ScaleMainTest.java
+++ b/src/test/java/kestreldeal/scale/ScaleMainTest.java
@@ -18,13 +18,13 @@
     private static RunResult run(String... args) {
         PrintStream out = System.out;
         PrintStream err = System.err;
-        ByteArrayOutputStream said = new ByteArrayOutputStream();
-        ByteArrayOutputStream complained = new ByteArrayOutputStream();
-        System.setOut(new PrintStream(said, true, StandardCharsets.UTF_8));
-        System.setErr(new PrintStream(complained, true, StandardCharsets.UTF_8));
+        ByteArrayOutputStream capturedOut = new ByteArrayOutputStream();
+        ByteArrayOutputStream capturedErr = new ByteArrayOutputStream();
+        System.setOut(new PrintStream(capturedOut, true, StandardCharsets.UTF_8));
+        System.setErr(new PrintStream(capturedErr, true, StandardCharsets.UTF_8));
         try {
             int code = ScaleMain.run(args);
-            return new RunResult(code, said.toString(StandardCharsets.UTF_8), complained.toString(StandardCharsets.UTF_8));
+            return new RunResult(code, capturedOut.toString(StandardCharsets.UTF_8), capturedErr.toString(StandardCharsets.UTF_8));
         } finally {
             System.setOut(out);
             System.setErr(err);
@@ -45,19 +45,19 @@
         "slopes --seed later;'later' is not a long",
         "slopes --nix;--nix",
     })
-    void badArgumentsEndWithOnePlainMessage(String line, String expected) {
-        RunResult ran = run(line.isEmpty() ? new String[0] : line.split(" "));
-        assertEquals(2, ran.code());
-        assertEquals(1, ran.err().lines().count(), ran.err());
-        assertTrue(ran.err().contains(expected), ran.err());
-        assertEquals("", ran.out());
+    void invalidArgumentsGiveAOneLineMessage(String commandLine, String expected) {
+        RunResult result = run(commandLine.isEmpty() ? new String[0] : commandLine.split(" "));
+        assertEquals(2, result.code());
+        assertEquals(1, result.err().lines().count(), result.err());
+        assertTrue(result.err().contains(expected), result.err());
+        assertEquals("", result.out());
     }
 
     @Test
-    void helpNamesTheSubcommandsAndTheirOptions() {
-        RunResult all = run("--help");
-        assertEquals(0, all.code());
-        assertTrue(all.out().contains("slopes"), all.out());
+    void helpListsTheSubcommandsAndTheirOptions() {
+        RunResult tool = run("--help");
+        assertEquals(0, tool.code());
+        assertTrue(tool.out().contains("slopes"), tool.out());
         RunResult slopes = run("slopes", "--help");
         assertEquals(0, slopes.code());
         for (String option : new String[] {"--only", "--sizes", "--repeats", "--seed", "--out", "--quick"}) {
--- a/src/test/java/kestreldeal/scale/SlopesIT.java
+++ b/src/test/java/kestreldeal/scale/SlopesIT.java
@@ -24,18 +24,18 @@
     private static final Path OUT = TARGET.resolve("scale-quick.jsonl");
     private static final Path LOG = TARGET.resolve("scale-quick.log");
     /** Time limit of the whole run, far above what it needs, in case it hangs. */
-    private static final int LIMIT_S = 300;
+    private static final int TIMEOUT_SECONDS = 300;
 
     private static final List<JsonNode> LINES = new ArrayList<>();
 
     @BeforeAll
-    static void runsEachSlopeOnce() throws Exception {
+    static void runEachSlopeOnce() throws Exception {
         Process run = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-jar",
                 TARGET.resolve("kestreldeal-scale.jar").toString(), "slopes", "--quick", "--out", OUT.toString())
                 .redirectErrorStream(true).redirectOutput(LOG.toFile()).start();
-        boolean ended = run.waitFor(LIMIT_S, TimeUnit.SECONDS);
+        boolean exited = run.waitFor(TIMEOUT_SECONDS, TimeUnit.SECONDS);
         run.destroyForcibly().waitFor();
-        assertTrue(ended, "the run did not end within its time limit");
+        assertTrue(exited, "the run did not end within its time limit");
         assertEquals(0, run.exitValue(), Files.readString(LOG));
         for (String line : Files.readAllLines(OUT)) {
             LINES.add(new ObjectMapper().readTree(line));
@@ -49,10 +49,10 @@
         return points;
     }
 
-    private static double exponent(String slope, String figure) {
+    private static double exponent(String slope, String valueName) {
         return LINES.stream().filter(line -> line.get("kind").asText().equals("fit"))
                 .filter(line -> line.get("slope").asText().equals(slope))
-                .filter(line -> line.get("figure").asText().equals(figure)).findFirst().orElseThrow()
+                .filter(line -> line.get("figure").asText().equals(valueName)).findFirst().orElseThrow()
                 .get("exponent").asDouble();
     }
 
@@ -61,21 +61,21 @@
         return points.get(points.size() - 1);
     }
 
-    private static void assertBetween(double least, double most, double value) {
-        assertTrue(value >= least && value <= most, value + " is not from " + least + " to " + most);
+    private static void assertBetween(double min, double max, double value) {
+        assertTrue(value >= min && value <= max, value + " is not from " + min + " to " + max);
     }
 
     @Test
-    void everySlopeHasItsPointsAndNoneFailed() {
-        for (Slope slope : SlopesCommand.slopes()) {
-            assertEquals(slope.quick(), points(slope.name()).stream().map(p -> p.get("size").asInt()).toList());
+    void everySlopeIsMeasuredAtEachSizeWithoutFailure() {
+        for (Slope slope : SlopesCommand.allSlopes()) {
+            assertEquals(slope.quickSizes(), points(slope.name()).stream().map(p -> p.get("size").asInt()).toList());
         }
         List<JsonNode> failed = LINES.stream().filter(line -> line.has("failed")).toList();
         assertEquals(List.of(), failed);
     }
 
     @Test
-    void everyLineSaysWhatItTakesToRunItAgain() {
+    void everyLineHasWhatIsNeededToRepeatTheRun() {
         for (JsonNode line : LINES) {
             for (String field : List.of("seed", "sizes", "jvm", "java", "revision", "unit")) {
                 assertTrue(line.has(field), field + " in " + line);
@@ -86,45 +86,45 @@
     }
 
     @Test
-    void aTurnInWhichNothingCanGoWorksNoMoreForMoreThatWait() {
+    void turnCostDoesNotGrowWithWaitingMessagesThatCannotBeSent() {
         assertBetween(-0.1, 0.1, exponent("waiting", "turn_allocated_bytes"));
         assertBetween(100, 500, largest("waiting").get("bytes_each").asDouble());
     }
 
     @Test
-    void aListedEndpointCostsMemoryAndNoGarbageInATurn() {
+    void turnCostDoesNotGrowWithListedEndpoints() {
         assertBetween(-0.1, 0.1, exponent("listed", "turn_allocated_bytes"));
         assertBetween(-0.1, 0.1, exponent("listed", "change_allocated_bytes"));
         assertBetween(200, 900, largest("listed").get("bytes_each").asDouble());
     }
 
     @Test
-    void bothTogetherCostATurnAndAChangeNoMore() {
+    void turnCostDoesNotGrowWithListedEndpointsAndWaitingMessages() {
         assertBetween(-0.1, 0.1, exponent("both", "turn_allocated_bytes"));
         assertBetween(-0.1, 0.1, exponent("both", "change_allocated_bytes"));
     }
 
     @Test
-    void aTurnWorksByTheMessagesThatGoAndNotByDestinations() {
+    void turnCostGrowsWithSentMessagesAndNotWithDestinations() {
         assertBetween(0.7, 1.2, exponent("going", "turn_allocated_bytes"));
         assertBetween(-0.2, 0.2, exponent("traffic", "turn_allocated_bytes"));
     }
 
     @Test
-    void whatIsHeldIsInTheJournalAndComesBackAfterAKill() {
+    void pendingMessagesAreInTheJournalAndRestoredAfterAKill() {
         for (JsonNode point : points("journal")) {
-            long held = point.get("size").asLong();
-            assertEquals(held, point.get("held").asLong());
-            assertEquals(held, point.get("held_at_kill").asLong());
-            assertEquals(held, point.get("held_after").asLong());
-            assertBetween(250 * held, 400 * held, point.get("journal_bytes").asDouble());
+            long pending = point.get("size").asLong();
+            assertEquals(pending, point.get("held").asLong());
+            assertEquals(pending, point.get("held_at_kill").asLong());
+            assertEquals(pending, point.get("held_after").asLong());
+            assertBetween(250 * pending, 400 * pending, point.get("journal_bytes").asDouble());
             assertTrue(point.path("compactions").asLong() >= 1, "the journal was compacted");
             assertTrue(point.get("journal_at_kill_bytes").asLong() <= 1e6 * point.get("disk_mb").asDouble());
         }
     }
 
     @Test
-    void whatIsHandedInIsTakenOnAndEnds() {
+    void submittedMessagesAreAcceptedAndCompleted() {
         for (JsonNode point : points("rate")) {
             assertEquals(0, point.get("not_taken").asLong());
             assertEquals(point.get("handed_in").asLong(), point.get("taken").asLong());
@@ -133,7 +133,7 @@
     }
 
     @Test
-    void controlCostsByChangesAndNotByTheLengthOfTheList() {
+    void listUpdateTrafficGrowsWithChangesAndNotWithListLength() {
         assertBetween(0.7, 1.3, exponent("control-changes", "control_bytes_s"));
         assertBetween(-0.2, 0.2, exponent("control-list", "control_bytes_s"));
         assertBetween(0.9, 1.1, exponent("control-list", "whole_list_bytes"));
--- a/src/test/java/kestreldeal/scale/fleet/FleetSimulationTest.java
+++ b/src/test/java/kestreldeal/scale/fleet/FleetSimulationTest.java
@@ -15,75 +15,75 @@
  * of senders must stay within bounds.
  */
 class FleetSimulationTest {
-    private static Counts play(int senders, Scenario scenario, long seed) {
-        return play(senders, 15, 40, scenario, seed);
+    private static Counts simulate(int senderCount, Scenario scenario, long seed) {
+        return simulate(senderCount, 15, 40, scenario, seed);
     }
 
-    private static Counts play(int senders, int destinations, double seconds, Scenario scenario, long seed) {
-        return new FleetSimulation(new FleetSettings(senders, destinations, 4, seconds, seed, scenario, false, FleetModel.STANDARD))
-                .run((now, events) -> { });
+    private static Counts simulate(int senderCount, int destinationCount, double seconds, Scenario scenario, long seed) {
+        return new FleetSimulation(new FleetSettings(senderCount, destinationCount, 4, seconds, seed, scenario, false, FleetModel.STANDARD))
+                .run((nowMs, eventCount) -> { });
     }
 
     @ParameterizedTest
     @EnumSource(Scenario.class)
-    void everyMessageHasOneEndAndCountsStayInBounds(Scenario scenario) {
-        Counts c = play(30, scenario, 3);
-        String figures = c.figures().toString();
-        assertEquals(c.asked, c.inTime + c.late + c.refusedToClients + c.failed + c.turnedAway + c.unanswered, figures);
-        assertTrue(c.asked > 1500, figures);
-        assertEquals(0, c.callsAfterWord, figures);
-        assertTrue(c.refusedShare() < 0.1, figures);
-        assertTrue(c.copyShare() <= 0.1, figures);
-        assertTrue(c.wastedShare() < 0.1, figures);
-        assertTrue(c.changes >= 9 && c.inForceAtAllMs.getTotalCount() == c.changes, figures);
-        assertTrue(c.inForceAtAllMs.getMaxValue() <= 6000, figures);
-        assertTrue(scenario != Scenario.RESTARTS && scenario != Scenario.ZONE || c.restarts > 0, figures);
-        boolean returns = scenario == Scenario.DOWN || scenario == Scenario.RETURN;
-        assertTrue(!returns || c.outages > 0 && c.coldReturns.size() == c.outages && c.trials > 0, figures);
+    void everyMessageHasOneResultAndCountsStayInBounds(Scenario scenario) {
+        Counts counts = simulate(30, scenario, 3);
+        String values = counts.values().toString();
+        assertEquals(counts.requests, counts.deliveredInTime + counts.deliveredLate + counts.rejectedBySenders + counts.failed + counts.rejectedAtCapacity + counts.noSenderReached, values);
+        assertTrue(counts.requests > 1500, values);
+        assertEquals(0, counts.attemptsAfterDrainNotification, values);
+        assertTrue(counts.refusedCallShare() < 0.1, values);
+        assertTrue(counts.hedgingShare() <= 0.1, values);
+        assertTrue(counts.wastedShare() < 0.1, values);
+        assertTrue(counts.listChanges >= 9 && counts.fullPropagationMs.getTotalCount() == counts.listChanges, values);
+        assertTrue(counts.fullPropagationMs.getMaxValue() <= 6000, values);
+        assertTrue(scenario != Scenario.RESTARTS && scenario != Scenario.ZONE || counts.restarts > 0, values);
+        boolean hasOutages = scenario == Scenario.DOWN || scenario == Scenario.RETURN;
+        assertTrue(!hasOutages || counts.outages > 0 && counts.worstWindows.size() == counts.outages && counts.probes > 0, values);
     }
 
     @ParameterizedTest
     @EnumSource(mode = EnumSource.Mode.EXCLUDE, names = "ZONE")
-    void coldReturnsStayWithinTheirBudget(Scenario scenario) {
-        assertNoneIsOverItsBudget(scenario);
+    void recoveriesStayWithinTheirLoadBudget(Scenario scenario) {
+        assertNoRecoveryOverBudget(scenario);
     }
 
     /** Separate from the other scenarios, because it can fail where they pass. */
     @Test
-    void coldReturnsInALostZoneStayWithinTheirBudget() {
-        assertNoneIsOverItsBudget(Scenario.ZONE);
+    void recoveriesOfALostZoneStayWithinTheirLoadBudget() {
+        assertNoRecoveryOverBudget(Scenario.ZONE);
     }
 
     @ParameterizedTest
     @ValueSource(ints = {2, 10, 60, 120})
-    void soTheyDoInFleetsOfEverySize(int senders) {
+    void recoveriesStayWithinTheirLoadBudgetInFleetsOfAllSizes(int senders) {
         for (Scenario scenario : List.of(Scenario.DOWN, Scenario.RETURN, Scenario.ZONE)) {
             for (long seed = 1; seed <= 2; seed++) {
-                Counts c = play(senders, scenario, seed);
-                assertTrue(!c.coldReturns.isEmpty(), scenario + ", seed " + seed);
-                assertEquals(0, c.overBudget(), scenario + ", seed " + seed + ": " + c.figures());
+                Counts counts = simulate(senders, scenario, seed);
+                assertTrue(!counts.worstWindows.isEmpty(), scenario + ", seed " + seed);
+                assertEquals(0, counts.recoveriesOverBudget(), scenario + ", seed " + seed + ": " + counts.values());
             }
         }
     }
 
-    private static void assertNoneIsOverItsBudget(Scenario scenario) {
-        Counts c = play(30, scenario, 3);
-        assertEquals(0, c.overBudget(), c.figures().toString());
+    private static void assertNoRecoveryOverBudget(Scenario scenario) {
+        Counts counts = simulate(30, scenario, 3);
+        assertEquals(0, counts.recoveriesOverBudget(), counts.values().toString());
     }
 
     @Test
-    void equalSeedsGiveEqualFigures() {
-        assertEquals(play(20, Scenario.RETURN, 9).figures(), play(20, Scenario.RETURN, 9).figures());
-        assertNotEquals(play(20, Scenario.RETURN, 9).figures(), play(20, Scenario.RETURN, 10).figures());
+    void equalSeedsGiveEqualCounts() {
+        assertEquals(simulate(20, Scenario.RETURN, 9).values(), simulate(20, Scenario.RETURN, 9).values());
+        assertNotEquals(simulate(20, Scenario.RETURN, 9).values(), simulate(20, Scenario.RETURN, 10).values());
     }
 
     /** The load of a hundred senders on the same destinations must be far less than ten times that of ten senders. */
     @Test
-    void theSumGrowsSlowerThanTheSenders() {
-        Counts few = play(10, 30, 60, Scenario.RETURN, 4);
-        Counts many = play(100, 30, 60, Scenario.RETURN, 4);
-        assertTrue(few.trials > 0 && many.trials < 3 * few.trials, few.trials + " probes, then " + many.trials);
-        assertTrue(many.refused < 4 * few.refused, few.refused + " refused calls, then " + many.refused);
+    void totalLoadGrowsSlowerThanTheNumberOfSenders() {
+        Counts few = simulate(10, 30, 60, Scenario.RETURN, 4);
+        Counts many = simulate(100, 30, 60, Scenario.RETURN, 4);
+        assertTrue(few.probes > 0 && many.probes < 3 * few.probes, few.probes + " probes, then " + many.probes);
+        assertTrue(many.callsRefused < 4 * few.callsRefused, few.callsRefused + " refused calls, then " + many.callsRefused);
         assertTrue(many.connects > few.connects, "senders with less traffic each reuse fewer idle connections");
     }
 }
--- a/src/test/java/kestreldeal/scale/fleet/ForwardingRelay.java
+++ b/src/test/java/kestreldeal/scale/fleet/ForwardingRelay.java
@@ -5,128 +5,128 @@
 
 /** Forwards all events to the real decision module; tests override methods to change or drop some of them. */
 class ForwardingRelay implements Relay {
-    private final Relay real;
+    private final Relay delegate;
 
-    ForwardingRelay(Relay real) {
-        this.real = real;
+    ForwardingRelay(Relay delegate) {
+        this.delegate = delegate;
     }
 
     @Override
-    public void endpointsChanged(double now, boolean whole, List<Endpoint> entries) {
-        real.endpointsChanged(now, whole, entries);
+    public void endpointsChanged(double nowMs, boolean fullList, List<Endpoint> entries) {
+        delegate.endpointsChanged(nowMs, fullList, entries);
     }
 
     @Override
-    public void messageAccepted(double now, Message message) {
-        real.messageAccepted(now, message);
+    public void messageAccepted(double nowMs, Message message) {
+        delegate.messageAccepted(nowMs, message);
     }
 
     @Override
-    public void messageRestored(double now, Message message, List<EarlierAttempt> attempts) {
-        real.messageRestored(now, message, attempts);
+    public void messageRestored(double nowMs, Message message, List<EarlierAttempt> attempts) {
+        delegate.messageRestored(nowMs, message, attempts);
     }
 
     @Override
-    public void restoreEndpointHealth(double now, long endpoint, EndpointHealth health) {
-        real.restoreEndpointHealth(now, endpoint, health);
+    public void restoreEndpointHealth(double nowMs, long endpoint, EndpointHealth health) {
+        delegate.restoreEndpointHealth(nowMs, endpoint, health);
     }
 
     @Override
-    public LearnedState learnedState(double now) {
-        return real.learnedState(now);
+    public LearnedState learnedState(double nowMs) {
+        return delegate.learnedState(nowMs);
     }
 
     @Override
-    public void restoreLearnedState(double now, LearnedState memory) {
-        real.restoreLearnedState(now, memory);
+    public void restoreLearnedState(double nowMs, LearnedState state) {
+        delegate.restoreLearnedState(nowMs, state);
     }
 
     @Override
-    public void shutdownScheduled(double now, double end) {
-        real.shutdownScheduled(now, end);
+    public void shutdownScheduled(double nowMs, double endMs) {
+        delegate.shutdownScheduled(nowMs, endMs);
     }
 
     @Override
-    public void attemptCompleted(double now, AttemptResult end) {
-        real.attemptCompleted(now, end);
+    public void attemptCompleted(double nowMs, AttemptResult result) {
+        delegate.attemptCompleted(nowMs, result);
     }
 
     @Override
-    public void retryAfterReceived(double now, long endpoint, double waitMs) {
-        real.retryAfterReceived(now, endpoint, waitMs);
+    public void retryAfterReceived(double nowMs, long endpoint, double retryAfterMs) {
+        delegate.retryAfterReceived(nowMs, endpoint, retryAfterMs);
     }
 
     @Override
-    public boolean sendAllowed(double now, long endpoint) {
-        return real.sendAllowed(now, endpoint);
+    public boolean sendAllowed(double nowMs, long endpoint) {
+        return delegate.sendAllowed(nowMs, endpoint);
     }
 
     @Override
-    public void messageCancelled(double now, long message) {
-        real.messageCancelled(now, message);
+    public void messageCancelled(double nowMs, long message) {
+        delegate.messageCancelled(nowMs, message);
     }
 
     @Override
-    public void wake(double now) {
-        real.wake(now);
+    public void wake(double nowMs) {
+        delegate.wake(nowMs);
     }
 
     @Override
     public EndpointCounts endpointCounts() {
-        return real.endpointCounts();
+        return delegate.endpointCounts();
     }
 
     @Override
-    public void endTurn(double now) {
-        real.endTurn(now);
+    public void endTurn(double nowMs) {
+        delegate.endTurn(nowMs);
     }
 
     /** Forwards all actions of the module; tests override methods to drop or repeat some of them. */
     static class ForwardingActions implements Actions {
-        private final Actions to;
+        private final Actions delegate;
 
-        ForwardingActions(Actions to) {
-            this.to = to;
+        ForwardingActions(Actions delegate) {
+            this.delegate = delegate;
         }
 
         @Override
         public void send(long message, long endpoint, double timeoutMs) {
-            to.send(message, endpoint, timeoutMs);
+            delegate.send(message, endpoint, timeoutMs);
         }
 
         @Override
         public void cancel(long message, int attempt) {
-            to.cancel(message, attempt);
+            delegate.cancel(message, attempt);
         }
 
         @Override
         public void closeIdleConnections(long endpoint) {
-            to.closeIdleConnections(endpoint);
+            delegate.closeIdleConnections(endpoint);
         }
 
         @Override
-        public void reject(long message, double waitMs) {
-            to.reject(message, waitMs);
+        public void reject(long message, double retryAfterMs) {
+            delegate.reject(message, retryAfterMs);
         }
 
         @Override
         public void fail(long message) {
-            to.fail(message);
+            delegate.fail(message);
         }
 
         @Override
-        public void wakeAt(double time) {
-            to.wakeAt(time);
+        public void wakeAt(double timeMs) {
+            delegate.wakeAt(timeMs);
         }
 
         @Override
         public void saveEndpointHealth(long endpoint, EndpointHealth health) {
-            to.saveEndpointHealth(endpoint, health);
+            delegate.saveEndpointHealth(endpoint, health);
         }
 
         @Override
         public void log(String text) {
-            to.log(text);
+            delegate.log(text);
         }
     }
 }
--- a/src/test/java/kestreldeal/scale/fleet/InvariantCheckerTest.java
+++ b/src/test/java/kestreldeal/scale/fleet/InvariantCheckerTest.java
@@ -19,46 +19,46 @@
         return new FleetSettings(20, 12, 4, 30, 5, scenario, false, FleetModel.STANDARD);
     }
 
-    private static Counts plays(Scenario scenario) {
-        return new FleetSimulation(settings(scenario)).run((now, events) -> { });
+    private static Counts simulate(Scenario scenario) {
+        return new FleetSimulation(settings(scenario)).run((nowMs, eventCount) -> { });
     }
 
-    private static void breaks(Scenario scenario, FleetSimulation.RelayFactory doctored, String how) {
-        FleetSimulation fleet = new FleetSimulation(settings(scenario), doctored);
-        InvariantViolationException broken = assertThrows(InvariantViolationException.class, () -> fleet.run((now, events) -> { }));
-        assertTrue(broken.getMessage().matches("invariant violated at [0-9.]+ s: message [0-9]+: .*" + how + ".*"),
-                broken.getMessage());
+    private static void expectViolation(Scenario scenario, FleetSimulation.RelayFactory relayFactory, String expectedText) {
+        FleetSimulation fleet = new FleetSimulation(settings(scenario), relayFactory);
+        InvariantViolationException violation = assertThrows(InvariantViolationException.class, () -> fleet.run((nowMs, eventCount) -> { }));
+        assertTrue(violation.getMessage().matches("invariant violated at [0-9.]+ s: message [0-9]+: .*" + expectedText + ".*"),
+                violation.getMessage());
     }
 
     @Test
-    void holdsWithTheModuleAsItIs() {
-        assertTrue(plays(Scenario.RETURN).restarts > 0);
-        assertTrue(plays(Scenario.STEADY).changes > 0);
+    void theUnmodifiedModulePasses() {
+        assertTrue(simulate(Scenario.RETURN).restarts > 0);
+        assertTrue(simulate(Scenario.STEADY).listChanges > 0);
     }
 
     @Test
-    void aMessageWithoutAnAnswerIsFound() {
-        breaks(Scenario.RETURN, (s, seed, actions) -> Relay.create(s, seed, new ForwardingRelay.ForwardingActions(actions) {
+    void aMessageWithoutAResultIsDetected() {
+        expectViolation(Scenario.RETURN, (s, seed, actions) -> Relay.create(s, seed, new ForwardingRelay.ForwardingActions(actions) {
             @Override
-            public void reject(long message, double waitMs) {
+            public void reject(long message, double retryAfterMs) {
                 // Dropped, so that the message never gets a final result.
             }
         }), "no final result [0-9]+ ms after its deadline");
     }
 
     @Test
-    void anAnswerTooLateIsFound() {
-        breaks(Scenario.RETURN, (s, seed, actions) -> new ForwardingRelay(Relay.create(s, seed, actions)) {
+    void aLateResultIsDetected() {
+        expectViolation(Scenario.RETURN, (s, seed, actions) -> new ForwardingRelay(Relay.create(s, seed, actions)) {
             @Override
-            public void messageAccepted(double now, Message m) {
-                super.messageAccepted(now,
+            public void messageAccepted(double nowMs, Message m) {
+                super.messageAccepted(nowMs,
                         new Message(m.id(), m.messageClass(), m.tenant(), m.key(), m.timeLeftMs() + 60,
                         m.destination()));
             }
 
             @Override
-            public void messageRestored(double now, Message m, List<EarlierAttempt> attempts) {
-                super.messageRestored(now,
+            public void messageRestored(double nowMs, Message m, List<EarlierAttempt> attempts) {
+                super.messageRestored(nowMs,
                         new Message(m.id(), m.messageClass(), m.tenant(), m.key(), m.timeLeftMs() + 60,
                         m.destination()), attempts);
             }
@@ -66,11 +66,11 @@
     }
 
     @Test
-    void aSecondAnswerIsFound() {
-        breaks(Scenario.RETURN, (s, seed, actions) -> Relay.create(s, seed, new ForwardingRelay.ForwardingActions(actions) {
+    void aSecondResultIsDetected() {
+        expectViolation(Scenario.RETURN, (s, seed, actions) -> Relay.create(s, seed, new ForwardingRelay.ForwardingActions(actions) {
             @Override
-            public void reject(long message, double waitMs) {
-                super.reject(message, waitMs);
+            public void reject(long message, double retryAfterMs) {
+                super.reject(message, retryAfterMs);
                 super.fail(message);
             }
         }), "failed by sender [0-9]+, which does not have it");
@@ -79,75 +79,75 @@
     /** Reports outcomes after which a message of one class may have run as outcomes after which it can't have. */
     private static final class PossibleRunHidingRelay extends ForwardingRelay {
         private final int messageClass;
-        private final Set<Long> ofClass = new HashSet<>();
+        private final Set<Long> messagesOfClass = new HashSet<>();
 
-        PossibleRunHidingRelay(Relay real, int messageClass) {
-            super(real);
+        PossibleRunHidingRelay(Relay delegate, int messageClass) {
+            super(delegate);
             this.messageClass = messageClass;
         }
 
         @Override
-        public void messageAccepted(double now, Message message) {
+        public void messageAccepted(double nowMs, Message message) {
             if (message.messageClass() == messageClass) {
-                ofClass.add(message.id());
+                messagesOfClass.add(message.id());
             }
-            super.messageAccepted(now, message);
+            super.messageAccepted(nowMs, message);
         }
 
         @Override
-        public void attemptCompleted(double now, AttemptResult e) {
-            boolean lie = ofClass.contains(e.message()) && e.outcome().mayHaveRun() && !e.messageFinished();
-            super.attemptCompleted(now, lie
-                    ? new AttemptResult(e.message(), e.attempt(), Outcome.UNREACHABLE, e.durationMs(),
-                    false, 0, e.report()) : e);
+        public void attemptCompleted(double nowMs, AttemptResult result) {
+            boolean hidden = messagesOfClass.contains(result.message()) && result.outcome().mayHaveRun() && !result.messageFinished();
+            super.attemptCompleted(nowMs, hidden
+                    ? new AttemptResult(result.message(), result.attempt(), Outcome.UNREACHABLE, result.durationMs(),
+                    false, 0, result.report()) : result);
         }
     }
 
     @Test
-    void aSecondRunOfWhatMustNotRunTwiceIsFound() {
-        breaks(Scenario.RETURN, (s, seed, actions) -> new PossibleRunHidingRelay(Relay.create(s, seed, actions), FleetModel.UNSAFE),
+    void aSecondRunOfAnUnsafeMessageIsDetected() {
+        expectViolation(Scenario.RETURN, (s, seed, actions) -> new PossibleRunHidingRelay(Relay.create(s, seed, actions), FleetModel.UNSAFE_CLASS),
                 "must not run twice and may have run");
     }
 
     @Test
-    void aRepeatOutOfItsWindowIsFound() {
-        breaks(Scenario.RETURN, (s, seed, actions) -> new PossibleRunHidingRelay(Relay.create(s, seed, actions), FleetModel.KEYED),
+    void aRepeatOutsideItsWindowIsDetected() {
+        expectViolation(Scenario.RETURN, (s, seed, actions) -> new PossibleRunHidingRelay(Relay.create(s, seed, actions), FleetModel.KEYED_CLASS),
                 "sent [0-9]+ ms after it may have run, outside its window");
     }
 
     @Test
-    void aSendAfterWordOfADrainIsFound() {
-        breaks(Scenario.STEADY, (s, seed, actions) -> new ForwardingRelay(Relay.create(s, seed, actions)) {
+    void aCallAfterADrainNotificationIsDetected() {
+        expectViolation(Scenario.STEADY, (s, seed, actions) -> new ForwardingRelay(Relay.create(s, seed, actions)) {
             @Override
-            public void endpointsChanged(double now, boolean whole, List<Endpoint> entries) {
-                super.endpointsChanged(now, whole, entries.stream().filter(Endpoint::serving).toList());
+            public void endpointsChanged(double nowMs, boolean fullList, List<Endpoint> entries) {
+                super.endpointsChanged(nowMs, fullList, entries.stream().filter(Endpoint::serving).toList());
             }
         }, "after the notification that it drains or is removed");
     }
 
     @Test
-    void aSendWithinAToldWaitIsFound() {
-        breaks(Scenario.RETURN, (s, seed, actions) -> new ForwardingRelay(Relay.create(s, seed, actions)) {
+    void aCallWithinARetryAfterWaitIsDetected() {
+        expectViolation(Scenario.RETURN, (s, seed, actions) -> new ForwardingRelay(Relay.create(s, seed, actions)) {
             @Override
-            public void attemptCompleted(double now, AttemptResult e) {
-                super.attemptCompleted(now, new AttemptResult(e.message(), e.attempt(), e.outcome(), e.durationMs(),
-                        e.messageFinished(), 0, e.report()));
+            public void attemptCompleted(double nowMs, AttemptResult result) {
+                super.attemptCompleted(nowMs, new AttemptResult(result.message(), result.attempt(), result.outcome(), result.durationMs(),
+                        result.messageFinished(), 0, result.report()));
             }
         }, "before a Retry-After wait ends");
     }
 
     /** Each sender assumes that it is the only one, and that the load budget of a recovery is far higher than it is. */
     @Test
-    void tooManyCallsInAColdReturnAreSeenAndPushOver() {
-        FleetSimulation.RelayFactory alone = (s, seed, actions) -> Relay.create(new Relay.Settings(s.classes(), s.kinds(),
-                s.ratesListed(), s.valueDecay(), s.zoneFees(), 1, s.slots(), s.maxAttempts(), s.hedging(),
-                s.cancellation(),
-                s.keyCoolDownMs(), s.keepAliveMs(), new Relay.SlowStart(1, 12_000, 50, 3000)), seed, actions);
-        FleetSettings stands = new FleetSettings(60, 12, 8, 30, 5, Scenario.RETURN, false, FleetModel.STANDARD);
-        FleetSettings falls = new FleetSettings(60, 12, 8, 30, 5, Scenario.RETURN, true, FleetModel.STANDARD);
-        Counts seen = new FleetSimulation(stands, alone).run((now, events) -> { });
-        assertTrue(seen.overBudget() > 0 && seen.worstWindow().ratio() > 1, seen.figures().toString());
-        assertEquals(0, seen.falls);
-        assertTrue(new FleetSimulation(falls, alone).run((now, events) -> { }).falls > 0);
+    void tooManyCallsInARecoveryAreCountedAndCauseACollapse() {
+        FleetSimulation.RelayFactory overloadingFactory = (settings, seed, actions) -> Relay.create(new Relay.Settings(settings.classes(), settings.kinds(),
+                settings.ratesListed(), settings.valueDecay(), settings.zoneFees(), 1, settings.slots(), settings.maxAttempts(), settings.hedging(),
+                settings.cancellation(),
+                settings.keyCoolDownMs(), settings.keepAliveMs(), new Relay.SlowStart(1, 12_000, 50, 3000)), seed, actions);
+        FleetSettings withoutCollapse = new FleetSettings(60, 12, 8, 30, 5, Scenario.RETURN, false, FleetModel.STANDARD);
+        FleetSettings withCollapse = new FleetSettings(60, 12, 8, 30, 5, Scenario.RETURN, true, FleetModel.STANDARD);
+        Counts counts = new FleetSimulation(withoutCollapse, overloadingFactory).run((nowMs, eventCount) -> { });
+        assertTrue(counts.recoveriesOverBudget() > 0 && counts.worstWindow().ratio() > 1, counts.values().toString());
+        assertEquals(0, counts.collapses);
+        assertTrue(new FleetSimulation(withCollapse, overloadingFactory).run((nowMs, eventCount) -> { }).collapses > 0);
     }
 }
