--- a/src/main/java/kestreldeal/scale/Fit.java
+++ b/src/main/java/kestreldeal/scale/Fit.java
@@ -12,10 +12,10 @@
  * size alone would decide.
  *
  * @param growth the order of growth that fits best
- * @param fitExponent slope of log cost over log size
+ * @param exponent slope of log cost over log size
  * @param base constant term of the fitted function, at least 0
  * @param factor coefficient of the growth function
- * @param rmsRelativeError root mean square of the relative errors of the fitted function
+ * @param residual root mean square of the relative errors of the fitted function
  */
 record Fit(Growth growth, double exponent, double base, double factor, double residual) {
     /** Up to this absolute value of the exponent a cost counts as independent of the size. */
@@ -75,13 +75,15 @@
         List<Fit> candidates = Stream.of(Growth.LOG_N, Growth.LINEAR, Growth.N_LOG_N, Growth.SQUARE)
                 .map(growth -> fitOrder(growth, exponent, sizes, costs)).toList();
         double minResidual = candidates.stream().mapToDouble(Fit::residual).min().orElseThrow();
-        return candidates.stream().filter(fit -> fit.residual() <= minResidual + RESIDUAL_TOLERANCE).findFirst().orElseThrow();
+        return candidates.stream().filter(fit -> fit.residual() <= minResidual + RESIDUAL_TOLERANCE).findFirst()
+                .orElseThrow();
     }
 
     /** Describes the fit, for example {@code grows as n: 12.1 + 0.043 x n (exponent 1.02, residual 3%)}. */
     String describe() {
         String formula = growth.formula.isEmpty() ? ResultWriter.formatNumber(base)
-                : ResultWriter.formatNumber(base) + " + " + String.format(Locale.ROOT, "%.3g", factor) + " x " + growth.formula;
+                : ResultWriter.formatNumber(base) + " + " + String.format(Locale.ROOT, "%.3g", factor) + " x "
+                + growth.formula;
         // Rounded first, because a tiny negative exponent would be printed as -0.00.
         double rounded = Math.round(100 * exponent) / 100.0;
         return String.format(Locale.ROOT, "%s: %s (exponent %.2f, residual %.0f%%)", growth, formula, rounded,
--- a/src/main/java/kestreldeal/scale/LoadGenerator.java
+++ b/src/main/java/kestreldeal/scale/LoadGenerator.java
@@ -46,6 +46,7 @@
     private final Random random;
     /** A stack: the most recently used connection is reused first, so that the sender closes the surplus as idle. */
     private final Deque<Connection> idleConnections = new ArrayDeque<>();
+    /** The due times of messages that wait for a connection. */
     private final Deque<Long> overdueNanos = new ArrayDeque<>();
     private int connectionCount;
     private int connectingCount;
@@ -105,10 +106,12 @@
             String id = String.format("%016x", random.nextLong());
             DefaultFullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.POST,
                     "/" + SenderProcess.MESSAGE_CLASS, Unpooled.wrappedBuffer(currentRun.body));
-            request.headers().set("Host", "app.svc").set("X-Call-Id", id).set("X-Call-Class", SenderProcess.MESSAGE_CLASS)
+            request.headers().set("Host", "app.svc").set("X-Call-Id", id)
+                    .set("X-Call-Class", SenderProcess.MESSAGE_CLASS)
                     .set("X-Budget-Ms", SenderProcess.DEADLINE_MS)
                     .set("Idempotency-Key", String.format("%016x%016x", nextMessageNumber++, random.nextLong()))
-                    .set("X-Envelope", "dest=" + currentRun.destination.getAsInt()).set("Content-Length", currentRun.body.length);
+                    .set("X-Envelope", "dest=" + currentRun.destination.getAsInt())
+                    .set("Content-Length", currentRun.body.length);
             channel.writeAndFlush(request);
         }
 
@@ -148,8 +151,8 @@
     }
 
     /** Submits messages at a rate, and waits for the responses until at most the timeout after the last one is due. */
-    LoadResult submit(double messagesPerSecond, long messageCount, IntSupplier destination, int bodyBytes, long responseTimeoutMs)
-            throws Exception {
+    LoadResult submit(double messagesPerSecond, long messageCount, IntSupplier destination, int bodyBytes,
+            long responseTimeoutMs) throws Exception {
         Run thisRun = eventLoop.submit(() -> {
             currentRun = new Run(messagesPerSecond, messageCount, destination, bodyBytes);
             overdueNanos.clear();
@@ -157,11 +160,13 @@
         }).get();
         var ticks = eventLoop.scheduleAtFixedRate(this::addDueMessages, 0, TICK_INTERVAL_MICROS, TimeUnit.MICROSECONDS);
         try {
-            long deadlineNanos = System.nanoTime() + (long) (messageCount / messagesPerSecond * 1e9) + responseTimeoutMs * 1_000_000;
+            long deadlineNanos = System.nanoTime() + (long) (messageCount / messagesPerSecond * 1e9)
+                    + responseTimeoutMs * 1_000_000;
             while (System.nanoTime() < deadlineNanos && !eventLoop.submit(thisRun::isComplete).get()) {
                 Thread.sleep(2);
             }
-            return eventLoop.submit(() -> new LoadResult(thisRun.responseNanos, thisRun.accepted, thisRun.rejected, thisRun.disconnected,
+            return eventLoop.submit(() -> new LoadResult(thisRun.responseNanos, thisRun.accepted, thisRun.rejected,
+                    thisRun.disconnected,
                     thisRun.messageCount - thisRun.accepted - thisRun.rejected - thisRun.disconnected)).get();
         } finally {
             ticks.cancel(false);
@@ -170,7 +175,8 @@
 
     private void addDueMessages() {
         long nowNanos = System.nanoTime();
-        while (currentRun.dueCount < currentRun.messageCount && nowNanos - currentRun.startNanos >= currentRun.dueCount / currentRun.messagesPerSecond * 1e9) {
+        while (currentRun.dueCount < currentRun.messageCount
+                && nowNanos - currentRun.startNanos >= currentRun.dueCount / currentRun.messagesPerSecond * 1e9) {
             overdueNanos.add(currentRun.startNanos + (long) (currentRun.dueCount / currentRun.messagesPerSecond * 1e9));
             currentRun.dueCount++;
         }
--- a/src/main/java/kestreldeal/scale/MeasurementSetup.java
+++ b/src/main/java/kestreldeal/scale/MeasurementSetup.java
@@ -49,7 +49,8 @@
         check.add("true");
         try {
             Process process = new ProcessBuilder(check).redirectErrorStream(true).start();
-            return process.waitFor(PIN_CHECK_TIMEOUT_SECONDS, TimeUnit.SECONDS) && process.exitValue() == 0 ? pin : List.of();
+            return process.waitFor(PIN_CHECK_TIMEOUT_SECONDS, TimeUnit.SECONDS) && process.exitValue() == 0
+                    ? pin : List.of();
         } catch (IOException e) {
             return List.of();
         } catch (InterruptedException e) {
--- a/src/main/java/kestreldeal/scale/ModuleBenchmark.java
+++ b/src/main/java/kestreldeal/scale/ModuleBenchmark.java
@@ -16,8 +16,9 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Measures the decision module alone, in a JVM of its own: {@link ModuleBenchmarkProcess} starts {@code main}, which prints one JSON
- * object. Memory is the difference of the used heap after garbage collections, with and without what is measured.
+ * Measures the decision module alone, in a JVM of its own: {@link ModuleBenchmarkProcess} starts {@code main}, which
+ * prints one JSON object. Memory is the difference of the used heap after garbage collections, with and without what is
+ * measured.
  */
 final class ModuleBenchmark implements Relay.Actions {
     /** Time between turns; so short that no timer of the module expires during a whole measurement. */
@@ -28,6 +29,7 @@
     private static final double ENDPOINTS_PER_DESTINATION = 1.6;
     /** Messages sent in a turn, where the number of destinations varies. */
     private static final int MESSAGES_PER_TURN = 16;
+    /** Upper limit of the messages sent in a turn, where these vary; also the number of destinations then. */
     private static final int MAX_MESSAGES_PER_TURN = 1000;
     private static final int WARM_UP_TURNS = 500;
     private static final int MEASURED_TURNS = 1000;
@@ -43,7 +45,7 @@
     private final Random random;
     private final Relay relay;
     private final List<SentAttempt> inFlight = new ArrayList<>();
-    private long finalResults;
+    private long finalResultCount;
     private long nextMessageId;
     private double nowMs;
 
@@ -72,10 +74,11 @@
     }
 
     private static Relay.Settings settings(int slotCount) {
-        Relay.MessageClass messageClass = new Relay.MessageClass(DEADLINE_MS / 2, DEADLINE_MS, 1, 0.5, Relay.Effect.SAFE, false, 0,
-                false);
-        return new Relay.Settings(List.of(messageClass), List.of(new Relay.DestinationKind(false, 1)), true, Relay.Decay.LINEAR,
-                List.of(0.0), 100, slotCount, 4, true, true, 0, 15_000, new Relay.SlowStart(0.2, 12_000, 2, 1500));
+        Relay.MessageClass messageClass = new Relay.MessageClass(DEADLINE_MS / 2, DEADLINE_MS, 1, 0.5,
+                Relay.Effect.SAFE, false, 0, false);
+        return new Relay.Settings(List.of(messageClass), List.of(new Relay.DestinationKind(false, 1)), true,
+                Relay.Decay.LINEAR, List.of(0.0), 100, slotCount, 4, true, true, 0, 15_000,
+                new Relay.SlowStart(0.2, 12_000, 2, 1500));
     }
 
     // ---- measurements ----
@@ -134,7 +137,7 @@
     }
 
     private void requireAllWaited() {
-        if (inFlight.size() != DESTINATION_COUNT || finalResults != 0) {
+        if (inFlight.size() != DESTINATION_COUNT || finalResultCount != 0) {
             throw new IllegalStateException("not all messages waited until the end");
         }
     }
@@ -154,7 +157,8 @@
      * Measures a turn in which the given number of messages is sent, with destinations that have all had traffic. The
      * turn in which the messages complete is not part of the measured time.
      */
-    private static Map<String, Object> measureSending(int destinationCount, int messagesPerTurn, long seed, int turnsPercent) {
+    private static Map<String, Object> measureSending(int destinationCount, int messagesPerTurn, long seed,
+            int turnsPercent) {
         ModuleBenchmark benchmark = new ModuleBenchmark(4 * MAX_MESSAGES_PER_TURN, seed);
         benchmark.replaceList(destinationCount, 1);
         benchmark.deliverToAll(destinationCount);
@@ -162,10 +166,12 @@
         int[] position = {0};
         Map<String, Object> values = new LinkedHashMap<>();
         benchmark.measure("turn", turnsPercent, values, () -> {
-            LongStream.range(0, messagesPerTurn).forEach(i -> benchmark.submitTo(randomNumbers[position[0]++ % destinationCount] % destinationCount));
+            LongStream.range(0, messagesPerTurn).forEach(i ->
+                    benchmark.submitTo(randomNumbers[position[0]++ % destinationCount] % destinationCount));
             benchmark.runTurn();
             if (benchmark.inFlight.size() != messagesPerTurn) {
-                throw new IllegalStateException(benchmark.inFlight.size() + " of " + messagesPerTurn + " messages were sent");
+                throw new IllegalStateException(benchmark.inFlight.size() + " of " + messagesPerTurn
+                        + " messages were sent");
             }
             return null;
         }, benchmark::completeAll);
@@ -192,7 +198,8 @@
     // ---- events ----
 
     private Relay.Endpoint newEndpoint(int number, double endpointsPerDestination) {
-        return new Relay.Endpoint(number, (long) (number / endpointsPerDestination), 0, 0, true, 1 + random.nextInt(100), false);
+        return new Relay.Endpoint(number, (long) (number / endpointsPerDestination), 0, 0, true,
+                1 + random.nextInt(100), false);
     }
 
     private void replaceList(int endpointCount, double endpointsPerDestination) {
@@ -210,7 +217,8 @@
     }
 
     private void submitTo(long destination) {
-        relay.messageAccepted(nowMs, new Relay.Message(nextMessageId++, 0, 0, Optional.empty(), DEADLINE_MS, destination));
+        relay.messageAccepted(nowMs, new Relay.Message(nextMessageId++, 0, 0, Optional.empty(), DEADLINE_MS,
+                destination));
     }
 
     private Void runTurn() {
@@ -225,8 +233,8 @@
         inFlight.clear();
         for (SentAttempt attempt : completed) {
             relay.attemptCompleted(nowMs,
-                    new Relay.AttemptResult(attempt.message(), attempt.attempt(), Relay.Outcome.DELIVERED, TURN_INTERVAL_MS,
-                    true, 0, Relay.LoadReport.NONE));
+                    new Relay.AttemptResult(attempt.message(), attempt.attempt(), Relay.Outcome.DELIVERED,
+                    TURN_INTERVAL_MS, true, 0, Relay.LoadReport.NONE));
         }
         runTurn();
     }
@@ -243,7 +251,8 @@
      *
      * @param afterTurn runs after each turn, and is not measured
      */
-    private void measure(String name, int turnsPercent, Map<String, Object> values, Supplier<Void> turn, Runnable afterTurn) {
+    private void measure(String name, int turnsPercent, Map<String, Object> values, Supplier<Void> turn,
+            Runnable afterTurn) {
         repeat(WARM_UP_TURNS * turnsPercent / 100, WARM_UP_NANOS * turnsPercent / 100, () -> {
             turn.get();
             afterTurn.run();
@@ -305,12 +314,12 @@
 
     @Override
     public void reject(long message, double retryAfterMs) {
-        finalResults++;
+        finalResultCount++;
     }
 
     @Override
     public void fail(long message) {
-        finalResults++;
+        finalResultCount++;
     }
 
     @Override
--- a/src/main/java/kestreldeal/scale/ModuleBenchmarkProcess.java
+++ b/src/main/java/kestreldeal/scale/ModuleBenchmarkProcess.java
@@ -46,7 +46,8 @@
     }
 
     private static void runProcess(List<String> command, Path outputFile, Path errorFile) throws Exception {
-        Process process = new ProcessBuilder(command).redirectOutput(outputFile.toFile()).redirectError(errorFile.toFile()).start();
+        Process process = new ProcessBuilder(command).redirectOutput(outputFile.toFile())
+                .redirectError(errorFile.toFile()).start();
         try {
             if (!process.waitFor(TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
                 throw new Slope.MeasurementFailedException("not finished within " + TIMEOUT_SECONDS + " s");
--- a/src/main/java/kestreldeal/scale/ModuleSlopes.java
+++ b/src/main/java/kestreldeal/scale/ModuleSlopes.java
@@ -36,6 +36,7 @@
 
     private static Slope slope(String name, String sizeMeaning, List<Integer> sizes, List<Integer> quickSizes,
             List<String> fittedValues) {
-        return new Slope(name, sizeMeaning, sizes, quickSizes, fittedValues, (setup, size, seed) -> ModuleBenchmarkProcess.measure(setup, name, size, seed));
+        return new Slope(name, sizeMeaning, sizes, quickSizes, fittedValues,
+                (setup, size, seed) -> ModuleBenchmarkProcess.measure(setup, name, size, seed));
     }
 }
--- a/src/main/java/kestreldeal/scale/ResultWriter.java
+++ b/src/main/java/kestreldeal/scale/ResultWriter.java
@@ -89,7 +89,8 @@
         for (List<String> row : cells) {
             StringBuilder text = new StringBuilder();
             for (int column = 0; column < row.size(); column++) {
-                text.append("  ").append(pad(row.get(column), columnWidth(cells, column), isNumberColumn(cells, column)));
+                text.append("  ").append(pad(row.get(column), columnWidth(cells, column),
+                        isNumberColumn(cells, column)));
             }
             terminal.println(text.toString().stripTrailing());
         }
--- a/src/main/java/kestreldeal/scale/ScaleMain.java
+++ b/src/main/java/kestreldeal/scale/ScaleMain.java
@@ -38,7 +38,7 @@
     /** Reports an error, because a subcommand is required. */
     @Override
     public Integer call() {
-        throw new CommandLine.ParameterException(new CommandLine(this), "missing subcommand: --help lists the "
-                + "subcommands");
+        throw new CommandLine.ParameterException(new CommandLine(this), "missing subcommand; "
+                + "use --help to list the subcommands");
     }
 }
--- a/src/main/java/kestreldeal/scale/SenderProcess.java
+++ b/src/main/java/kestreldeal/scale/SenderProcess.java
@@ -90,16 +90,17 @@
         command.addAll(List.of("-jar", MeasurementSetup.JAR.toString(), "serve", "--alone"));
         ProcessBuilder builder = new ProcessBuilder(command).redirectErrorStream(true)
                 .redirectOutput(ProcessBuilder.Redirect.appendTo(directory.resolve("log").toFile()));
-        builder.environment().putAll(Map.of("GW_NAME", "scale", "GW_CONFIG", directory.resolve("config.json").toString(),
-                "GW_STATE", directory.resolve("state").toString(), "GW_LISTEN", "127.0.0.1:" + clientPort,
-                "GW_OPS", "127.0.0.1:" + operatorPort));
+        builder.environment().putAll(Map.of("GW_NAME", "scale",
+                "GW_CONFIG", directory.resolve("config.json").toString(),
+                "GW_STATE", directory.resolve("state").toString(),
+                "GW_LISTEN", "127.0.0.1:" + clientPort, "GW_OPS", "127.0.0.1:" + operatorPort));
         process = builder.start();
     }
 
     /**
      * Waits until the health check reports that the sender is ready; returns the time that took, in milliseconds.
      *
-     * @throws Slope.Failed if the process exits before, or is not ready in time
+     * @throws Slope.MeasurementFailedException if the process exits before, or is not ready in time
      */
     double awaitReady(long timeoutMs) throws Exception {
         return await(timeoutMs, "not ready", () -> query(clientPort, "GET /healthz HTTP/1.1\r\nHost: app.svc\r\n"
@@ -128,11 +129,12 @@
                 // Polled again until the time limit.
             }
             if (!process.isAlive()) {
-                throw new Slope.MeasurementFailedException(failureText + ": the process exited with code " + process.exitValue() + ", "
-                        + lastLogLine());
+                throw new Slope.MeasurementFailedException(failureText + ": the process exited with code "
+                        + process.exitValue() + ", " + lastLogLine());
             }
             if (System.nanoTime() - startNanos > timeoutMs * 1_000_000) {
-                throw new Slope.MeasurementFailedException(failureText + " after " + timeoutMs + " ms, " + lastLogLine());
+                throw new Slope.MeasurementFailedException(failureText + " after " + timeoutMs + " ms, "
+                        + lastLogLine());
             }
             Thread.sleep(POLL_INTERVAL_MS);
         }
--- a/src/main/java/kestreldeal/scale/SenderSlopes.java
+++ b/src/main/java/kestreldeal/scale/SenderSlopes.java
@@ -47,7 +47,8 @@
                         List.of("journal_bytes", "compaction_stall_ms", "ready_ms"), SenderSlopes::measureJournal),
                 new Slope("rate", "messages a second, 100 endpoints listed, 50 destinations",
                         List.of(10, 30, 100, 300, 1000), List.of(20, 200),
-                        List.of("core_share", "message_us", "answer_p50_us", "answer_p99_us"), SenderSlopes::measureRate),
+                        List.of("core_share", "message_us", "answer_p50_us", "answer_p99_us"),
+                        SenderSlopes::measureRate),
                 new Slope("control-changes", "changes a second, 1,000 endpoints listed",
                         List.of(1, 3, 10, 30, 100), List.of(5, 50), List.of("control_bytes_s"),
                         (setup, size, seed) -> measureListUpdates(setup, 1000, size, seed)),
@@ -63,8 +64,10 @@
      * Sends a new full list to a running sender whose list has two entries. The list counts as applied when the
      * sender's metric of listed endpoints shows its size.
      */
-    private static Map<String, Object> measureFullList(MeasurementSetup setup, int endpointCount, long seed) throws Exception {
-        try (StubEnvironment environment = new StubEnvironment(ENDPOINT_DELAY_MS); SenderProcess sender = startSender(setup, environment, 2, MAX_DISK_MB)) {
+    private static Map<String, Object> measureFullList(MeasurementSetup setup, int endpointCount, long seed)
+            throws Exception {
+        try (StubEnvironment environment = new StubEnvironment(ENDPOINT_DELAY_MS);
+                SenderProcess sender = startSender(setup, environment, 2, MAX_DISK_MB)) {
             Map<String, Object> values = commonValues(setup);
             values.put("peak_before_mb", sender.peakMemoryMb());
             double cpuMsBefore = sender.cpuMs();
@@ -81,7 +84,8 @@
         }
     }
 
-    private static SenderProcess startSender(MeasurementSetup setup, StubEnvironment environment, int endpointCount, double diskMb) throws Exception {
+    private static SenderProcess startSender(MeasurementSetup setup, StubEnvironment environment, int endpointCount,
+            double diskMb) throws Exception {
         environment.replaceList(endpointCount);
         SenderProcess sender = new SenderProcess(setup, environment, diskMb);
         try {
@@ -110,20 +114,22 @@
      * time in the round in which that happens. Finally kills the sender, restarts it, and checks that all pending
      * messages are restored.
      */
-    private static Map<String, Object> measureJournal(MeasurementSetup setup, int messageCount, long seed) throws Exception {
+    private static Map<String, Object> measureJournal(MeasurementSetup setup, int messageCount, long seed)
+            throws Exception {
         Map<String, Object> values = commonValues(setup);
         double diskMb = Math.min(MAX_DISK_MB, (DISK_BYTES_PER_MESSAGE * messageCount + DISK_BYTES_BASE) / 1e6);
         values.put("disk_mb", diskMb);
-        try (StubEnvironment environment = new StubEnvironment(ENDPOINT_DELAY_MS); SenderProcess sender = startSender(setup, environment, LISTED_ENDPOINTS, diskMb);
+        try (StubEnvironment environment = new StubEnvironment(ENDPOINT_DELAY_MS);
+                SenderProcess sender = startSender(setup, environment, LISTED_ENDPOINTS, diskMb);
                 LoadGenerator client = new LoadGenerator(sender.clientAddress(), seed)) {
-            LoadGenerator.LoadResult result = client.submit(FILL_MESSAGES_PER_SECOND, messageCount, () -> StubEnvironment.DRAINING_DESTINATION, LoadGenerator.DEFAULT_BODY_BYTES,
-                    RESPONSE_TIMEOUT_MS);
+            LoadGenerator.LoadResult result = client.submit(FILL_MESSAGES_PER_SECOND, messageCount,
+                    () -> StubEnvironment.DRAINING_DESTINATION, LoadGenerator.DEFAULT_BODY_BYTES, RESPONSE_TIMEOUT_MS);
             values.put("held", result.accepted());
             if (result.accepted() != messageCount) {
-                throw new Slope.MeasurementFailedException("only " + result.accepted() + " of " + messageCount + " messages were accepted, "
-                        + result.rejected() + " rejected, " + result.disconnected() + " lost with their connection, "
-                        + result.unanswered() + " without a response; the journal has " + Files.size(sender.journalFile())
-                        + " bytes");
+                throw new Slope.MeasurementFailedException("only " + result.accepted() + " of " + messageCount
+                        + " messages were accepted, " + result.rejected() + " rejected, " + result.disconnected()
+                        + " lost with their connection, " + result.unanswered()
+                        + " without a response; the journal has " + Files.size(sender.journalFile()) + " bytes");
             }
             values.put("journal_bytes", Files.size(sender.journalFile()));
             submitUntilCompaction(sender, client, seed, values);
@@ -139,16 +145,17 @@
             values.put("held_after", sender.metric("edge_gw_pending"));
             values.put("peak_ready_mb", sender.peakMemoryMb());
             if (sender.metric("edge_gw_pending") != messageCount) {
-                throw new Slope.MeasurementFailedException("after the kill " + sender.metric("edge_gw_pending") + " of " + messageCount
-                        + " messages are pending, and there were " + values.get("held_at_kill") + " before it");
+                throw new Slope.MeasurementFailedException("after the kill " + sender.metric("edge_gw_pending")
+                        + " of " + messageCount + " messages are pending, and there were "
+                        + values.get("held_at_kill") + " before it");
             }
         }
         return values;
     }
 
     /** Submits messages that are delivered, which grows the journal until a compaction drops completed messages. */
-    private static void submitUntilCompaction(SenderProcess sender, LoadGenerator client, long seed, Map<String, Object> values)
-            throws Exception {
+    private static void submitUntilCompaction(SenderProcess sender, LoadGenerator client, long seed,
+            Map<String, Object> values) throws Exception {
         AtomicBoolean stop = new AtomicBoolean();
         AtomicLong compactions = new AtomicLong();
         Thread watcher = new Thread(() -> countCompactions(sender, stop, compactions), "journal watch");
@@ -159,7 +166,8 @@
             for (int round = 0; round < MAX_CHURN_ROUNDS; round++) {
                 long compactionsBefore = compactions.get();
                 LoadGenerator.LoadResult result = client.submit(CHURN_MESSAGES_PER_SECOND, CHURN_MESSAGES_PER_ROUND,
-                        () -> random.nextInt(StubEnvironment.DESTINATION_COUNT - 1), CHURN_BODY_BYTES, RESPONSE_TIMEOUT_MS);
+                        () -> random.nextInt(StubEnvironment.DESTINATION_COUNT - 1), CHURN_BODY_BYTES,
+                        RESPONSE_TIMEOUT_MS);
                 if (result.accepted() != CHURN_MESSAGES_PER_ROUND) {
                     values.put("churn_failed", result.rejected() + " rejected, " + result.disconnected()
                             + " lost with their connection");
@@ -201,18 +209,23 @@
 
     // ---- messages ----
 
-    private static Map<String, Object> measureRate(MeasurementSetup setup, int messagesPerSecond, long seed) throws Exception {
+    private static Map<String, Object> measureRate(MeasurementSetup setup, int messagesPerSecond, long seed)
+            throws Exception {
         Map<String, Object> values = commonValues(setup);
-        try (StubEnvironment environment = new StubEnvironment(ENDPOINT_DELAY_MS); SenderProcess sender = startSender(setup, environment, LISTED_ENDPOINTS, MAX_DISK_MB);
+        try (StubEnvironment environment = new StubEnvironment(ENDPOINT_DELAY_MS);
+                SenderProcess sender = startSender(setup, environment, LISTED_ENDPOINTS, MAX_DISK_MB);
                 LoadGenerator client = new LoadGenerator(sender.clientAddress(), seed)) {
             Random random = new Random(seed);
             double seconds = setup.quick() ? QUICK_SECONDS : MEASURE_SECONDS;
-            client.submit(messagesPerSecond, (long) (messagesPerSecond * (setup.quick() ? QUICK_SECONDS : WARM_UP_SECONDS)),
-                    () -> random.nextInt(StubEnvironment.DESTINATION_COUNT - 1), LoadGenerator.DEFAULT_BODY_BYTES, RESPONSE_TIMEOUT_MS);
+            client.submit(messagesPerSecond,
+                    (long) (messagesPerSecond * (setup.quick() ? QUICK_SECONDS : WARM_UP_SECONDS)),
+                    () -> random.nextInt(StubEnvironment.DESTINATION_COUNT - 1), LoadGenerator.DEFAULT_BODY_BYTES,
+                    RESPONSE_TIMEOUT_MS);
             double cpuMsBefore = sender.cpuMs();
             long startNanos = System.nanoTime();
             LoadGenerator.LoadResult result = client.submit(messagesPerSecond, (long) (messagesPerSecond * seconds),
-                    () -> random.nextInt(StubEnvironment.DESTINATION_COUNT - 1), LoadGenerator.DEFAULT_BODY_BYTES, RESPONSE_TIMEOUT_MS);
+                    () -> random.nextInt(StubEnvironment.DESTINATION_COUNT - 1), LoadGenerator.DEFAULT_BODY_BYTES,
+                    RESPONSE_TIMEOUT_MS);
             double cpuMs = sender.cpuMs() - cpuMsBefore;
             double elapsedMs = (System.nanoTime() - startNanos) / 1e6;
             values.put("handed_in", (long) (messagesPerSecond * seconds));
@@ -235,9 +248,11 @@
     // ---- list updates ----
 
     /** Counts the bytes on the agent's connections in both directions, after the full list has been sent. */
-    private static Map<String, Object> measureListUpdates(MeasurementSetup setup, int endpointCount, int changesPerSecond, long seed) throws Exception {
+    private static Map<String, Object> measureListUpdates(MeasurementSetup setup, int endpointCount,
+            int changesPerSecond, long seed) throws Exception {
         Map<String, Object> values = commonValues(setup);
-        try (StubEnvironment environment = new StubEnvironment(ENDPOINT_DELAY_MS); SenderProcess sender = startSender(setup, environment, endpointCount, MAX_DISK_MB)) {
+        try (StubEnvironment environment = new StubEnvironment(ENDPOINT_DELAY_MS);
+                SenderProcess sender = startSender(setup, environment, endpointCount, MAX_DISK_MB)) {
             values.put("whole_list_bytes", environment.agentBytes.get());
             Random random = new Random(seed);
             double cpuMsBefore = sender.cpuMs();
--- a/src/main/java/kestreldeal/scale/Slope.java
+++ b/src/main/java/kestreldeal/scale/Slope.java
@@ -13,14 +13,14 @@
  * @param fittedValues names of the measured values to fit; each name ends with its unit
  * @param measurement measures all values at one size
  */
-record Slope(String name, String sizeMeaning, List<Integer> defaultSizes, List<Integer> quickSizes, List<String> fittedValues,
-             Measurement measurement) {
+record Slope(String name, String sizeMeaning, List<Integer> defaultSizes, List<Integer> quickSizes,
+             List<String> fittedValues, Measurement measurement) {
     interface Measurement {
         /**
          * Measures once at one size.
          *
          * @return values by name, including values that are reported only and not fitted
-         * @throws Failed if nothing could be measured at this size, with the reason
+         * @throws MeasurementFailedException if nothing could be measured at this size, with the reason
          * @throws Exception if the tool itself fails
          */
         Map<String, Object> measure(MeasurementSetup setup, int size, long seed) throws Exception;
--- a/src/main/java/kestreldeal/scale/SlopesCommand.java
+++ b/src/main/java/kestreldeal/scale/SlopesCommand.java
@@ -114,14 +114,16 @@
         if (!Files.isReadable(MeasurementSetup.JAR)) {
             failUsage("no " + MeasurementSetup.JAR + " here: run this from the root of a checkout after the build");
         }
-        return allSlopes().stream().filter(slope -> selectedNames.isEmpty() || selectedNames.contains(slope.name())).toList();
+        return allSlopes().stream().filter(slope -> selectedNames.isEmpty() || selectedNames.contains(slope.name()))
+                .toList();
     }
 
     private void failUsage(String message) {
         throw new ParameterException(spec.commandLine(), message);
     }
 
-    private void measureSlope(Slope slope, MeasurementSetup setup, ResultWriter results, long deadlineNanos) throws Exception {
+    private void measureSlope(Slope slope, MeasurementSetup setup, ResultWriter results, long deadlineNanos)
+            throws Exception {
         List<Integer> sizesToRun = !sizes.isEmpty() ? sizes : quick ? slope.quickSizes() : slope.defaultSizes();
         Map<String, Series> series = new LinkedHashMap<>();
         Object jvm = setup.jvmOptions();
@@ -142,7 +144,8 @@
         reportSlope(slope, sizesToRun, series, jvm, results);
     }
 
-    private Map<String, Object> measureOnce(Slope slope, MeasurementSetup setup, int size, int repeat, long deadlineNanos) throws Exception {
+    private Map<String, Object> measureOnce(Slope slope, MeasurementSetup setup, int size, int repeat,
+            long deadlineNanos) throws Exception {
         Map<String, Object> line = new LinkedHashMap<>();
         line.put("slope", slope.name());
         line.put("size", size);
@@ -182,8 +185,7 @@
     }
 
     private static void reportSlope(Slope slope, List<Integer> measuredSizes, Map<String, Series> series, Object jvm,
-            ResultWriter results)
-            throws Exception {
+            ResultWriter results) throws Exception {
         List<List<Object>> rows = new ArrayList<>();
         for (int size : measuredSizes) {
             List<Object> row = new ArrayList<>(List.of(size));
--- a/src/main/java/kestreldeal/scale/StubEnvironment.java
+++ b/src/main/java/kestreldeal/scale/StubEnvironment.java
@@ -52,7 +52,7 @@
     final AtomicLong delivered = new AtomicLong();
     final AtomicLong notices = new AtomicLong();
 
-    /** Guarded by this object: both loops may serve the agent's connections. */
+    /** The changes since the full list. Guarded by this object: both event loops can serve agent connections. */
     private final TreeMap<Long, String> changesByGeneration = new TreeMap<>();
     private final List<Watch> pendingWatches = new ArrayList<>();
     private List<String> listEntries = List.of();
@@ -135,7 +135,8 @@
     /** Responds with the full list if the requester's generation is older than it, else with the changes since. */
     private void respondWithUpdate(ChannelHandlerContext ctx, long afterGeneration) {
         boolean fullList = afterGeneration < fullListGeneration;
-        List<String> entries = fullList ? listEntries : new ArrayList<>(changesByGeneration.tailMap(afterGeneration, false).values());
+        List<String> entries = fullList ? listEntries
+                : new ArrayList<>(changesByGeneration.tailMap(afterGeneration, false).values());
         respond(ctx, HttpResponseStatus.OK, "{\"generation\":" + generation + ",\"reset\":" + fullList
                 + ",\"instances\":[" + String.join(",", entries) + "]}");
     }
--- a/src/main/java/kestreldeal/scale/fleet/Counts.java
+++ b/src/main/java/kestreldeal/scale/fleet/Counts.java
@@ -27,6 +27,7 @@
     /** Calls written by senders, and those that reached an endpoint that accepts connections. */
     long callsWritten;
     long callsReceived;
+    /** Connections that senders tried to open. */
     long connects;
     /** Calls refused by endpoints, and those of them that were refused by a rate limit. */
     long callsRefused;
@@ -69,7 +70,7 @@
 
     void recoveryEnded(DestinationRecovery recovery) {
         worstWindows.add(recovery.worstWindow());
-        recoveriesOverBudgetByInformedSenders += recovery.isBudgetBrokenByInformed() ? 1 : 0;
+        recoveriesOverBudgetByInformedSenders += recovery.isOverBudgetByInformedSenders() ? 1 : 0;
     }
 
     /** The window with the highest ratio of calls to its budget, or {@link DestinationRecovery.LoadWindow#NONE}. */
--- a/src/main/java/kestreldeal/scale/fleet/DestinationRecovery.java
+++ b/src/main/java/kestreldeal/scale/fleet/DestinationRecovery.java
@@ -20,7 +20,7 @@
     private final Deque<Arrival> recentArrivals = new ArrayDeque<>();
     private double worstRatio;
     private LoadWindow worstWindow = LoadWindow.NONE;
-    private boolean budgetBrokenByInformed;
+    private boolean overBudgetByInformedSenders;
 
     private record Arrival(double timeMs, boolean informed, Relay.EndpointState assumedState) {
     }
@@ -36,7 +36,8 @@
      * @param probes calls from senders that assumed that it was in an outage, which are probe attempts
      * @param outageState kind of outage before the recovery
      */
-    record LoadWindow(double endMs, int calls, double maxCalls, int informedCalls, int assumedUpCalls, int probes, SimulatedEndpoint.State outageState) {
+    record LoadWindow(double endMs, int calls, double maxCalls, int informedCalls, int assumedUpCalls, int probes,
+            SimulatedEndpoint.State outageState) {
         static final LoadWindow NONE = new LoadWindow(0, 0, 0, 0, 0, 0, SimulatedEndpoint.State.SERVING);
 
         double ratio() {
@@ -49,7 +50,8 @@
         }
     }
 
-    DestinationRecovery(double capacityPerMs, Relay.SlowStart slowStart, double startMs, SimulatedEndpoint.State outageState) {
+    DestinationRecovery(double capacityPerMs, Relay.SlowStart slowStart, double startMs,
+            SimulatedEndpoint.State outageState) {
         this.capacityPerMs = capacityPerMs;
         this.slowStart = slowStart;
         this.startMs = startMs;
@@ -75,7 +77,7 @@
         LoadWindow window = new LoadWindow(nowMs, recentArrivals.size(), maxCalls(nowMs), count(Arrival::informed),
                 count(call -> call.assumedState == Relay.EndpointState.UP),
                 count(call -> call.assumedState == Relay.EndpointState.DOWN), outageState);
-        budgetBrokenByInformed |= window.ratio() > 1 && window.isMostlyInformed();
+        overBudgetByInformedSenders |= window.ratio() > 1 && window.isMostlyInformed();
         if (window.ratio() > worstRatio) {
             worstRatio = window.ratio();
             worstWindow = window;
@@ -99,11 +101,13 @@
     }
 
     /** Whether a window exceeded its budget mostly by calls of senders that had learned of the outage. */
-    boolean isBudgetBrokenByInformed() {
-        return budgetBrokenByInformed;
+    boolean isOverBudgetByInformedSenders() {
+        return overBudgetByInformedSenders;
     }
 
-    /** The integral of {@link #capacityShare} from the start of the recovery to a time; negative for a time before it. */
+    /**
+     * The integral of {@link #capacityShare} from the start of the recovery to a time; negative for a time before it.
+     */
     private double capacityShareIntegral(double timeMs) {
         double elapsedMs = timeMs - startMs;
         if (elapsedMs <= 0) {
--- a/src/main/java/kestreldeal/scale/fleet/FaultInjector.java
+++ b/src/main/java/kestreldeal/scale/fleet/FaultInjector.java
@@ -8,8 +8,9 @@
 /** Injects the faults of a scenario. All faults are over before clients stop submitting messages. */
 final class FaultInjector {
     /** The part of the run in which faults occur, as shares of its length. */
-    private static final double FIRST_FAULT_SHARE = 0.1;
-    private static final double LAST_FAULT_SHARE = 0.9;
+    private static final double FAULTS_START_SHARE = 0.1;
+    private static final double FAULTS_END_SHARE = 0.9;
+    /** Share of the destinations in an outage in {@link Scenario#DOWN}. */
     private static final double DOWN_DESTINATION_SHARE = 0.021;
     /** Restarts per sender and day: 340 per day in a fleet of 5800 senders. */
     private static final double RESTARTS_PER_SENDER_DAY = 340.0 / 5800;
@@ -18,8 +19,10 @@
     private static final int MIN_REPLACED_ENDPOINTS = 3;
     private static final double RACK_SHARE = 0.025;
     private static final int MIN_RACK_SENDERS = 2;
+    /** Minimum length of the outage of a zone, and length of a network partition, as shares of the run. */
     private static final double ZONE_OUTAGE_SHARE = 0.25;
     private static final double PARTITION_SHARE = 0.4;
+    /** Shares of the destinations and senders that return at the same time in {@link Scenario#RETURN}. */
     private static final double RETURNING_DESTINATION_SHARE = 0.3;
     private static final double RETURNING_SENDER_SHARE = 0.7;
 
@@ -55,15 +58,17 @@
     }
 
     private double drawTimeMs() {
-        return runMs * (FIRST_FAULT_SHARE + (LAST_FAULT_SHARE - FIRST_FAULT_SHARE) * random.nextDouble());
+        return runMs * (FAULTS_START_SHARE + (FAULTS_END_SHARE - FAULTS_START_SHARE) * random.nextDouble());
     }
 
     /** Replaces some endpoints gracefully: a new one is listed, the old one drains, ends and is removed. */
     private void scheduleReplacements() {
-        int count = Math.max(MIN_REPLACED_ENDPOINTS, (int) Math.round(model.replacedShare() * fleet.endpoints().size()));
+        int count = Math.max(MIN_REPLACED_ENDPOINTS,
+                (int) Math.round(model.replacedShare() * fleet.endpoints().size()));
         List<SimulatedEndpoint> shuffled = new ArrayList<>(fleet.endpoints());
         Collections.shuffle(shuffled, random);
-        shuffled.subList(0, Math.min(count, shuffled.size())).forEach(endpoint -> clock.schedule(drawTimeMs(), () -> replace(endpoint)));
+        shuffled.subList(0, Math.min(count, shuffled.size()))
+                .forEach(endpoint -> clock.schedule(drawTimeMs(), () -> replace(endpoint)));
     }
 
     private void replace(SimulatedEndpoint oldEndpoint) {
@@ -83,17 +88,18 @@
     private void scheduleOutages() {
         int count = (int) Math.max(1, Math.round(DOWN_DESTINATION_SHARE * fleet.destinations().size()));
         for (int i = 0; i < count; i++) {
-            clock.schedule(shareOfRunMs(FIRST_FAULT_SHARE) * random.nextDouble(), this::startNextOutage);
+            clock.schedule(shareOfRunMs(FAULTS_START_SHARE) * random.nextDouble(), this::startNextOutage);
         }
     }
 
     /** Starts an outage of one destination, and the next outage when it ends, until faults must be over. */
     private void startNextOutage() {
         double outageMs = model.outageMs().draw(random);
-        if (clock.nowMs() + outageMs > shareOfRunMs(LAST_FAULT_SHARE)) {
+        if (clock.nowMs() + outageMs > shareOfRunMs(FAULTS_END_SHARE)) {
             return;
         }
-        List<SimulatedDestination> up = fleet.destinations().stream().filter(destination -> !destination.isInOutage()).toList();
+        List<SimulatedDestination> up = fleet.destinations().stream().filter(destination -> !destination.isInOutage())
+                .toList();
         if (!up.isEmpty()) {
             startOutage(up.get(random.nextInt(up.size())), clock.nowMs() + outageMs);
         }
@@ -117,7 +123,8 @@
     }
 
     private void scheduleRestarts() {
-        double expected = RESTARTS_PER_SENDER_DAY * fleet.settings().senderCount() * fleet.settings().seconds() / SECONDS_PER_DAY;
+        double expected = RESTARTS_PER_SENDER_DAY * fleet.settings().senderCount() * fleet.settings().seconds()
+                / SECONDS_PER_DAY;
         int count = Math.max(MIN_RESTARTS, (int) Math.round(expected));
         List<SimulatedSender> shuffled = drawSenders(fleet.senders().size());
         int rackSize = Math.max(MIN_RACK_SENDERS, (int) Math.round(RACK_SHARE * shuffled.size()));
@@ -149,7 +156,7 @@
 
     private void scheduleZoneOutage(int zone) {
         double outageMs = Math.max(model.outageMs().max(), shareOfRunMs(ZONE_OUTAGE_SHARE));
-        clock.schedule(shareOfRunMs(FIRST_FAULT_SHARE), () -> {
+        clock.schedule(shareOfRunMs(FAULTS_START_SHARE), () -> {
             sendersIn(zone).forEach(sender -> {
                 fleet.discovery().setMachineDown(sender, true);
                 sender.restartAfter(outageMs);
@@ -157,7 +164,7 @@
             endpointsIn(zone).forEach(endpoint -> endpoint.changeState(SimulatedEndpoint.State.SILENT, 0));
         });
         // Machines and their agents are back 1 ms before the senders' processes start.
-        clock.schedule(shareOfRunMs(FIRST_FAULT_SHARE) + outageMs - 1, () -> {
+        clock.schedule(shareOfRunMs(FAULTS_START_SHARE) + outageMs - 1, () -> {
             sendersIn(zone).forEach(sender -> fleet.discovery().setMachineDown(sender, false));
             fleet.discovery().deliverMissed();
             endOutage(endpointsIn(zone));
@@ -173,23 +180,23 @@
     }
 
     private void schedulePartition(int region) {
-        clock.schedule(shareOfRunMs(FIRST_FAULT_SHARE), () -> fleet.network().isolate(region));
-        clock.schedule(shareOfRunMs(FIRST_FAULT_SHARE + PARTITION_SHARE), () -> {
+        clock.schedule(shareOfRunMs(FAULTS_START_SHARE), () -> fleet.network().isolate(region));
+        clock.schedule(shareOfRunMs(FAULTS_START_SHARE + PARTITION_SHARE), () -> {
             fleet.network().heal();
             fleet.discovery().deliverMissed();
         });
     }
 
     private void scheduleSimultaneousReturn() {
-        double outageMs = Math.min(model.outageMs().max(), shareOfRunMs(LAST_FAULT_SHARE - FIRST_FAULT_SHARE) / 2);
-        clock.schedule(shareOfRunMs(FIRST_FAULT_SHARE), () -> {
+        double outageMs = Math.min(model.outageMs().max(), shareOfRunMs(FAULTS_END_SHARE - FAULTS_START_SHARE) / 2);
+        clock.schedule(shareOfRunMs(FAULTS_START_SHARE), () -> {
             List<SimulatedDestination> shuffled = new ArrayList<>(fleet.destinations());
             Collections.shuffle(shuffled, random);
             int outageCount = (int) Math.ceil(RETURNING_DESTINATION_SHARE * shuffled.size());
             shuffled.subList(0, outageCount).forEach(destination -> startOutage(destination, clock.nowMs() + outageMs));
         });
         double downMs = Math.min(model.senderDownMs().max(), outageMs / 2);
-        clock.schedule(shareOfRunMs(FIRST_FAULT_SHARE) + outageMs - downMs, () ->
+        clock.schedule(shareOfRunMs(FAULTS_START_SHARE) + outageMs - downMs, () ->
                 drawSenders((int) Math.ceil(RETURNING_SENDER_SHARE * fleet.senders().size()))
                         .forEach(sender -> sender.restartAfter(downMs)));
     }
--- a/src/main/java/kestreldeal/scale/fleet/FleetCommand.java
+++ b/src/main/java/kestreldeal/scale/fleet/FleetCommand.java
@@ -40,9 +40,9 @@
      * recoveries with a window over its load budget; "told", those of them that are mostly due to senders that had
      * learned of the outage; "worst", highest ratio of calls to the load budget; "fell", collapses.
      */
-    private static final List<String> TABLE_HEADERS = List.of("senders", "asked", "in time", "late", "refused", "failed",
-            "away", "calls", "calls refused", "trials", "copies", "wasted", "returns", "over", "told", "worst",
-            "calls/most", "fell", "propagation ms", "after drain");
+    private static final List<String> TABLE_HEADERS = List.of("senders", "asked", "in time", "late", "refused",
+            "failed", "away", "calls", "calls refused", "trials", "copies", "wasted", "returns", "over", "told",
+            "worst", "calls/most", "fell", "propagation ms", "after drain");
 
     @Spec
     private CommandSpec spec;
@@ -107,8 +107,8 @@
         } catch (InvariantViolationException e) {
             err.println(e.getMessage());
         } catch (TimeLimitExceededException e) {
-            err.println("aborted: the run takes more than " + formatPlain(mostRealSeconds) + " s of real time; use fewer"
-                    + " senders, destinations or seconds, or a higher --most-real-seconds");
+            err.println("aborted: the run takes more than " + formatPlain(mostRealSeconds) + " s of real time; use"
+                    + " fewer senders, destinations or seconds, or a higher --most-real-seconds");
         }
         return CommandLine.ExitCode.SOFTWARE;
     }
@@ -143,8 +143,8 @@
         List<List<?>> rows = new ArrayList<>();
         for (int senderCount : senders) {
             double destinationRate = ratePerSender.map(each -> each * senderCount / destinations).orElse(rate);
-            FleetSettings settings = new FleetSettings(senderCount, destinations, destinationRate, seconds, seed, scenario,
-                    !noCollapse, FleetModel.STANDARD);
+            FleetSettings settings = new FleetSettings(senderCount, destinations, destinationRate, seconds, seed,
+                    scenario, !noCollapse, FleetModel.STANDARD);
             long runStartNanos = System.nanoTime();
             FleetSimulation fleet = new FleetSimulation(settings);
             Counts counts = fleet.run(progressObserver(scenario + " with " + senderCount + " senders"));
@@ -164,16 +164,19 @@
         }
         String load = ratePerSender.map(each -> formatPlain(each) + " messages/s per sender")
                 .orElse(formatPlain(rate) + " messages/s per destination");
-        results.printTable(String.format(Locale.ROOT, "%s: %d destinations, %s, %s s, seed %d", scenario, destinations, load,
-                formatPlain(seconds), seed), TABLE_HEADERS, rows);
+        results.printTable(String.format(Locale.ROOT, "%s: %d destinations, %s, %s s, seed %d", scenario, destinations,
+                load, formatPlain(seconds), seed), TABLE_HEADERS, rows);
     }
 
     private static List<Object> row(int senderCount, Counts counts) {
         DestinationRecovery.LoadWindow worst = counts.worstWindow();
-        return List.of(senderCount, counts.requests, share(counts.deliveredInTime, counts.requests), share(counts.deliveredLate, counts.requests),
-                share(counts.rejectedBySenders, counts.requests), share(counts.failed, counts.requests),
-                share(counts.rejectedAtCapacity + counts.noSenderReached, counts.requests), counts.callsWritten, counts.refusedCallShare(), counts.probes, counts.hedgingShare(),
-                counts.wastedShare(), counts.worstWindows.size(), counts.recoveriesOverBudget(), counts.recoveriesOverBudgetByInformedSenders, worst.ratio(),
+        return List.of(senderCount, counts.requests, share(counts.deliveredInTime, counts.requests),
+                share(counts.deliveredLate, counts.requests), share(counts.rejectedBySenders, counts.requests),
+                share(counts.failed, counts.requests),
+                share(counts.rejectedAtCapacity + counts.noSenderReached, counts.requests), counts.callsWritten,
+                counts.refusedCallShare(), counts.probes, counts.hedgingShare(), counts.wastedShare(),
+                counts.worstWindows.size(), counts.recoveriesOverBudget(),
+                counts.recoveriesOverBudgetByInformedSenders, worst.ratio(),
                 String.format(Locale.ROOT, "%d/%.1f", worst.calls(), worst.maxCalls()), counts.collapses,
                 counts.fullPropagationMs.getMaxValue(), counts.attemptsAfterDrainNotification);
     }
@@ -196,7 +199,8 @@
             }
             if (realNanos - reportedAtNanos[0] > PROGRESS_INTERVAL_NANOS) {
                 reportedAtNanos[0] = realNanos;
-                ResultWriter.printProgress(String.format(Locale.ROOT, "%s: %.0f s, %d events", runName, nowMs / 1000, eventCount));
+                ResultWriter.printProgress(String.format(Locale.ROOT, "%s: %.0f s, %d events", runName, nowMs / 1000,
+                        eventCount));
             }
         };
     }
--- a/src/main/java/kestreldeal/scale/fleet/FleetModel.java
+++ b/src/main/java/kestreldeal/scale/fleet/FleetModel.java
@@ -14,8 +14,8 @@
  * @param networkJitter maximum increase of a network delay, as a share of it
  * @param trafficZipfExponent exponent of the Zipf distribution of traffic over destinations
  * @param senderTrafficSpread standard deviation of the logarithm of a sender's share of the traffic
- * @param moreEndpointsProbability probability of each further endpoint of a destination, up to four endpoints: 0.4 gives a mean
- *     of 1.6
+ * @param moreEndpointsProbability probability of each further endpoint of a destination, up to four endpoints: 0.4
+ *     gives a mean of 1.6
  * @param limitHeadroom rate limit of a destination as a multiple of its mean traffic
  * @param minLimitPerSecond lower bound of the rate limit, in calls per second
  * @param capacityHeadroom capacity of a destination as a multiple of its rate limit
@@ -47,32 +47,38 @@
  * @param connectTimeoutMs connect timeout
  * @param replacedShare share of endpoints that are replaced in a run; at least three are
  */
-record FleetModel(int regionCount, int zonesPerRegion, List<Double> networkDelayMs, double networkJitter, double trafficZipfExponent, double senderTrafficSpread,
-             double moreEndpointsProbability, UniformRange limitHeadroom, UniformRange minLimitPerSecond, UniformRange capacityHeadroom, UniformRange limitWindowMs, UniformRange bucketSeconds,
-             UniformRange minRetryAfterMs, List<Kind> kinds, UniformRange serviceTimeMs, double serviceTimeSpread, UniformRange extraMessageCost, UniformRange queuePerCore,
-             double errorRate, double listedRateError, UniformRange reportIntervalMs, double reportNoise, double unsafeShare,
-             double burstShare, UniformRange burstSeconds, double retryShare, UniformRange retryDelayMs, UniformRange otherSenderDelayMs, UniformRange loadBalancerDelayMs,
-             UniformRange publicationDelayMs, UniformRange agentDelayMs, UniformRange drainMs, UniformRange outageMs, UniformRange failingShare, UniformRange senderDownMs,
-             double connectTimeoutMs, double replacedShare) {
+record FleetModel(int regionCount, int zonesPerRegion, List<Double> networkDelayMs, double networkJitter,
+        double trafficZipfExponent, double senderTrafficSpread, double moreEndpointsProbability,
+        UniformRange limitHeadroom, UniformRange minLimitPerSecond, UniformRange capacityHeadroom,
+        UniformRange limitWindowMs, UniformRange bucketSeconds, UniformRange minRetryAfterMs, List<Kind> kinds,
+        UniformRange serviceTimeMs, double serviceTimeSpread, UniformRange extraMessageCost,
+        UniformRange queuePerCore, double errorRate, double listedRateError, UniformRange reportIntervalMs,
+        double reportNoise, double unsafeShare, double burstShare, UniformRange burstSeconds, double retryShare,
+        UniformRange retryDelayMs, UniformRange otherSenderDelayMs, UniformRange loadBalancerDelayMs,
+        UniformRange publicationDelayMs, UniformRange agentDelayMs, UniformRange drainMs, UniformRange outageMs,
+        UniformRange failingShare, UniformRange senderDownMs, double connectTimeoutMs, double replacedShare) {
     /** Indexes in the settings of the message class with an idempotency key, and of the one that must not run twice. */
     static final int KEYED_CLASS = 0;
     static final int UNSAFE_CLASS = 1;
 
     static final FleetModel STANDARD = new FleetModel(3, 2, List.of(15.0, 25.0, 68.0), 0.2, 0.8, 0.6, 0.4,
-            new UniformRange(1.1, 2.2), new UniformRange(1.8, 4.9), new UniformRange(1.2, 1.6), new UniformRange(1000, 2000),
-            new UniformRange(0.3, 0.98), new UniformRange(230, 990),
+            new UniformRange(1.1, 2.2), new UniformRange(1.8, 4.9), new UniformRange(1.2, 1.6),
+            new UniformRange(1000, 2000), new UniformRange(0.3, 0.98), new UniformRange(230, 990),
             List.of(new Kind(5, true, new UniformRange(0.6, 0.97)), new Kind(1, false, new UniformRange(0.07, 0.57)),
                     new Kind(1, false, new UniformRange(0.07, 0.57)), new Kind(1, true, new UniformRange(0.08, 0.45)),
                     new Kind(1, true, new UniformRange(0.08, 0.45)), new Kind(1, true, new UniformRange(0.08, 0.45))),
-            new UniformRange(170, 290), 0.7, new UniformRange(0.06, 0.22), new UniformRange(2, 8), 0.005, 0.5, new UniformRange(180, 830), 0.1,
-            0.35, 0.1, new UniformRange(1, 3.5), 0.6, new UniformRange(380, 1400), new UniformRange(410, 1700), new UniformRange(1800, 3600),
-            new UniformRange(1300, 3700), new UniformRange(33, 1800), new UniformRange(6000, 9000), new UniformRange(6700, 18_000),
+            new UniformRange(170, 290), 0.7, new UniformRange(0.06, 0.22), new UniformRange(2, 8), 0.005, 0.5,
+            new UniformRange(180, 830), 0.1, 0.35, 0.1, new UniformRange(1, 3.5), 0.6, new UniformRange(380, 1400),
+            new UniformRange(410, 1700), new UniformRange(1800, 3600), new UniformRange(1300, 3700),
+            new UniformRange(33, 1800), new UniformRange(6000, 9000), new UniformRange(6700, 18_000),
             new UniformRange(0.6, 0.98), new UniformRange(3100, 7800), 1500, 0.02);
 
+    /** Lower bound of the slots of a sender, and its slots as a multiple of the mean number of calls in flight. */
     private static final int MIN_SLOTS = 4;
     private static final double SLOTS_HEADROOM = 2.1;
     /** Mean duration of a call, network delay included. */
     private static final double MEAN_CALL_SECONDS = 0.35;
+    /** Lower bound of the maximum number of pending messages, and that maximum in seconds of a sender's traffic. */
     private static final int MIN_PENDING = 8;
     private static final double PENDING_SECONDS = 9;
     private static final int MAX_ATTEMPTS = 12;
@@ -102,11 +108,13 @@
         List<Relay.MessageClass> classes = List.of(
                 new Relay.MessageClass(2500, 20_000, 1, 0.3, Relay.Effect.KEYED, false, 8000, false),
                 new Relay.MessageClass(3000, 16_000, 2, 0.3, Relay.Effect.UNSAFE, false, 5000, false));
-        List<Relay.DestinationKind> destinationKinds = kinds.stream().map(kind -> new Relay.DestinationKind(false, kind.maxBatchSize))
+        List<Relay.DestinationKind> destinationKinds = kinds.stream()
+                .map(kind -> new Relay.DestinationKind(false, kind.maxBatchSize))
                 .toList();
-        int slots = Math.max(MIN_SLOTS, (int) Math.ceil(SLOTS_HEADROOM * messagesPerSecondOfSender * MEAN_CALL_SECONDS));
-        return new Relay.Settings(classes, destinationKinds, true, Relay.Decay.LINEAR, List.of(), senderCount, slots, MAX_ATTEMPTS,
-                true, true, 500, KEEP_ALIVE_MS, new Relay.SlowStart(0.2, 12_000, 2, 3000));
+        int slots = Math.max(MIN_SLOTS,
+                (int) Math.ceil(SLOTS_HEADROOM * messagesPerSecondOfSender * MEAN_CALL_SECONDS));
+        return new Relay.Settings(classes, destinationKinds, true, Relay.Decay.LINEAR, List.of(), senderCount, slots,
+                MAX_ATTEMPTS, true, true, 500, KEEP_ALIVE_MS, new Relay.SlowStart(0.2, 12_000, 2, 3000));
     }
 
     /** Maximum number of pending messages of a sender; clients get further ones rejected. */
--- a/src/main/java/kestreldeal/scale/fleet/FleetSettings.java
+++ b/src/main/java/kestreldeal/scale/fleet/FleetSettings.java
@@ -9,12 +9,12 @@
  * @param seconds simulated time in which clients submit messages; pending messages can complete after it
  * @param seed seed of all random numbers
  * @param scenario injected faults
- * @param collapseOnOverload whether a recovering destination collapses when it gets more calls than its load budget; otherwise it
- *     serves them, so that the whole worst window is seen
+ * @param collapseOnOverload whether a recovering destination collapses when it gets more calls than its load budget;
+ *     otherwise it serves them, so that the whole worst window is seen
  * @param model parameters of the simulated environment
  */
-record FleetSettings(int senderCount, int destinationCount, double ratePerDestination, double seconds, long seed, Scenario scenario,
-                     boolean collapseOnOverload, FleetModel model) {
+record FleetSettings(int senderCount, int destinationCount, double ratePerDestination, double seconds, long seed,
+                     Scenario scenario, boolean collapseOnOverload, FleetModel model) {
     /** Checks that the numbers are positive. */
     FleetSettings {
         if (senderCount < 1 || destinationCount < 1 || !(ratePerDestination > 0) || !(seconds > 0)) {
--- a/src/main/java/kestreldeal/scale/fleet/FleetSimulation.java
+++ b/src/main/java/kestreldeal/scale/fleet/FleetSimulation.java
@@ -16,7 +16,8 @@
  * draws more numbers does not change the others.
  */
 final class FleetSimulation {
-    private static final double COMPLETION_MS = 25_000;
+    /** How long a run goes on after the last submission, so that all messages can complete. */
+    private static final double COMPLETION_TIME_MS = 25_000;
     private static final int MAX_ENDPOINTS_PER_DESTINATION = 4;
 
     private final FleetSettings settings;
@@ -70,15 +71,18 @@
 
     private void addDestinations(WeightedSampler traffic, Random random) {
         for (int i = 0; i < settings.destinationCount(); i++) {
-            SimulatedDestination destination = new SimulatedDestination(i, settings.totalMessagesPerSecond() * traffic.probability(i), settings,
-                    relaySettings.slowStart(), counts, newRandom());
+            SimulatedDestination destination = new SimulatedDestination(i,
+                    settings.totalMessagesPerSecond() * traffic.probability(i), settings, relaySettings.slowStart(),
+                    counts, newRandom());
             destinations.add(destination);
             int endpointCount = 1;
-            while (endpointCount < MAX_ENDPOINTS_PER_DESTINATION && random.nextDouble() < settings.model().moreEndpointsProbability()) {
+            while (endpointCount < MAX_ENDPOINTS_PER_DESTINATION
+                    && random.nextDouble() < settings.model().moreEndpointsProbability()) {
                 endpointCount++;
             }
             for (int added = 0; added < endpointCount; added++) {
-                discovery.addInitial(addEndpoint(destination, random.nextInt(settings.model().zoneCount()), endpointCount));
+                discovery.addInitial(addEndpoint(destination, random.nextInt(settings.model().zoneCount()),
+                        endpointCount));
             }
         }
     }
@@ -86,15 +90,16 @@
     /**
      * Runs until all messages have a final result, and returns the counts.
      *
-     * @throws Broken at the first violation of an invariant
+     * @throws InvariantViolationException at the first violation of an invariant
      */
     Counts run(SimulationClock.Observer observer) {
         senders.forEach(SimulatedSender::start);
         clients.start();
         faultInjector.start();
-        clock.runUntil(settings.seconds() * 1000 + COMPLETION_MS, observer);
+        clock.runUntil(settings.seconds() * 1000 + COMPLETION_TIME_MS, observer);
         if (invariants.unfinishedCount() > 0) {
-            throw new InvariantViolationException(clock.nowMs(), invariants.unfinishedCount() + " messages have no final result at the end of the run");
+            throw new InvariantViolationException(clock.nowMs(), invariants.unfinishedCount()
+                    + " messages have no final result at the end of the run");
         }
         destinations.forEach(SimulatedDestination::recoveryEnded);
         return counts;
@@ -104,7 +109,8 @@
     void collapse(SimulatedDestination destination, DestinationRecovery.LoadWindow window) {
         counts.collapses++;
         counts.collapsesByInformedSenders += window.isMostlyInformed() ? 1 : 0;
-        faultInjector.startOutage(destination, SimulatedEndpoint.State.REFUSING, clock.nowMs() + settings.model().outageMs().max());
+        faultInjector.startOutage(destination, SimulatedEndpoint.State.REFUSING,
+                clock.nowMs() + settings.model().outageMs().max());
     }
 
     /** Adds an endpoint with the same capacity as the others of its destination; it is not in any list yet. */
@@ -113,7 +119,8 @@
     }
 
     private SimulatedEndpoint addEndpoint(SimulatedDestination destination, int zone, int endpointCount) {
-        SimulatedEndpoint endpoint = new SimulatedEndpoint(endpoints.size() + 1L, destination, zone, endpointCount, this, endpointRandom);
+        SimulatedEndpoint endpoint = new SimulatedEndpoint(endpoints.size() + 1L, destination, zone, endpointCount,
+                this, endpointRandom);
         destination.endpoints.add(endpoint);
         endpoints.put(endpoint.id, endpoint);
         return endpoint;
--- a/src/main/java/kestreldeal/scale/fleet/InvariantChecker.java
+++ b/src/main/java/kestreldeal/scale/fleet/InvariantChecker.java
@@ -11,8 +11,8 @@
 /**
  * Checks the invariants of every message and call, from what the simulated environment observes and independently of
  * the decision module: one final result in time, no second run of a message that must not run twice, repeats only
- * within their deduplication window, no calls to a draining endpoint, Retry-After waits observed. Throws {@link InvariantViolationException}
- * at a violation, which ends the run.
+ * within their deduplication window, no calls to a draining endpoint, Retry-After waits observed. Throws
+ * {@link InvariantViolationException} at a violation, which ends the run.
  */
 final class InvariantChecker {
     /** A final result may come this long after the deadline of its message. */
@@ -62,14 +62,15 @@
         expectResultBy(message, Math.max(message.deadlineMs + RESULT_GRACE_MS, clock.nowMs() + READY_GRACE_MS));
     }
 
-    void senderRestarted(SimulatedSender sender) {
+    /** Records that a sender's process has ended, and with it the Retry-After waits that it had received. */
+    void senderStopped(SimulatedSender sender) {
         notifications.get(sender.number).retryAfterWaits.clear();
     }
 
     private void expectResultBy(SimulatedMessage message, double timeMs) {
         clock.schedule(timeMs, () -> {
             // The messages of a sender that is down become due after its restart.
-            if (message.finished || !message.sender.isAlive()) {
+            if (message.finished || !message.sender.isRunning()) {
                 return;
             }
             if (!message.sender.isReadySince(clock.nowMs() - READY_GRACE_MS)) {
@@ -127,13 +128,15 @@
         }
         checkDedupWindow(message, attemptNumber, "written");
         Notifications notified = notifications.get(message.sender.number);
-        Optional.ofNullable(notified.retryAfterWaits.get(endpoint.destination.id)).filter(wait -> nowMs > wait.receivedAtMs && nowMs < wait.endMs)
+        Optional.ofNullable(notified.retryAfterWaits.get(endpoint.destination.id))
+                .filter(wait -> nowMs > wait.receivedAtMs && nowMs < wait.endMs)
                 .ifPresent(wait -> {
-                    throw violation(message, String.format(Locale.ROOT, "written to destination %d by sender %d, %.1f ms "
-                            + "before a Retry-After wait ends", endpoint.destination.id, message.sender.number,
-                            wait.endMs - nowMs));
+                    throw violation(message, String.format(Locale.ROOT, "written to destination %d by sender %d, "
+                            + "%.1f ms before a Retry-After wait ends", endpoint.destination.id,
+                            message.sender.number, wait.endMs - nowMs));
                 });
-        Optional.ofNullable(notified.drainNotifiedMs.get(endpoint.id)).ifPresent(notifiedMs -> checkDrain(message, endpoint, nowMs - notifiedMs));
+        Optional.ofNullable(notified.drainNotifiedMs.get(endpoint.id))
+                .ifPresent(notifiedMs -> checkDrain(message, endpoint, nowMs - notifiedMs));
         Optional.ofNullable(drainPublishedMs.get(endpoint.id)).ifPresent(publishedMs -> {
             counts.attemptsAfterDrainPublication++;
             counts.maxMsAfterDrainPublication = Math.max(counts.maxMsAfterDrainPublication, nowMs - publishedMs);
--- a/src/main/java/kestreldeal/scale/fleet/RateLimit.java
+++ b/src/main/java/kestreldeal/scale/fleet/RateLimit.java
@@ -19,32 +19,32 @@
      */
     static RateLimit tokenBucket(double perMs, double bucketSize) {
         return new RateLimit() {
-            private double room = Math.max(1, bucketSize);
-            private double at;
+            private double tokens = Math.max(1, bucketSize);
+            private double refilledAtMs;
 
-            private void fill(double nowMs) {
-                room = Math.min(Math.max(1, bucketSize), room + perMs * (nowMs - at));
-                at = nowMs;
+            private void refill(double nowMs) {
+                tokens = Math.min(Math.max(1, bucketSize), tokens + perMs * (nowMs - refilledAtMs));
+                refilledAtMs = nowMs;
             }
 
             @Override
             public boolean tryAcquire(double nowMs) {
-                fill(nowMs);
-                boolean taken = room >= 1;
-                room -= taken ? 1 : 0;
-                return taken;
+                refill(nowMs);
+                boolean admitted = tokens >= 1;
+                tokens -= admitted ? 1 : 0;
+                return admitted;
             }
 
             @Override
             public double msUntilAvailable(double nowMs) {
-                fill(nowMs);
-                return Math.max(0, (1 - room) / perMs);
+                refill(nowMs);
+                return Math.max(0, (1 - tokens) / perMs);
             }
 
             @Override
             public double remainingShare(double nowMs) {
-                fill(nowMs);
-                return room / Math.max(1, bucketSize);
+                refill(nowMs);
+                return tokens / Math.max(1, bucketSize);
             }
         };
     }
@@ -57,34 +57,34 @@
      */
     static RateLimit fixedWindow(double perMs, double windowMs) {
         return new RateLimit() {
-            private final long most = Math.max(1, Math.round(perMs * windowMs));
-            private long span = -1;
-            private long taken;
+            private final long maxCalls = Math.max(1, Math.round(perMs * windowMs));
+            private long window = -1;
+            private long callsInWindow;
 
-            private void turnTo(double nowMs) {
+            private void advanceTo(double nowMs) {
                 long current = (long) Math.floor(nowMs / windowMs);
-                taken = current == span ? taken : 0;
-                span = current;
+                callsInWindow = current == window ? callsInWindow : 0;
+                window = current;
             }
 
             @Override
             public boolean tryAcquire(double nowMs) {
-                turnTo(nowMs);
-                boolean room = taken < most;
-                taken += room ? 1 : 0;
-                return room;
+                advanceTo(nowMs);
+                boolean admitted = callsInWindow < maxCalls;
+                callsInWindow += admitted ? 1 : 0;
+                return admitted;
             }
 
             @Override
             public double msUntilAvailable(double nowMs) {
-                turnTo(nowMs);
-                return taken < most ? 0 : (span + 1) * windowMs - nowMs;
+                advanceTo(nowMs);
+                return callsInWindow < maxCalls ? 0 : (window + 1) * windowMs - nowMs;
             }
 
             @Override
             public double remainingShare(double nowMs) {
-                turnTo(nowMs);
-                return 1 - (double) taken / most;
+                advanceTo(nowMs);
+                return 1 - (double) callsInWindow / maxCalls;
             }
         };
     }
--- a/src/main/java/kestreldeal/scale/fleet/SimulatedClients.java
+++ b/src/main/java/kestreldeal/scale/fleet/SimulatedClients.java
@@ -87,10 +87,11 @@
 
     private ClientRequest newRequest(SimulatedDestination destination) {
         fleet.counts().requests++;
-        int messageClass = destination.kindIndex == 0 && random.nextDouble() < unsafeShareOfFirstKind ? FleetModel.UNSAFE_CLASS : FleetModel.KEYED_CLASS;
-        double deadline = fleet.relaySettings().classes().get(messageClass).deadlineMs();
+        int messageClass = destination.kindIndex == 0 && random.nextDouble() < unsafeShareOfFirstKind
+                ? FleetModel.UNSAFE_CLASS : FleetModel.KEYED_CLASS;
+        double timeLimitMs = fleet.relaySettings().classes().get(messageClass).deadlineMs();
         int retries = random.nextDouble() < model.retryShare() ? 1 : 0;
-        return new ClientRequest(messageClass, destination, clock.nowMs(), clock.nowMs() + deadline, retries);
+        return new ClientRequest(messageClass, destination, clock.nowMs(), clock.nowMs() + timeLimitMs, retries);
     }
 
     /** Submits to the given sender, or to another one if the load balancer knows that this one is down. */
@@ -104,7 +105,7 @@
             return;
         }
         if (sender.pendingCount() >= fleet.maxPending()) {
-            rejectedAtCapacity(request);
+            rejectAtCapacity(request);
             return;
         }
         fleet.counts().submissions++;
@@ -115,7 +116,7 @@
         return !sender.isAccepting() && clock.nowMs() > sender.stoppedAtMs() + model.loadBalancerDelayMs().draw(random);
     }
 
-    private void rejectedAtCapacity(ClientRequest request) {
+    private void rejectAtCapacity(ClientRequest request) {
         if (request.retriesLeft-- > 0) {
             retryLater(request, model.retryDelayMs().draw(random), () -> fleet.counts().rejectedAtCapacity++);
         } else {
@@ -136,7 +137,8 @@
     void messageRejected(SimulatedMessage message, double retryAfterMs) {
         ClientRequest request = message.request;
         if (request.retriesLeft-- > 0) {
-            retryLater(request, Math.max(retryAfterMs, model.retryDelayMs().draw(random)), () -> fleet.counts().rejectedBySenders++);
+            retryLater(request, Math.max(retryAfterMs, model.retryDelayMs().draw(random)),
+                    () -> fleet.counts().rejectedBySenders++);
         } else {
             fleet.counts().rejectedBySenders++;
         }
--- a/src/main/java/kestreldeal/scale/fleet/SimulatedDestination.java
+++ b/src/main/java/kestreldeal/scale/fleet/SimulatedDestination.java
@@ -38,8 +38,8 @@
     private double reportValidUntilMs;
 
     /** Creates a destination for the given mean traffic. */
-    SimulatedDestination(int id, double messagesPerSecond, FleetSettings settings, Relay.SlowStart slowStart, Counts counts,
-            Random random) {
+    SimulatedDestination(int id, double messagesPerSecond, FleetSettings settings, Relay.SlowStart slowStart,
+            Counts counts, Random random) {
         this.id = id;
         this.model = settings.model();
         this.slowStart = slowStart;
--- a/src/main/java/kestreldeal/scale/fleet/SimulatedDiscovery.java
+++ b/src/main/java/kestreldeal/scale/fleet/SimulatedDiscovery.java
@@ -63,11 +63,13 @@
     /** Changes the entry of an endpoint; discovery publishes the change after a delay. */
     void changeEntry(SimulatedEndpoint endpoint, boolean serving, boolean removed) {
         Relay.Endpoint entry = toListEntry(endpoint, serving, removed);
-        clock.scheduleAfter(fleet.settings().model().publicationDelayMs().draw(random), () -> publish(entry, endpoint.zone));
+        clock.scheduleAfter(fleet.settings().model().publicationDelayMs().draw(random),
+                () -> publish(entry, endpoint.zone));
     }
 
     private static Relay.Endpoint toListEntry(SimulatedEndpoint endpoint, boolean serving, boolean removed) {
-        return new Relay.Endpoint(endpoint.id, endpoint.destination.id, endpoint.destination.kindIndex, endpoint.zone, serving, endpoint.destination.listedLimitPerSecond, removed);
+        return new Relay.Endpoint(endpoint.id, endpoint.destination.id, endpoint.destination.kindIndex, endpoint.zone,
+                serving, endpoint.destination.listedLimitPerSecond, removed);
     }
 
     private void publish(Relay.Endpoint entry, int zone) {
--- a/src/main/java/kestreldeal/scale/fleet/SimulatedEndpoint.java
+++ b/src/main/java/kestreldeal/scale/fleet/SimulatedEndpoint.java
@@ -54,7 +54,8 @@
         SHUT
     }
 
-    SimulatedEndpoint(long id, SimulatedDestination destination, int zone, int endpointCount, FleetSimulation fleet, Random random) {
+    SimulatedEndpoint(long id, SimulatedDestination destination, int zone, int endpointCount, FleetSimulation fleet,
+            Random random) {
         FleetModel model = fleet.settings().model();
         this.id = id;
         this.destination = destination;
--- a/src/main/java/kestreldeal/scale/fleet/SimulatedMessage.java
+++ b/src/main/java/kestreldeal/scale/fleet/SimulatedMessage.java
@@ -33,7 +33,8 @@
         final double deadlineMs;
         int retriesLeft;
 
-        ClientRequest(int messageClass, SimulatedDestination destination, double submittedAtMs, double deadlineMs, int retriesLeft) {
+        ClientRequest(int messageClass, SimulatedDestination destination, double submittedAtMs, double deadlineMs,
+                int retriesLeft) {
             this.messageClass = messageClass;
             this.destination = destination;
             this.submittedAtMs = submittedAtMs;
--- a/src/main/java/kestreldeal/scale/fleet/SimulatedSender.java
+++ b/src/main/java/kestreldeal/scale/fleet/SimulatedSender.java
@@ -83,7 +83,8 @@
         notifyModule(r -> {
             r.endpointsChanged(nowMs, true, list);
             learnedState.ifPresent(m -> r.restoreLearnedState(nowMs, m));
-            new LinkedHashMap<>(savedHealth).forEach((endpoint, saved) -> r.restoreEndpointHealth(nowMs, endpoint, saved));
+            new LinkedHashMap<>(savedHealth).forEach((endpoint, saved) ->
+                    r.restoreEndpointHealth(nowMs, endpoint, saved));
             List.copyOf(pending.values()).forEach(message -> restore(r, message));
         });
         learnedState = Optional.empty();
@@ -111,7 +112,7 @@
                 .forEach(a -> a.outcome = Optional.of(Outcome.BROKEN)));
         tracked.clear();
         tracked.putAll(pending);
-        fleet.invariants().senderRestarted(this);
+        fleet.invariants().senderStopped(this);
     }
 
     /** Kills the process, and starts another after a time. */
@@ -140,13 +141,13 @@
         });
     }
 
-    boolean isAlive() {
+    boolean isRunning() {
         return relay.isPresent();
     }
 
     /** Whether the process runs and was started no later than the given time. */
     boolean isReadySince(double timeMs) {
-        return isAlive() && startedAtMs <= timeMs;
+        return isRunning() && startedAtMs <= timeMs;
     }
 
     boolean isAccepting() {
@@ -203,7 +204,7 @@
 
     /** Applies a list update from the agent. */
     void listUpdated(Relay.Endpoint entry) {
-        if (isAlive()) {
+        if (isRunning()) {
             fleet.invariants().senderNotified(this, entry);
             notifyModule(r -> r.endpointsChanged(clock.nowMs(), false, List.of(entry)));
         }
@@ -214,7 +215,7 @@
      * the sender has closed the connection of such a call.
      */
     void responseReceived(Call call, Outcome outcome, double retryAfterMs, Relay.LoadReport report) {
-        if (call.processNumber != processNumber || !isAlive() || !call.hasAttemptInFlight()) {
+        if (call.processNumber != processNumber || !isRunning() || !call.hasAttemptInFlight()) {
             return;
         }
         if (outcome != Outcome.BROKEN) {
@@ -247,8 +248,8 @@
             fleet.clients().messageDelivered(message);
         }
         untrackIfFinished(message);
-        notifyModule(r -> r.attemptCompleted(clock.nowMs(), new Relay.AttemptResult(message.id, item.attemptNumber(), outcome,
-                clock.nowMs() - attempt.sentAtMs, message.finished, retryAfterMs, report)));
+        notifyModule(r -> r.attemptCompleted(clock.nowMs(), new Relay.AttemptResult(message.id, item.attemptNumber(),
+                outcome, clock.nowMs() - attempt.sentAtMs, message.finished, retryAfterMs, report)));
     }
 
     // ---- calls ----
@@ -275,14 +276,15 @@
             if (!network.isConnected(zone, endpoint.zone) || endpoint.state() == SimulatedEndpoint.State.SILENT) {
                 scheduleForCall(call, fleet.settings().model().connectTimeoutMs() - delayMs, this::failUnreachable);
             } else {
-                scheduleForCall(call, network.drawDelayMs(endpoint.zone, zone), endpoint.acceptsConnections() ? this::write : this::failUnreachable);
+                scheduleForCall(call, network.drawDelayMs(endpoint.zone, zone),
+                        endpoint.acceptsConnections() ? this::write : this::failUnreachable);
             }
         });
     }
 
     private void scheduleForCall(Call call, double delayMs, Consumer<Call> then) {
         clock.scheduleAfter(delayMs, () -> {
-            if (call.processNumber == processNumber && isAlive()) {
+            if (call.processNumber == processNumber && isRunning()) {
                 then.accept(call);
             }
         });
@@ -303,7 +305,8 @@
             poolOf(call.endpoint).release(clock.nowMs(), call.endpoint.resetCount());
             return;
         }
-        call.items.forEach(item -> fleet.invariants().attemptWritten(item.message(), item.attemptNumber(), call.endpoint));
+        call.items.forEach(item -> fleet.invariants().attemptWritten(item.message(), item.attemptNumber(),
+                call.endpoint));
         fleet.counts().callsWritten++;
         call.writtenAtMs = clock.nowMs();
         SimulatedNetwork network = fleet.network();
@@ -365,12 +368,13 @@
 
     @Override
     public void cancel(long id, int attemptNumber) {
-        SimulatedMessage message = requireTracked(id, "cancelled");
+        SimulatedMessage message = requireTracked(id, "attempt cancelled");
         SimulatedMessage.Attempt attempt = message.attempts.get(attemptNumber);
         int expectedProcess = processNumber;
         clock.schedule(clock.nowMs(), () -> {
             if (expectedProcess == processNumber && attempt.outcome.isEmpty()) {
-                completeAttempt(new Call.Item(message, attemptNumber, attempt), Outcome.CANCELLED, 0, Relay.LoadReport.NONE);
+                completeAttempt(new Call.Item(message, attemptNumber, attempt), Outcome.CANCELLED, 0,
+                        Relay.LoadReport.NONE);
             }
         });
     }
@@ -404,8 +408,8 @@
     private SimulatedMessage requireTracked(long id, String action) {
         SimulatedMessage message = tracked.get(id);
         if (message == null) {
-            throw new InvariantViolationException(clock.nowMs(), "message " + id + ": " + action + " by sender " + number
-                    + ", which does not have it");
+            throw new InvariantViolationException(clock.nowMs(), "message " + id + ": " + action + " by sender "
+                    + number + ", which does not have it");
         }
         return message;
     }
--- a/src/main/java/kestreldeal/scale/fleet/SimulationClock.java
+++ b/src/main/java/kestreldeal/scale/fleet/SimulationClock.java
@@ -12,7 +12,8 @@
     private static final int EVENTS_PER_OBSERVATION = 4096;
 
     private final PriorityQueue<ScheduledEvent> queue =
-            new PriorityQueue<>(Comparator.comparingDouble(ScheduledEvent::timeMs).thenComparingLong(ScheduledEvent::sequence));
+            new PriorityQueue<>(Comparator.comparingDouble(ScheduledEvent::timeMs)
+                    .thenComparingLong(ScheduledEvent::sequence));
     private long scheduledCount;
     private long eventCount;
     private double nowMs;
--- a/src/main/java/kestreldeal/scale/fleet/WeightedSampler.java
+++ b/src/main/java/kestreldeal/scale/fleet/WeightedSampler.java
@@ -22,7 +22,8 @@
 
     /** The probability of a number. */
     double probability(int number) {
-        return (cumulativeWeights[number] - (number == 0 ? 0 : cumulativeWeights[number - 1])) / cumulativeWeights[cumulativeWeights.length - 1];
+        return (cumulativeWeights[number] - (number == 0 ? 0 : cumulativeWeights[number - 1]))
+                / cumulativeWeights[cumulativeWeights.length - 1];
     }
 
     int draw(Random random) {
--- a/src/test/java/kestreldeal/scale/FitTest.java
+++ b/src/test/java/kestreldeal/scale/FitTest.java
@@ -55,7 +55,8 @@
 
     @Test
     void describeHasTheOrderTheFormulaAndTheResidual() {
-        assertEquals("grows as n: 300.0 + 0.0400 x n (exponent 0.55, residual 0%)", fit(n -> 300 + 0.04 * n).describe());
+        assertEquals("grows as n: 300.0 + 0.0400 x n (exponent 0.55, residual 0%)",
+                fit(n -> 300 + 0.04 * n).describe());
         assertEquals("constant: 7.000 (exponent 0.00, residual 0%)", fit(n -> 7).describe());
     }
 
--- a/src/test/java/kestreldeal/scale/JarsIT.java
+++ b/src/test/java/kestreldeal/scale/JarsIT.java
@@ -22,7 +22,8 @@
     void theSenderJarContainsNothingOfTheScaleTests() throws Exception {
         List<String> libraries = fileNames(TARGET.resolve("scale-lib"));
         assertEquals(2, libraries.size(), libraries.toString());
-        assertTrue(Stream.of("picocli", "HdrHistogram").allMatch(l -> libraries.stream().anyMatch(n -> n.startsWith(l))));
+        assertTrue(Stream.of("picocli", "HdrHistogram")
+                .allMatch(l -> libraries.stream().anyMatch(n -> n.startsWith(l))));
         try (JarFile jar = new JarFile(TARGET.resolve("kestreldeal.jar").toFile())) {
             assertTrue(jar.stream().noneMatch(entry -> entry.getName().startsWith("kestreldeal/scale")));
             assertTrue(jar.stream().anyMatch(entry -> entry.getName().equals("kestreldeal/Main.class")));
@@ -30,7 +31,8 @@
             List<String> classPath = Arrays.asList(path.split(" "));
             assertTrue(classPath.stream().allMatch(name -> name.startsWith("lib/")), path);
             assertTrue(libraries.stream().noneMatch(library -> classPath.contains("lib/" + library)), path);
-            assertEquals(fileNames(TARGET.resolve("lib")), classPath.stream().map(n -> n.substring(4)).sorted().toList());
+            assertEquals(fileNames(TARGET.resolve("lib")),
+                    classPath.stream().map(n -> n.substring(4)).sorted().toList());
         }
         try (JarFile jar = new JarFile(TARGET.resolve("kestreldeal-scale.jar").toFile())) {
             assertTrue(jar.stream().filter(entry -> entry.getName().endsWith(".class"))
--- a/src/test/java/kestreldeal/scale/ScaleMainTest.java
+++ b/src/test/java/kestreldeal/scale/ScaleMainTest.java
@@ -24,7 +24,8 @@
         System.setErr(new PrintStream(capturedErr, true, StandardCharsets.UTF_8));
         try {
             int code = ScaleMain.run(args);
-            return new RunResult(code, capturedOut.toString(StandardCharsets.UTF_8), capturedErr.toString(StandardCharsets.UTF_8));
+            return new RunResult(code, capturedOut.toString(StandardCharsets.UTF_8),
+                    capturedErr.toString(StandardCharsets.UTF_8));
         } finally {
             System.setOut(out);
             System.setErr(err);
--- a/src/test/java/kestreldeal/scale/fleet/DestinationRecoveryTest.java
+++ b/src/test/java/kestreldeal/scale/fleet/DestinationRecoveryTest.java
@@ -10,8 +10,8 @@
 /** Compares the load budget of a recovering destination with values calculated by hand. */
 class DestinationRecoveryTest {
     /** Capacity 10 calls/s; ramps up from 20% at 10 s to 100% at 22 s; budget: twice the capacity in windows of 3 s. */
-    private final DestinationRecovery recovery = new DestinationRecovery(0.01, new Relay.SlowStart(0.2, 12_000, 2, 3000), 10_000,
-            SimulatedEndpoint.State.SHUT);
+    private final DestinationRecovery recovery = new DestinationRecovery(0.01,
+            new Relay.SlowStart(0.2, 12_000, 2, 3000), 10_000, SimulatedEndpoint.State.SHUT);
 
     private static double budget(double n) {
         return n + 2 * Math.sqrt(n) + 2;
@@ -43,7 +43,7 @@
         assertTrue(recovery.callArrived(10_020, false, Relay.EndpointState.WARMING).ratio() > 1);
         assertFalse(recovery.worstWindow().isMostlyInformed(), "14 of 21 calls are not more than two thirds");
         assertEquals(1, recovery.callArrived(13_020, false, Relay.EndpointState.WARMING).calls());
-        assertFalse(recovery.isBudgetBrokenByInformed());
+        assertFalse(recovery.isOverBudgetByInformedSenders());
     }
 
     @Test
@@ -51,8 +51,8 @@
         for (int i = 0; i < 20; i++) {
             recovery.callArrived(10_000 + i, i < 15, Relay.EndpointState.WARMING);
         }
-        assertFalse(recovery.isBudgetBrokenByInformed());
+        assertFalse(recovery.isOverBudgetByInformedSenders());
         recovery.callArrived(10_020, false, Relay.EndpointState.WARMING);
-        assertTrue(recovery.isBudgetBrokenByInformed(), "15 of 21 calls are more than two thirds");
+        assertTrue(recovery.isOverBudgetByInformedSenders(), "15 of 21 calls are more than two thirds");
     }
 }
--- a/src/test/java/kestreldeal/scale/fleet/FleetSimulationTest.java
+++ b/src/test/java/kestreldeal/scale/fleet/FleetSimulationTest.java
@@ -19,8 +19,10 @@
         return simulate(senderCount, 15, 40, scenario, seed);
     }
 
-    private static Counts simulate(int senderCount, int destinationCount, double seconds, Scenario scenario, long seed) {
-        return new FleetSimulation(new FleetSettings(senderCount, destinationCount, 4, seconds, seed, scenario, false, FleetModel.STANDARD))
+    private static Counts simulate(int senderCount, int destinationCount, double seconds, Scenario scenario,
+            long seed) {
+        return new FleetSimulation(new FleetSettings(senderCount, destinationCount, 4, seconds, seed, scenario, false,
+                FleetModel.STANDARD))
                 .run((nowMs, eventCount) -> { });
     }
 
@@ -29,7 +31,8 @@
     void everyMessageHasOneResultAndCountsStayInBounds(Scenario scenario) {
         Counts counts = simulate(30, scenario, 3);
         String values = counts.values().toString();
-        assertEquals(counts.requests, counts.deliveredInTime + counts.deliveredLate + counts.rejectedBySenders + counts.failed + counts.rejectedAtCapacity + counts.noSenderReached, values);
+        assertEquals(counts.requests, counts.deliveredInTime + counts.deliveredLate + counts.rejectedBySenders
+                + counts.failed + counts.rejectedAtCapacity + counts.noSenderReached, values);
         assertTrue(counts.requests > 1500, values);
         assertEquals(0, counts.attemptsAfterDrainNotification, values);
         assertTrue(counts.refusedCallShare() < 0.1, values);
@@ -39,7 +42,8 @@
         assertTrue(counts.fullPropagationMs.getMaxValue() <= 6000, values);
         assertTrue(scenario != Scenario.RESTARTS && scenario != Scenario.ZONE || counts.restarts > 0, values);
         boolean hasOutages = scenario == Scenario.DOWN || scenario == Scenario.RETURN;
-        assertTrue(!hasOutages || counts.outages > 0 && counts.worstWindows.size() == counts.outages && counts.probes > 0, values);
+        assertTrue(!hasOutages || counts.outages > 0 && counts.worstWindows.size() == counts.outages
+                && counts.probes > 0, values);
     }
 
     @ParameterizedTest
@@ -56,10 +60,10 @@
 
     @ParameterizedTest
     @ValueSource(ints = {2, 10, 60, 120})
-    void recoveriesStayWithinTheirLoadBudgetInFleetsOfAllSizes(int senders) {
+    void recoveriesStayWithinTheirLoadBudgetInFleetsOfAllSizes(int senderCount) {
         for (Scenario scenario : List.of(Scenario.DOWN, Scenario.RETURN, Scenario.ZONE)) {
             for (long seed = 1; seed <= 2; seed++) {
-                Counts counts = simulate(senders, scenario, seed);
+                Counts counts = simulate(senderCount, scenario, seed);
                 assertTrue(!counts.worstWindows.isEmpty(), scenario + ", seed " + seed);
                 assertEquals(0, counts.recoveriesOverBudget(), scenario + ", seed " + seed + ": " + counts.values());
             }
@@ -83,7 +87,8 @@
         Counts few = simulate(10, 30, 60, Scenario.RETURN, 4);
         Counts many = simulate(100, 30, 60, Scenario.RETURN, 4);
         assertTrue(few.probes > 0 && many.probes < 3 * few.probes, few.probes + " probes, then " + many.probes);
-        assertTrue(many.callsRefused < 4 * few.callsRefused, few.callsRefused + " refused calls, then " + many.callsRefused);
+        assertTrue(many.callsRefused < 4 * few.callsRefused, few.callsRefused + " refused calls, then "
+                + many.callsRefused);
         assertTrue(many.connects > few.connects, "senders with less traffic each reuse fewer idle connections");
     }
 }
--- a/src/test/java/kestreldeal/scale/fleet/InvariantCheckerTest.java
+++ b/src/test/java/kestreldeal/scale/fleet/InvariantCheckerTest.java
@@ -23,11 +23,13 @@
         return new FleetSimulation(settings(scenario)).run((nowMs, eventCount) -> { });
     }
 
-    private static void expectViolation(Scenario scenario, FleetSimulation.RelayFactory relayFactory, String expectedText) {
+    private static void expectViolation(Scenario scenario, FleetSimulation.RelayFactory relayFactory,
+            String expectedText) {
         FleetSimulation fleet = new FleetSimulation(settings(scenario), relayFactory);
-        InvariantViolationException violation = assertThrows(InvariantViolationException.class, () -> fleet.run((nowMs, eventCount) -> { }));
-        assertTrue(violation.getMessage().matches("invariant violated at [0-9.]+ s: message [0-9]+: .*" + expectedText + ".*"),
-                violation.getMessage());
+        InvariantViolationException violation = assertThrows(InvariantViolationException.class,
+                () -> fleet.run((nowMs, eventCount) -> { }));
+        assertTrue(violation.getMessage().matches("invariant violated at [0-9.]+ s: message [0-9]+: .*" + expectedText
+                + ".*"), violation.getMessage());
     }
 
     @Test
@@ -38,7 +40,8 @@
 
     @Test
     void aMessageWithoutAResultIsDetected() {
-        expectViolation(Scenario.RETURN, (s, seed, actions) -> Relay.create(s, seed, new ForwardingRelay.ForwardingActions(actions) {
+        expectViolation(Scenario.RETURN, (s, seed, actions) -> Relay.create(s, seed,
+                new ForwardingRelay.ForwardingActions(actions) {
             @Override
             public void reject(long message, double retryAfterMs) {
                 // Dropped, so that the message never gets a final result.
@@ -67,7 +70,8 @@
 
     @Test
     void aSecondResultIsDetected() {
-        expectViolation(Scenario.RETURN, (s, seed, actions) -> Relay.create(s, seed, new ForwardingRelay.ForwardingActions(actions) {
+        expectViolation(Scenario.RETURN, (s, seed, actions) -> Relay.create(s, seed,
+                new ForwardingRelay.ForwardingActions(actions) {
             @Override
             public void reject(long message, double retryAfterMs) {
                 super.reject(message, retryAfterMs);
@@ -96,7 +100,8 @@
 
         @Override
         public void attemptCompleted(double nowMs, AttemptResult result) {
-            boolean hidden = messagesOfClass.contains(result.message()) && result.outcome().mayHaveRun() && !result.messageFinished();
+            boolean hidden = messagesOfClass.contains(result.message()) && result.outcome().mayHaveRun()
+                    && !result.messageFinished();
             super.attemptCompleted(nowMs, hidden
                     ? new AttemptResult(result.message(), result.attempt(), Outcome.UNREACHABLE, result.durationMs(),
                     false, 0, result.report()) : result);
@@ -105,13 +110,15 @@
 
     @Test
     void aSecondRunOfAnUnsafeMessageIsDetected() {
-        expectViolation(Scenario.RETURN, (s, seed, actions) -> new PossibleRunHidingRelay(Relay.create(s, seed, actions), FleetModel.UNSAFE_CLASS),
+        expectViolation(Scenario.RETURN, (s, seed, actions) ->
+                new PossibleRunHidingRelay(Relay.create(s, seed, actions), FleetModel.UNSAFE_CLASS),
                 "must not run twice and may have run");
     }
 
     @Test
     void aRepeatOutsideItsWindowIsDetected() {
-        expectViolation(Scenario.RETURN, (s, seed, actions) -> new PossibleRunHidingRelay(Relay.create(s, seed, actions), FleetModel.KEYED_CLASS),
+        expectViolation(Scenario.RETURN, (s, seed, actions) ->
+                new PossibleRunHidingRelay(Relay.create(s, seed, actions), FleetModel.KEYED_CLASS),
                 "sent [0-9]+ ms after it may have run, outside its window");
     }
 
@@ -130,8 +137,8 @@
         expectViolation(Scenario.RETURN, (s, seed, actions) -> new ForwardingRelay(Relay.create(s, seed, actions)) {
             @Override
             public void attemptCompleted(double nowMs, AttemptResult result) {
-                super.attemptCompleted(nowMs, new AttemptResult(result.message(), result.attempt(), result.outcome(), result.durationMs(),
-                        result.messageFinished(), 0, result.report()));
+                super.attemptCompleted(nowMs, new AttemptResult(result.message(), result.attempt(), result.outcome(),
+                        result.durationMs(), result.messageFinished(), 0, result.report()));
             }
         }, "before a Retry-After wait ends");
     }
@@ -139,11 +146,13 @@
     /** Each sender assumes that it is the only one, and that the load budget of a recovery is far higher than it is. */
     @Test
     void tooManyCallsInARecoveryAreCountedAndCauseACollapse() {
-        FleetSimulation.RelayFactory overloadingFactory = (settings, seed, actions) -> Relay.create(new Relay.Settings(settings.classes(), settings.kinds(),
-                settings.ratesListed(), settings.valueDecay(), settings.zoneFees(), 1, settings.slots(), settings.maxAttempts(), settings.hedging(),
-                settings.cancellation(),
-                settings.keyCoolDownMs(), settings.keepAliveMs(), new Relay.SlowStart(1, 12_000, 50, 3000)), seed, actions);
-        FleetSettings withoutCollapse = new FleetSettings(60, 12, 8, 30, 5, Scenario.RETURN, false, FleetModel.STANDARD);
+        FleetSimulation.RelayFactory overloadingFactory = (settings, seed, actions) ->
+                Relay.create(new Relay.Settings(settings.classes(), settings.kinds(), settings.ratesListed(),
+                        settings.valueDecay(), settings.zoneFees(), 1, settings.slots(), settings.maxAttempts(),
+                        settings.hedging(), settings.cancellation(), settings.keyCoolDownMs(), settings.keepAliveMs(),
+                        new Relay.SlowStart(1, 12_000, 50, 3000)), seed, actions);
+        FleetSettings withoutCollapse = new FleetSettings(60, 12, 8, 30, 5, Scenario.RETURN, false,
+                FleetModel.STANDARD);
         FleetSettings withCollapse = new FleetSettings(60, 12, 8, 30, 5, Scenario.RETURN, true, FleetModel.STANDARD);
         Counts counts = new FleetSimulation(withoutCollapse, overloadingFactory).run((nowMs, eventCount) -> { });
         assertTrue(counts.recoveriesOverBudget() > 0 && counts.worstWindow().ratio() > 1, counts.values().toString());
