--- a/src/main/java/kestreldeal/scale/fleet/RateLimit.java
+++ b/src/main/java/kestreldeal/scale/fleet/RateLimit.java
@@ -3,48 +3,48 @@
 /** The rate limit of a destination for the calls of all senders together; refused calls do not use it up. */
 interface RateLimit {
     /** Admits a call if the limit allows it. */
-    boolean take(double now);
+    boolean tryAcquire(double nowMs);
 
     /** Milliseconds until the next call would be admitted, if no other call comes before. */
-    double roomIn(double now);
+    double msUntilAvailable(double nowMs);
 
     /** The unused share of the limit, 0 to 1. */
-    double left(double now);
+    double remainingShare(double nowMs);
 
     /**
      * A token bucket.
      *
      * @param perMs refill rate in calls per millisecond
-     * @param depth bucket size in calls; treated as 1 if smaller
+     * @param bucketSize bucket size in calls; treated as 1 if smaller
      */
-    static RateLimit byRate(double perMs, double depth) {
+    static RateLimit tokenBucket(double perMs, double bucketSize) {
         return new RateLimit() {
-            private double room = Math.max(1, depth);
-            private double at;
+            private double tokens = Math.max(1, bucketSize);
+            private double refilledAtMs;
 
-            private void fill(double now) {
-                room = Math.min(Math.max(1, depth), room + perMs * (now - at));
-                at = now;
+            private void refill(double nowMs) {
+                tokens = Math.min(Math.max(1, bucketSize), tokens + perMs * (nowMs - refilledAtMs));
+                refilledAtMs = nowMs;
             }
 
             @Override
-            public boolean take(double now) {
-                fill(now);
-                boolean taken = room >= 1;
-                room -= taken ? 1 : 0;
-                return taken;
+            public boolean tryAcquire(double nowMs) {
+                refill(nowMs);
+                boolean admitted = tokens >= 1;
+                tokens -= admitted ? 1 : 0;
+                return admitted;
             }
 
             @Override
-            public double roomIn(double now) {
-                fill(now);
-                return Math.max(0, (1 - room) / perMs);
+            public double msUntilAvailable(double nowMs) {
+                refill(nowMs);
+                return Math.max(0, (1 - tokens) / perMs);
             }
 
             @Override
-            public double left(double now) {
-                fill(now);
-                return room / Math.max(1, depth);
+            public double remainingShare(double nowMs) {
+                refill(nowMs);
+                return tokens / Math.max(1, bucketSize);
             }
         };
     }
@@ -53,38 +53,38 @@
      * A fixed-window counter.
      *
      * @param perMs mean calls per millisecond
-     * @param spanMs length of a window; the first starts at time 0
+     * @param windowMs length of a window; the first starts at time 0
      */
-    static RateLimit byCount(double perMs, double spanMs) {
+    static RateLimit fixedWindow(double perMs, double windowMs) {
         return new RateLimit() {
-            private final long most = Math.max(1, Math.round(perMs * spanMs));
-            private long span = -1;
-            private long taken;
+            private final long maxCalls = Math.max(1, Math.round(perMs * windowMs));
+            private long window = -1;
+            private long callsInWindow;
 
-            private void turnTo(double now) {
-                long current = (long) Math.floor(now / spanMs);
-                taken = current == span ? taken : 0;
-                span = current;
+            private void advanceTo(double nowMs) {
+                long current = (long) Math.floor(nowMs / windowMs);
+                callsInWindow = current == window ? callsInWindow : 0;
+                window = current;
             }
 
             @Override
-            public boolean take(double now) {
-                turnTo(now);
-                boolean room = taken < most;
-                taken += room ? 1 : 0;
-                return room;
+            public boolean tryAcquire(double nowMs) {
+                advanceTo(nowMs);
+                boolean admitted = callsInWindow < maxCalls;
+                callsInWindow += admitted ? 1 : 0;
+                return admitted;
             }
 
             @Override
-            public double roomIn(double now) {
-                turnTo(now);
-                return taken < most ? 0 : (span + 1) * spanMs - now;
+            public double msUntilAvailable(double nowMs) {
+                advanceTo(nowMs);
+                return callsInWindow < maxCalls ? 0 : (window + 1) * windowMs - nowMs;
             }
 
             @Override
-            public double left(double now) {
-                turnTo(now);
-                return 1 - (double) taken / most;
+            public double remainingShare(double nowMs) {
+                advanceTo(nowMs);
+                return 1 - (double) callsInWindow / maxCalls;
             }
         };
     }
