--- a/src/main/java/kestreldeal/DeliveryScheduler.java
+++ b/src/main/java/kestreldeal/DeliveryScheduler.java
@@ -18,8 +18,8 @@
 import kestreldeal.Timers.Timer;
 
 /**
- * The decision module: decides when and to which endpoint each message is sent, when it is sent again, and
- * when it is rejected or failed. Its interface, with all types, events and actions, is {@link Relay}.
+ * Decides when and to which endpoint each message is sent, and when it is sent again, rejected or failed. Its
+ * interface, with all types, events and actions, is {@link Relay}.
  *
  * <p>A message waits in a group of similar messages until {@link #endTurn}. There the groups whose send
  * conditions are met are served in the order of their first messages' priority, and each message goes to the
@@ -30,167 +30,163 @@
  *
  * <p>{@link Delivery} is a message with its attempts, {@link Call} a request on the wire that may carry
  * several attempts, {@link RateLimiter} the rate limit of a destination, or of one endpoint where these are
- * separate routes, and {@link TrackedEndpoint} an endpoint with its health. Times are in milliseconds, rates
- * in calls per millisecond.
+ * separate routes, {@link TrackedEndpoint} an endpoint with its health, and {@link IdleConnectionReuse} the
+ * reuse policy for idle connections. Times are in milliseconds, rates in calls per millisecond.
  */
 final class DeliveryScheduler implements Relay {
     // Rounds of attempts.
     /** Delay before a hedged attempt, as a share of the target latency. */
-    private static final double COPY_OFFSET = 0.5;
+    private static final double HEDGE_DELAY_SHARE = 0.5;
     /** Hedged attempts that are allowed in each budget period: this number, plus a share of first sends. */
-    private static final double COPY_BASE = 1;
-    private static final double COPY_SHARE = 0.1;
-    private static final double THROTTLE_PERIOD_MS = 10_000;
+    private static final double HEDGES_ALWAYS_ALLOWED = 1;
+    private static final double HEDGES_PER_FIRST_SEND = 0.1;
+    private static final double BUDGET_PERIOD_MS = 10_000;
     /** The same for new rounds of messages whose last attempt was refused. */
-    private static final double RETRY_BASE = 2;
-    private static final double RETRY_SHARE = 0.3;
+    private static final double RETRIES_ALWAYS_ALLOWED = 2;
+    private static final double RETRIES_PER_FIRST_SEND = 0.3;
     /** Backoff between rounds: fast errors or many senders at once would use up all attempts without it. */
     private static final double BACKOFF_MS = 200;
-    private static final double BACKOFF_GROWTH = 3;
+    private static final double BACKOFF_FACTOR = 3;
     /** A keyed repeat is sent this long before its deduplication window ends, to allow for transit time. */
-    private static final double WINDOW_MARGIN_MS = 300;
+    private static final double DEDUP_WINDOW_MARGIN_MS = 300;
 
-    // Timeouts: 1.25 times the target latency at least, longer where an endpoint's answers take longer.
-    private static final double TIMEOUT_AIMS = 1.25;
+    // Timeouts: a multiple of the target latency, or the mean latency plus deviations if that is longer.
+    private static final double TIMEOUT_TARGET_FACTOR = 1.25;
     private static final double TIMEOUT_DEVIATIONS = 8;
     /** Minimum timeout of an unsafe message, as a share of its deadline: it can't be repeated after one. */
-    private static final double UNSAFE_PATIENCE = 0.33;
-    /** Weight of a new latency sample in the moving averages of latency and its deviation. */
-    private static final double LATENCY_WEIGHT = 0.15;
-    /** Latency assumed of an endpoint that has not answered yet. */
-    private static final double FIRST_LATENCY_MS = 250;
+    private static final double UNSAFE_TIMEOUT_SHARE = 0.33;
+    private static final double LATENCY_SAMPLE_WEIGHT = 0.15;
+    private static final double INITIAL_LATENCY_MS = 250;
 
     /** An endpoint with a mean latency up to this counts as fast: it frees its slots soon. */
-    private static final double QUICK_MS = 250;
+    private static final double FAST_LATENCY_MS = 250;
 
     /** A call is not cancelled to free its slot before it has been in flight this long. */
-    private static final double CALL_OFF_LEAST_MS = 200;
+    private static final double MIN_CANCEL_AGE_MS = 200;
 
     // Send rate limits.
     /** A refusal cuts the allowed rate to this share of it, or of the last second's sends if none was set. */
-    private static final double PACE_CUT = 0.7;
+    private static final double RATE_CUT_FACTOR = 0.7;
     /** In a cut the old rate counts as at most this multiple of recent sends: an unused limit only grows. */
-    private static final double PACE_OVER_SENT = 1.3;
+    private static final double MAX_RATE_OVER_SENT = 1.3;
     /** Growth of the allowed rate with each delivery, if answers don't report the share of the limit left. */
-    private static final double PACE_GROWTH = 0.05;
+    private static final double RATE_GROWTH_PER_DELIVERY = 0.05;
     /** If they do, the rate is steered to keep this share left: the gain per second, and the longest step. */
-    private static final double LEFT_AIM = 0.5;
-    private static final double LEFT_GAIN = 0.6;
-    private static final double LEFT_SECONDS = 3;
+    private static final double TARGET_SHARE_LEFT = 0.5;
+    private static final double SHARE_LEFT_GAIN_PER_S = 0.6;
+    private static final double MAX_SHARE_LEFT_STEP_S = 3;
     /**
-     * Longest interval between sends after a refusal if the destination's rate is unknown, so that rare
-     * messages don't wait long, and its growth with further refusals. It is not used at a known rate: for a
-     * hundred senders together it would be too short.
+     * Longest interval between sends after a refusal, so that rare messages don't wait long, and its growth
+     * with further ones. Not used at a known rate: for a hundred senders together it would be too short.
      */
-    private static final double PACE_PAUSE_MS = 500;
-    private static final double PACE_PAUSE_GROWTH = 3;
-    private static final int PACE_PAUSES = 4;
+    private static final double MAX_SEND_INTERVAL_MS = 500;
+    private static final double SEND_INTERVAL_GROWTH = 3;
+    private static final int MAX_REFUSAL_LEVEL = 4;
     /** Lowest allowed rate, as a share of the rate of messages that this sender accepts for a destination. */
-    private static final double PACE_LEAST_SHARE = 0.2;
+    private static final double MIN_RATE_DEMAND_SHARE = 0.2;
     /** Lowest rate as a share of the sender's fair share of the listed rate, which may be 50% too high. */
-    private static final double LISTED_SHARE = 0.5;
+    private static final double LISTED_RATE_SHARE = 0.5;
     /**
      * Lowest rate as a share of the sender's fair share of the reported rate, divided further with each
      * refusal, as other senders may use more. Without it a rate cut by a burst stays low at few deliveries.
      */
-    private static final double TOLD_SHARE = 0.9;
-    /** Weight of a new report in the average reported rate, and the most by which it may differ. */
-    private static final double TOLD_WEIGHT = 0.2;
-    private static final double TOLD_STEP = 2;
+    private static final double REPORTED_RATE_SHARE = 0.9;
+    /** Weight of a new report in the average reported rate, and the factor by which it may differ. */
+    private static final double REPORTED_RATE_WEIGHT = 0.2;
+    private static final double REPORTED_RATE_MAX_STEP = 2;
     /** After this time without a send a destination's rate limit is dropped. */
-    private static final double IDLE_MS = 60_000;
+    private static final double RATE_RESET_IDLE_MS = 60_000;
 
     /** Added to Retry-After waits, and tolerated in wakes, because clocks are rounded. */
     private static final double CLOCK_MARGIN_MS = 1;
 
     // Health.
     /** The failure score, 0 to 1: a failure closes this share of the gap to 1, a delivery multiplies it. */
-    private static final double BAD_WEIGHT = 0.2;
+    private static final double FAILURE_WEIGHT = 0.2;
     private static final double UNREACHABLE_WEIGHT = 0.6;
-    private static final double GOOD_FACTOR = 0.6;
+    private static final double DELIVERY_FACTOR = 0.6;
     /** Score from which an endpoint counts as down: five failures in a row, or one failed connect. */
-    private static final double DOWN_AT = 0.6;
+    private static final double DOWN_SCORE = 0.6;
     /** Number of overdue calls, without any answer since they were sent, that mark an endpoint as down. */
-    private static final int SILENT_CALLS = 2;
-    private static final double SILENT_DEVIATIONS = 4;
+    private static final int DOWN_OVERDUE_CALLS = 2;
+    private static final double OVERDUE_DEVIATIONS = 4;
     /** This many failures or refusals in a row, over at least this time, mark an endpoint as down. */
-    private static final int SHUT_ENDS = 3;
-    private static final double SHUT_MS = 2500;
+    private static final int DOWN_FAILURES = 3;
+    private static final double MIN_OUTAGE_MS = 2500;
     /** Shortest interval between probes of a down endpoint; times the number of senders, also the longest. */
-    private static final double TRIAL_LEAST_MS = 500;
+    private static final double MIN_PROBE_INTERVAL_MS = 500;
     /** Upper bound of the longest interval between probes, in ramp-up times. */
-    private static final double TRIAL_MOST = 4;
+    private static final double MAX_PROBE_INTERVAL_RAMPS = 4;
     /** Share of the load permitted to a recovering endpoint that slow start uses; the rest is for bursts. */
-    private static final double RAMP_SAFETY = 0.7;
+    private static final double SLOW_START_LOAD_SHARE = 0.7;
     /** Averaging of the rates of sends and deliveries, and of the demand. */
-    private static final Rate.Span CARRIED = new Rate.Span(10_000, 2000);
+    private static final EventRate.Averaging RATE_AVERAGING = new EventRate.Averaging(10_000, 2000);
     /** Share of the demand for a destination that it is assumed to sustain while no higher rate is known. */
-    private static final double DEMAND_SHARE = 0.7;
+    private static final double ASSUMED_DEMAND_SHARE = 0.7;
 
-    /** Time after which an endpoint that has left the list is forgotten. */
-    private static final double GONE_MS = 30_000;
+    private static final double REMOVED_RETENTION_MS = 30_000;
 
     // Idle connections.
     /** A connection that was not used for this long counts as idle. */
-    private static final double IDLE_LEAST_MS = 100;
+    private static final double MIN_IDLE_MS = 100;
     /** After a loss: share of its idle time up to which connections are reused, and how long that holds. */
-    private static final double TRUST_CUT = 0.25;
-    private static final double TRUST_MEMORY_MS = 30_000;
+    private static final double REUSE_IDLE_SHARE = 0.25;
+    private static final double IDLE_LOSS_MEMORY_MS = 30_000;
 
     // Priorities.
     /** Priority is the value lost by waiting this much longer, about the delay of a queue under load. */
-    private static final double RANK_HORIZON_MS = 1500;
+    private static final double PRIORITY_HORIZON_MS = 1500;
     /** Weight of the value itself in the priority, to break ties of messages that lose no value yet. */
-    private static final double RANK_WORTH = 0.01;
+    private static final double PRIORITY_VALUE_WEIGHT = 0.01;
     /** Latency that costs as much as a zone fee of one point, by the value that a message loses in it. */
-    private static final double FEE_MS = 25_000;
+    private static final double MS_PER_FEE_POINT = 25_000;
     private static final Comparator<Delivery> OLDEST_FIRST =
-            Comparator.comparingDouble((Delivery d) -> d.aimAt).thenComparingLong(d -> d.queued);
+            Comparator.comparingDouble((Delivery d) -> d.targetAt).thenComparingLong(d -> d.queuePosition);
     private static final Comparator<Delivery> NEWEST_FIRST =
-            Comparator.comparingDouble((Delivery d) -> -d.aimAt).thenComparingLong(d -> d.queued);
-    private static final Comparator<Delivery> PRESSING_FIRST =
-            Comparator.comparingDouble((Delivery d) -> -d.rank()).thenComparing(OLDEST_FIRST);
+            Comparator.comparingDouble((Delivery d) -> -d.targetAt).thenComparingLong(d -> d.queuePosition);
+    private static final Comparator<Delivery> HIGHEST_PRIORITY_FIRST =
+            Comparator.comparingDouble((Delivery d) -> -d.priority()).thenComparing(OLDEST_FIRST);
     /** Segments of the priority curve, see {@link Delivery#currentSegment}: sums of the bits that follow. */
-    private static final int PIECES = 8;
-    private static final int AIM_PASSED = 1;
+    private static final int SEGMENTS = 8;
+    private static final int TARGET_PASSED = 1;
     private static final int JUMP_PASSED = 2;
-    private static final int LEAST_REACHED = 4;
+    private static final int MIN_VALUE_REACHED = 4;
     /** Eligibility of a group: it may be sent in a new call, or even join a call that this turn started. */
-    private static final int OPEN = 1;
+    private static final int ELIGIBLE = 1;
     private static final int JOINABLE = 2;
     /** The allowed zone of a message that may go to any zone, and of one that may go to none. */
     private static final long ANY_ZONE = Long.MAX_VALUE;
     private static final long NO_ZONE = Long.MIN_VALUE;
     /** Tolerance for rounding errors in comparisons with a share of the demand. */
-    private static final double SHARE_MARGIN = 1e-6;
+    private static final double SHARE_TOLERANCE = 1e-6;
     /** A message without an attempt in flight gets its final result this long before its deadline. */
-    private static final double ANSWER_MARGIN_MS = 5;
+    private static final double RESULT_MARGIN_MS = 5;
 
     private final Settings settings;
     private final Actions actions;
     private final Random random;
-    private final Map<Long, Target> targets = new LinkedHashMap<>();
+    private final Map<Long, TrackedEndpoint> endpoints = new LinkedHashMap<>();
     /** Endpoints that have left the list, in the order in which they left. */
-    private final Set<Target> leaving = new LinkedHashSet<>();
+    private final Set<TrackedEndpoint> removedEndpoints = new LinkedHashSet<>();
     private final Map<Long, Destination> destinations = new HashMap<>();
     /** Learned state of a previous process, by endpoint, to be restored when a list names the endpoint. */
-    private final Map<Long, Consumer<Target>> recalled = new LinkedHashMap<>();
+    private final Map<Long, Consumer<TrackedEndpoint>> pendingRestores = new LinkedHashMap<>();
     private final Map<Long, Delivery> deliveries = new HashMap<>();
     /** Messages that may be sent once an endpoint is ready, by class and segment; refused messages last. */
     final GroupedQueues<Delivery> waiting;
-    private final Rate.Total asked = new Rate.Total();
-    private final Set<Attempt> out = new LinkedHashSet<>();
-    private final Times firstSends = new Times();
-    private final Throttle copies = new Throttle(COPY_BASE, COPY_SHARE);
-    private final Throttle retries = new Throttle(RETRY_BASE, RETRY_SHARE);
-    private final Connections connections = new Connections();
+    private final EventRate.Total totalDemand = new EventRate.Total();
+    private final Set<Attempt> inFlightAttempts = new LinkedHashSet<>();
+    private final TimestampQueue firstSends = new TimestampQueue();
+    private final SendBudget hedgeBudget = new SendBudget(HEDGES_ALWAYS_ALLOWED, HEDGES_PER_FIRST_SEND);
+    private final SendBudget retryBudget = new SendBudget(RETRIES_ALWAYS_ALLOWED, RETRIES_PER_FIRST_SEND);
+    private final IdleConnectionReuse connectionReuse = new IdleConnectionReuse();
     /** Ordered messages by key: one at a time, with a cool-down after an attempt that may still run. */
-    final KeyLines<Delivery> keyQueues;
+    final KeyQueues<Delivery> keyQueues;
     private final Timers timers;
     private int slotsUsed;
     private long turn;
-    private long queuings;
-    private double closesAt = Double.POSITIVE_INFINITY;
+    private long nextQueuePosition;
+    private double shutdownAt = Double.POSITIVE_INFINITY;
     private double clock = Double.NEGATIVE_INFINITY;
 
     DeliveryScheduler(Settings settings, long seed, Actions actions) {
@@ -198,120 +194,123 @@
         this.actions = actions;
         this.random = new Random(seed);
         this.timers = new Timers(CLOCK_MARGIN_MS, actions::wakeAt);
-        this.keyQueues = new KeyLines<>(timers, this::place);
-        int count = 2 * settings.classes().size() * PIECES;
+        this.keyQueues = new KeyQueues<>(timers, this::requeue);
+        int queueCount = 2 * settings.classes().size() * SEGMENTS;
         this.waiting = new GroupedQueues<>(
-                IntStream.range(0, count).mapToObj(DeliveryScheduler::order).toList(), JOINABLE, Delivery::pieceEnd);
+                IntStream.range(0, queueCount).mapToObj(DeliveryScheduler::queueOrder).toList(), JOINABLE,
+                Delivery::segmentEnd);
     }
 
-    private static Comparator<Delivery> order(int lane) {
-        return (lane & (AIM_PASSED | LEAST_REACHED)) == AIM_PASSED ? NEWEST_FIRST : OLDEST_FIRST;
+    private static Comparator<Delivery> queueOrder(int queue) {
+        return (queue & (TARGET_PASSED | MIN_VALUE_REACHED)) == TARGET_PASSED ? NEWEST_FIRST : OLDEST_FIRST;
     }
 
     // ---- events ----
 
     @Override
-    public void endpointsChanged(double now, boolean whole, List<Endpoint> entries) {
-        tick(now);
-        if (whole) {
-            targets.values().forEach(Target::leave);
+    public void endpointsChanged(double nowMs, boolean fullList, List<Endpoint> entries) {
+        advanceClock(nowMs);
+        if (fullList) {
+            endpoints.values().forEach(TrackedEndpoint::markRemoved);
         }
         for (Endpoint entry : entries) {
-            Target target = targets.computeIfAbsent(entry.id(), unknown -> new Target(entry));
-            Optional.ofNullable(recalled.remove(entry.id())).ifPresent(known -> known.accept(target));
-            target.limit.listedRate = settings.ratesListed() ? entry.listedRate() / 1000 : 0;
+            TrackedEndpoint endpoint = endpoints.computeIfAbsent(entry.id(), k -> new TrackedEndpoint(entry));
+            Optional.ofNullable(pendingRestores.remove(entry.id())).ifPresent(r -> r.accept(endpoint));
+            endpoint.limiter.listedRate = settings.ratesListed() ? entry.listedRate() / 1000 : 0;
             if (entry.removed()) {
-                target.leave();
+                endpoint.markRemoved();
             } else {
-                target.listed(entry.serving());
+                endpoint.markListed(entry.serving());
             }
         }
         // A list may omit an endpoint by mistake, so its learned state is kept for a while.
-        leaving.stream().peek(t -> waiting.countOperation()).takeWhile(t -> clock > t.goneAt + GONE_MS)
-                .filter(t -> t.calls.isEmpty() && t.limit.waitUntil <= clock).toList().forEach(target -> {
-                    leaving.remove(target);
-                    targets.remove(target.entry.id());
-                    target.destination.targets.remove(target);
+        removedEndpoints.stream().peek(e -> waiting.countOperation())
+                .takeWhile(e -> clock > e.removedAt + REMOVED_RETENTION_MS)
+                .filter(e -> e.calls.isEmpty() && e.limiter.retryAfterUntil <= clock).toList().forEach(e -> {
+                    removedEndpoints.remove(e);
+                    endpoints.remove(e.entry.id());
+                    e.destination.endpoints.remove(e);
                 });
     }
 
     @Override
-    public void messageAccepted(double now, Message message) {
-        tick(now);
-        take(message).destination.demand.count(clock);
+    public void messageAccepted(double nowMs, Message message) {
+        advanceClock(nowMs);
+        accept(message).destination.demand.addEvent(clock);
     }
 
     /** Demand is not counted: restored messages arrive at once, but were submitted over an unknown time. */
     @Override
-    public void messageRestored(double now, Message message, List<EarlierAttempt> attempts) {
-        tick(now);
-        Delivery d = take(message);
-        d.destination.targets.forEach(t -> t.limit.resumed());
+    public void messageRestored(double nowMs, Message message, List<EarlierAttempt> attempts) {
+        advanceClock(nowMs);
+        Delivery d = accept(message);
+        d.destination.endpoints.forEach(e -> e.limiter.messageRestored());
         d.destination.markChanged();
         for (EarlierAttempt earlier : attempts) {
-            Optional<Target> target = Optional.ofNullable(targets.get(earlier.endpoint()));
-            Attempt attempt = new Attempt(d, target, earlier.sentAtMs());
+            Optional<TrackedEndpoint> endpoint = Optional.ofNullable(endpoints.get(earlier.endpoint()));
+            Attempt attempt = new Attempt(d, endpoint, earlier.sentAtMs());
             attempt.mayHaveRun = earlier.mayHaveRun();
             if (earlier.inFlightCallId().isPresent()) {
-                started(attempt, target.map(t -> t.adopt(earlier)), d.out > 0);
+                attemptStarted(attempt, endpoint.map(e -> e.adoptCall(earlier)), d.inFlight > 0);
             }
         }
         if (d.attempts.stream().anyMatch(a -> a.mayHaveRun)) {
             // An attempt of the previous process may still be running.
-            d.line.ifPresent(line -> line.rest(clock + settings.keyCoolDownMs()));
+            d.keyQueue.ifPresent(queue -> queue.coolDown(clock + settings.keyCoolDownMs()));
         }
-        if (!attempts.isEmpty() && d.out == 0) {
-            giveUpInTime(d);
+        if (!attempts.isEmpty() && d.inFlight == 0) {
+            finishWithoutFurtherAttempt(d);
         }
-        place(d);
+        requeue(d);
     }
 
     @Override
-    public void restoreEndpointHealth(double now, long endpoint, EndpointHealth health) {
-        tick(now);
-        whenListed(endpoint, target -> target.recall(health));
+    public void restoreEndpointHealth(double nowMs, long endpointId, EndpointHealth health) {
+        advanceClock(nowMs);
+        restoreWhenListed(endpointId, e -> e.restore(health));
     }
 
     @Override
-    public void restoreLearnedState(double now, LearnedState memory) {
-        tick(now);
-        memory.firstSendsAgo().forEach(ago -> firstSends.add(clock - ago));
-        memory.copiesAgo().forEach(ago -> copies.sent(clock - ago));
-        memory.retriesAgo().forEach(ago -> retries.sent(clock - ago));
-        memory.endpoints().forEach(known -> whenListed(known.endpoint(), target -> target.recall(known)));
+    public void restoreLearnedState(double nowMs, LearnedState state) {
+        advanceClock(nowMs);
+        state.firstSendsAgo().forEach(ago -> firstSends.add(clock - ago));
+        state.copiesAgo().forEach(ago -> hedgeBudget.recordSend(clock - ago));
+        state.retriesAgo().forEach(ago -> retryBudget.recordSend(clock - ago));
+        state.endpoints().forEach(learned -> restoreWhenListed(learned.endpoint(), e -> e.restore(learned)));
     }
 
-    private void whenListed(long endpoint, Consumer<Target> recall) {
-        Target target = targets.get(endpoint);
-        if (target == null) {
-            recalled.merge(endpoint, recall, Consumer::andThen);
+    private void restoreWhenListed(long endpointId, Consumer<TrackedEndpoint> restore) {
+        TrackedEndpoint endpoint = endpoints.get(endpointId);
+        if (endpoint == null) {
+            pendingRestores.merge(endpointId, restore, Consumer::andThen);
         } else {
-            recall.accept(target);
-            target.destination.markChanged();
+            restore.accept(endpoint);
+            endpoint.destination.markChanged();
         }
     }
 
     @Override
-    public LearnedState learnedState(double now) {
-        tick(now);
-        return new LearnedState(targets.values().stream().map(Target::known).toList(), firstSends.ago(clock),
-                copies.extra.ago(clock), retries.extra.ago(clock));
+    public LearnedState learnedState(double nowMs) {
+        advanceClock(nowMs);
+        return new LearnedState(endpoints.values().stream().map(TrackedEndpoint::learnedState).toList(),
+                firstSends.ages(clock), hedgeBudget.extraSends.ages(clock),
+                retryBudget.extraSends.ages(clock));
     }
 
     @Override
-    public void shutdownScheduled(double now, double end) {
-        tick(now);
-        closesAt = end;
+    public void shutdownScheduled(double nowMs, double endMs) {
+        advanceClock(nowMs);
+        shutdownAt = endMs;
     }
 
     @Override
     public EndpointCounts endpointCounts() {
-        List<Target> listed = targets.values().stream().filter(t -> t.goneAt > clock).toList();
-        long used = listed.stream().filter(t -> t.serving && t.state != EndpointState.DOWN).count();
-        return new EndpointCounts(listed.size(), (int) (listed.size() - used));
+        List<TrackedEndpoint> listed = endpoints.values().stream().filter(e -> e.removedAt > clock).toList();
+        long available = listed.stream().filter(e -> e.serving && e.state != EndpointState.DOWN).count();
+        return new EndpointCounts(listed.size(), (int) (listed.size() - available));
     }
 
-    private Delivery take(Message message) {
+    private Delivery accept(Message message) {
         if (message.messageClass() < 0 || message.messageClass() >= settings.classes().size()) {
             throw new IllegalArgumentException("unknown message class " + message.messageClass());
         }
@@ -320,92 +319,93 @@
         }
         Delivery d = new Delivery(message);
         deliveries.put(message.id(), d);
-        d.line.ifPresent(line -> line.add(d));
-        timers.set(d, d.deadline - ANSWER_MARGIN_MS);
-        place(d);
+        d.keyQueue.ifPresent(queue -> queue.add(d));
+        timers.set(d, d.deadline - RESULT_MARGIN_MS);
+        requeue(d);
         return d;
     }
 
     @Override
-    public void attemptCompleted(double now, AttemptResult end) {
-        tick(now);
-        Delivery d = deliveries.get(end.message());
-        if (d == null || end.attempt() < 0 || end.attempt() >= d.attempts.size()) {
-            throw new IllegalArgumentException("unknown attempt " + end.attempt() + " of message "
-                    + end.message());
-        }
-        Attempt attempt = d.attempts.get(end.attempt());
-        if (!attempt.out) {
+    public void attemptCompleted(double nowMs, AttemptResult result) {
+        advanceClock(nowMs);
+        Delivery d = deliveries.get(result.message());
+        if (d == null || result.attempt() < 0 || result.attempt() >= d.attempts.size()) {
+            throw new IllegalArgumentException("unknown attempt " + result.attempt() + " of message "
+                    + result.message());
+        }
+        Attempt attempt = d.attempts.get(result.attempt());
+        if (!attempt.inFlight) {
             return;
         }
-        attempt.out = false;
-        out.remove(attempt);
+        attempt.inFlight = false;
+        inFlightAttempts.remove(attempt);
         timers.remove(attempt);
-        attempt.mayHaveRun = end.outcome().mayHaveRun();
-        d.refused = end.outcome() == Outcome.FULL;
-        attempt.call.ifPresent(call -> call.itemEnded(end));
-        if (attempt.mayHaveRun && end.outcome() != Outcome.ERROR) {
-            d.line.ifPresent(line -> line.rest(clock + settings.keyCoolDownMs()));
-        }
-        d.line.ifPresent(line -> line.out(-1));
-        d.out--;
-        if (end.messageFinished()) {
-            close(d);
-        }
-        if (d.ended) {
-            forget(d);
-        } else if (d.out == 0) {
-            nextWave(d);
+        attempt.mayHaveRun = result.outcome().mayHaveRun();
+        d.refused = result.outcome() == Outcome.FULL;
+        attempt.call.ifPresent(call -> call.attemptCompleted(result));
+        if (attempt.mayHaveRun && result.outcome() != Outcome.ERROR) {
+            d.keyQueue.ifPresent(queue -> queue.coolDown(clock + settings.keyCoolDownMs()));
+        }
+        d.keyQueue.ifPresent(queue -> queue.addInFlight(-1));
+        d.inFlight--;
+        if (result.messageFinished()) {
+            complete(d);
+        }
+        if (d.completed) {
+            removeUnlessInFlight(d);
+        } else if (d.inFlight == 0) {
+            scheduleNextRound(d);
         }
     }
 
     @Override
-    public void retryAfterReceived(double now, long endpoint, double waitMs) {
-        tick(now);
-        Optional.ofNullable(targets.get(endpoint)).ifPresent(target -> target.limit.told(waitMs));
+    public void retryAfterReceived(double nowMs, long endpointId, double retryAfterMs) {
+        advanceClock(nowMs);
+        Optional.ofNullable(endpoints.get(endpointId))
+                .ifPresent(e -> e.limiter.recordRetryAfter(retryAfterMs));
     }
 
     @Override
-    public boolean sendAllowed(double now, long endpoint) {
-        return Optional.ofNullable(targets.get(endpoint))
-                .filter(target -> target.serving && target.limit.waitUntil <= now).isPresent();
+    public boolean sendAllowed(double nowMs, long endpointId) {
+        return Optional.ofNullable(endpoints.get(endpointId))
+                .filter(e -> e.serving && e.limiter.retryAfterUntil <= nowMs).isPresent();
     }
 
     @Override
-    public void messageCancelled(double now, long message) {
-        tick(now);
-        Optional.ofNullable(deliveries.get(message)).ifPresent(this::close);
+    public void messageCancelled(double nowMs, long message) {
+        advanceClock(nowMs);
+        Optional.ofNullable(deliveries.get(message)).ifPresent(this::complete);
     }
 
     @Override
-    public void wake(double now) {
-        tick(now);
+    public void wake(double nowMs) {
+        advanceClock(nowMs);
     }
 
     @Override
-    public void endTurn(double now) {
-        tick(now);
-        timers.run(now);
+    public void endTurn(double nowMs) {
+        advanceClock(nowMs);
+        timers.fireDue(nowMs);
         dispatch();
-        timers.ask(now, waiting.nextUpdateAt());
+        timers.requestWake(nowMs, waiting.nextUpdateAt());
         turn++;
     }
 
     /** Lowest rate of probes by one sender: all senders together still notice a recovery in time. */
-    private double leastTrialRate() {
-        return 1 / Math.min(TRIAL_LEAST_MS * settings.senderCount(),
-                TRIAL_MOST * settings.slowStart().rampUpMs());
+    private double minProbeRate() {
+        return 1 / Math.min(MIN_PROBE_INTERVAL_MS * settings.senderCount(),
+                MAX_PROBE_INTERVAL_RAMPS * settings.slowStart().rampUpMs());
     }
 
     private Destination destination(long id) {
-        return destinations.computeIfAbsent(id, unknown -> new Destination());
+        return destinations.computeIfAbsent(id, k -> new Destination());
     }
 
-    private void tick(double now) {
-        if (now < clock) {
+    private void advanceClock(double nowMs) {
+        if (nowMs < clock) {
             throw new IllegalArgumentException("the event time went backwards");
         }
-        clock = now;
+        clock = nowMs;
     }
 
     // ---- decisions ----
@@ -416,61 +416,63 @@
      * would not end before the shutdown.
      */
     private void dispatch() {
-        waiting.end(clock, this::place);
+        waiting.requeueExpired(clock, this::requeue);
         waiting.updateEligibility(clock);
-        List<Group<Delivery>> parked = new ArrayList<>();
-        for (Group<Delivery> group = mostPressing(); group != null; group = mostPressing()) {
+        List<Group<Delivery>> setAside = new ArrayList<>();
+        for (Group<Delivery> group = nextGroup(); group != null; group = nextGroup()) {
             Delivery d = group.first();
-            Optional<Target> target = choose(d, false);
-            if (target.isPresent()) {
-                send(d, target.get(), false);
+            Optional<TrackedEndpoint> endpoint = chooseEndpoint(d, false);
+            if (endpoint.isPresent()) {
+                send(d, endpoint.get(), false);
                 waiting.updateEligibility(clock);
             } else if (!mayRepeat(d)) {
-                place(d);
+                requeue(d);
             } else {
-                group.stand(0);
-                parked.add(group);
+                group.setLevel(0);
+                setAside.add(group);
             }
         }
-        boolean full = settings.cancellation() && slotsUsed >= settings.slots() - 1;
-        if (full && (parked.stream().anyMatch(this::lacksSlot)
-                || waiting.stream(openLanes(), OPEN).anyMatch(this::lacksSlot))) {
-            freeSlot();
+        boolean slotsScarce = settings.cancellation() && slotsUsed >= settings.slots() - 1;
+        if (slotsScarce && (setAside.stream().anyMatch(this::lacksOnlySlot)
+                || waiting.groups(servedQueues(), ELIGIBLE).anyMatch(this::lacksOnlySlot))) {
+            cancelSlowestCall();
         }
-        parked.forEach(group -> group.owner.markChanged());
+        setAside.forEach(group -> group.owner.markChanged());
         // The calls of this turn can't be joined in the next turn.
-        waiting.stream(Integer.MAX_VALUE, JOINABLE).forEach(group -> group.owner.markChanged());
+        waiting.groups(Integer.MAX_VALUE, JOINABLE).forEach(group -> group.owner.markChanged());
     }
 
     /** The next group to serve, or null. Without a free slot messages can only join calls of this turn. */
-    private Group<Delivery> mostPressing() {
-        return waiting.first(openLanes(), slotsUsed < settings.slots() ? OPEN : JOINABLE, PRESSING_FIRST);
+    private Group<Delivery> nextGroup() {
+        return waiting.first(servedQueues(), slotsUsed < settings.slots() ? ELIGIBLE : JOINABLE,
+                HIGHEST_PRIORITY_FIRST);
     }
 
     /** The number of queues to serve: those of refused messages, which are last, only within the budget. */
-    private int openLanes() {
-        return settings.classes().size() * PIECES * (retries.allows() ? 2 : 1);
+    private int servedQueues() {
+        return settings.classes().size() * SEGMENTS * (retryBudget.allowsSend() ? 2 : 1);
     }
 
     /** Whether only the lack of a free slot keeps messages of this group from being sent. */
-    private boolean lacksSlot(Group<Delivery> group) {
-        return group.stream().filter(this::mayRepeat).limit(1).anyMatch(d -> d.destination.targets.stream()
-                .anyMatch(t -> t.isOpen() && !t.hasSlot() && allows(d, t)));
+    private boolean lacksOnlySlot(Group<Delivery> group) {
+        return group.stream().filter(this::mayRepeat).limit(1).anyMatch(d -> d.destination.endpoints.stream()
+                .anyMatch(e -> e.isReady() && !e.slotAvailable() && sendConditionsMet(d, e)));
     }
 
     /** Puts a message into the group in which it has to wait now, or into none if it may not be sent. */
-    private void place(Delivery d) {
-        if (!d.ended && d.out == 0 && d.notBefore <= clock && mayGoInOrder(d) && mayRepeat(d)) {
-            int kind = d.message.messageClass() + (d.refused ? settings.classes().size() : 0);
-            d.piece = d.pieceNow();
-            waiting.put(d, d.destination, kind * PIECES + d.piece, d.zone());
+    private void requeue(Delivery d) {
+        if (!d.completed && d.inFlight == 0 && d.notBefore <= clock && keyOrderAllows(d) && mayRepeat(d)) {
+            int classIndex = d.message.messageClass() + (d.refused ? settings.classes().size() : 0);
+            d.segment = d.currentSegment();
+            waiting.put(d, d.destination, classIndex * SEGMENTS + d.segment, d.allowedZone());
         } else {
             waiting.remove(d);
         }
     }
 
-    private boolean mayGoInOrder(Delivery d) {
-        return d.line.map(l -> l.first() == d && l.out() == d.out && l.restUntil() <= clock).orElse(true);
+    private boolean keyOrderAllows(Delivery d) {
+        return d.keyQueue.map(q -> q.first() == d && q.inFlight() == d.inFlight && q.coolDownUntil() <= clock)
+                .orElse(true);
     }
 
     /**
@@ -479,157 +481,159 @@
      * cancellation raises the limit for the next one there, as the endpoint may only be slow. The call counts
      * as overdue then, so that a silent endpoint is marked as down and does not take the slots again.
      */
-    private void freeSlot() {
-        out.stream().filter(a -> !a.calledOff && a.delivery.type.effect() != Effect.UNSAFE)
-                .filter(a -> a.overPatience() > 1)
-                .max(Comparator.comparingDouble(Attempt::overPatience)).ifPresent(most -> {
-                    most.calledOff = true;
-                    most.target.get().calledOff++;
-                    most.call.ifPresent(Call::due);
-                    actions.cancel(most.delivery.message.id(), most.delivery.attempts.indexOf(most));
+    private void cancelSlowestCall() {
+        inFlightAttempts.stream()
+                .filter(a -> !a.cancelledForSlot && a.delivery.messageClass.effect() != Effect.UNSAFE)
+                .filter(a -> a.overdueRatio() > 1)
+                .max(Comparator.comparingDouble(Attempt::overdueRatio)).ifPresent(slowest -> {
+                    slowest.cancelledForSlot = true;
+                    slowest.endpoint.get().cancelledForSlots++;
+                    slowest.call.ifPresent(Call::fire);
+                    actions.cancel(slowest.delivery.message.id(), slowest.delivery.attempts.indexOf(slowest));
                 });
     }
 
     /** The cheapest endpoint that may be sent to; a hedged attempt goes to another endpoint if it can. */
-    private Optional<Target> choose(Delivery d, boolean copy) {
-        List<Target> all = d.destination.targets;
-        boolean elsewhere = copy && all.stream().anyMatch(t -> t.serving && !d.isOutAt(t));
-        return all.stream()
-                .filter(t -> !(elsewhere && d.isOutAt(t) || copy && t.state == EndpointState.DOWN)
-                && maySend(d, t))
-                .min(Comparator.comparingDouble(t -> t.cost(d)));
+    private Optional<TrackedEndpoint> chooseEndpoint(Delivery d, boolean hedged) {
+        List<TrackedEndpoint> candidates = d.destination.endpoints;
+        boolean elsewhere = hedged && candidates.stream().anyMatch(e -> e.serving && !d.isInFlightAt(e));
+        return candidates.stream()
+                .filter(e -> !(elsewhere && d.isInFlightAt(e) || hedged && e.state == EndpointState.DOWN)
+                && canSend(d, e))
+                .min(Comparator.comparingDouble(e -> e.cost(d)));
     }
 
     /** The condition of every send: of first sends, hedged attempts and new rounds. */
-    private boolean maySend(Delivery d, Target target) {
-        return allows(d, target) && (target.mayJoin() || target.hasSlot() && target.isOpen());
+    private boolean canSend(Delivery d, TrackedEndpoint endpoint) {
+        return sendConditionsMet(d, endpoint) && (endpoint.canJoinCall()
+                || endpoint.slotAvailable() && endpoint.isReady());
     }
 
     /** The conditions that hold for a send whether it needs a slot of its own or joins a call. */
-    private boolean allows(Delivery d, Target target) {
+    private boolean sendConditionsMet(Delivery d, TrackedEndpoint endpoint) {
         waiting.countOperation();
-        return !d.ended && target.serving
-                && clock < d.deadline - ANSWER_MARGIN_MS
+        return !d.completed && endpoint.serving
+                && clock < d.deadline - RESULT_MARGIN_MS
                 && d.attempts.size() < settings.maxAttempts()
-                && mayRepeat(d, target)
-                && mayGoInOrder(d)
-                && (!d.refused || d.out > 0 || retries.allows())
-                && target.limit.waitUntil <= clock
-                && clock + target.expectedEnd(d.type) <= closesAt;
+                && mayRepeat(d, endpoint)
+                && keyOrderAllows(d)
+                && (!d.refused || d.inFlight > 0 || retryBudget.allowsSend())
+                && endpoint.limiter.retryAfterUntil <= clock
+                && clock + endpoint.expectedDuration(d.messageClass) <= shutdownAt;
     }
 
     /** Whether one more attempt at this endpoint can't make the message take effect twice. */
-    private boolean mayRepeat(Delivery d, Target target) {
-        long zone = d.zone();
-        return mayRepeat(d) && (zone == ANY_ZONE || zone == target.entry.zone());
+    private boolean mayRepeat(Delivery d, TrackedEndpoint endpoint) {
+        long zone = d.allowedZone();
+        return mayRepeat(d) && (zone == ANY_ZONE || zone == endpoint.entry.zone());
     }
 
     /** The same without regard to the endpoint: checks only the effect and the deduplication window. */
     private boolean mayRepeat(Delivery d) {
-        double window = d.type.effect() == Effect.SAFE ? Double.POSITIVE_INFINITY : d.type.dedupWindowMs();
-        return d.attempts.stream().filter(Attempt::mayRun).allMatch(a -> (!a.out || settings.hedging())
-                && d.type.effect() != Effect.UNSAFE && clock <= a.sentAt + window - WINDOW_MARGIN_MS);
+        double windowMs = d.messageClass.effect() == Effect.SAFE ? Double.POSITIVE_INFINITY
+                : d.messageClass.dedupWindowMs();
+        return d.attempts.stream().filter(Attempt::mayTakeEffect)
+                .allMatch(a -> (!a.inFlight || settings.hedging()) && d.messageClass.effect() != Effect.UNSAFE
+                && clock <= a.sentAt + windowMs - DEDUP_WINDOW_MARGIN_MS);
     }
 
-    private void send(Delivery d, Target target, boolean copy) {
-        Call call = target.joinOrStart();
-        Attempt attempt = new Attempt(d, Optional.of(target), clock);
-        if (copy) {
-            copies.sent(clock);
+    private void send(Delivery d, TrackedEndpoint endpoint, boolean hedged) {
+        Call call = endpoint.joinOrStartCall();
+        Attempt attempt = new Attempt(d, Optional.of(endpoint), clock);
+        if (hedged) {
+            hedgeBudget.recordSend(clock);
         } else if (d.attempts.size() == 1) {
             firstSends.add(clock);
-            firstSends.trim(clock - THROTTLE_PERIOD_MS);
+            firstSends.removeBefore(clock - BUDGET_PERIOD_MS);
         } else if (d.refused) {
-            retries.sent(clock);
+            retryBudget.recordSend(clock);
         }
-        double timeout = Math.min(target.timeout(d.type), d.deadline - clock);
-        actions.send(d.message.id(), target.entry.id(), timeout);
-        started(attempt, Optional.of(call), copy);
+        double timeout = Math.min(endpoint.timeout(d.messageClass), d.deadline - clock);
+        actions.send(d.message.id(), endpoint.entry.id(), timeout);
+        attemptStarted(attempt, Optional.of(call), hedged);
     }
 
     /** Records an attempt as in flight, and sets the timers of its hedged attempt and its overdue call. */
-    private void started(Attempt attempt, Optional<Call> call, boolean copy) {
+    private void attemptStarted(Attempt attempt, Optional<Call> call, boolean hedged) {
         Delivery d = attempt.delivery;
         attempt.call = call;
-        attempt.out = true;
-        out.add(attempt);
-        d.out++;
-        place(d);
-        d.line.ifPresent(line -> line.out(1));
-        double offset = d.type.targetLatencyMs() * COPY_OFFSET;
-        if (!copy && clock <= attempt.sentAt + offset) {
-            timers.set(attempt, attempt.sentAt + offset);
-        }
-        call.ifPresent(c -> c.overdueAt(attempt.sentAt + Math.max(offset, c.target.patience())));
+        attempt.inFlight = true;
+        inFlightAttempts.add(attempt);
+        d.inFlight++;
+        requeue(d);
+        d.keyQueue.ifPresent(queue -> queue.addInFlight(1));
+        double hedgeDelay = d.messageClass.targetLatencyMs() * HEDGE_DELAY_SHARE;
+        if (!hedged && clock <= attempt.sentAt + hedgeDelay) {
+            timers.set(attempt, attempt.sentAt + hedgeDelay);
+        }
+        call.ifPresent(c -> c.setOverdueAt(attempt.sentAt + Math.max(hedgeDelay, c.endpoint.overdueAfter())));
     }
 
     /** All attempts have ended without a delivery: waits for a new round, or finishes if none is allowed. */
-    private void nextWave(Delivery d) {
-        giveUpInTime(d);
-        if (d.ended) {
+    private void scheduleNextRound(Delivery d) {
+        finishWithoutFurtherAttempt(d);
+        if (d.completed) {
             return;
         }
-        double backoff = BACKOFF_MS * Math.pow(BACKOFF_GROWTH, d.waves) * (0.75 + 0.5 * random.nextDouble());
+        double backoff = BACKOFF_MS * Math.pow(BACKOFF_FACTOR, d.rounds) * (0.75 + 0.5 * random.nextDouble());
         d.notBefore = clock + Math.min(backoff, (d.deadline - clock) / 2);
-        d.waves++;
-        d.queued = queuings++;
-        d.pause = timers.add(d.notBefore, () -> place(d));
+        d.rounds++;
+        d.queuePosition = nextQueuePosition++;
+        d.backoffTimer = timers.add(d.notBefore, () -> requeue(d));
     }
 
-    /**
-     * Finishes a message as soon as no further attempt is possible: now, or when the deduplication window of
-     * a keyed message ends. At the deadline the result would come too late to be of use to the client.
-     */
-    private void giveUpInTime(Delivery d) {
-        if (!mayGoOn(d)) {
-            finish(d);
-        } else if (d.type.effect() == Effect.KEYED && d.window == null) {
+    /** Finishes a message once no further attempt is possible: a result at its deadline would be useless. */
+    private void finishWithoutFurtherAttempt(Delivery d) {
+        if (!furtherAttemptPossible(d)) {
+            finishUndelivered(d);
+        } else if (d.messageClass.effect() == Effect.KEYED && d.windowTimer == null) {
             d.attempts.stream().filter(a -> a.mayHaveRun).mapToDouble(a -> a.sentAt).min().ifPresent(first ->
-                    d.window = timers.add(first + d.type.dedupWindowMs() - WINDOW_MARGIN_MS + CLOCK_MARGIN_MS,
-                            () -> giveUpInTime(d)));
+                    d.windowTimer = timers.add(
+                            first + d.messageClass.dedupWindowMs() - DEDUP_WINDOW_MARGIN_MS + CLOCK_MARGIN_MS,
+                            () -> finishWithoutFurtherAttempt(d)));
         }
     }
 
     /** Whether a further attempt may become possible, at a listed endpoint or, if none is, at a new one. */
-    private boolean mayGoOn(Delivery d) {
-        return d.attempts.size() < settings.maxAttempts() && clock < d.deadline - ANSWER_MARGIN_MS
-                && (d.destination.targets.isEmpty() ? mayRepeat(d)
-                        : d.destination.targets.stream().anyMatch(t -> mayRepeat(d, t)));
+    private boolean furtherAttemptPossible(Delivery d) {
+        return d.attempts.size() < settings.maxAttempts() && clock < d.deadline - RESULT_MARGIN_MS
+                && (d.destination.endpoints.isEmpty() ? mayRepeat(d)
+                        : d.destination.endpoints.stream().anyMatch(e -> mayRepeat(d, e)));
     }
 
     /** Gives an undelivered message its final result: rejected if repeating it is harmless, else failed. */
-    private void finish(Delivery d) {
-        if (d.ended || d.out > 0) {
+    private void finishUndelivered(Delivery d) {
+        if (d.completed || d.inFlight > 0) {
             return;
         }
-        boolean repeatable = d.type.effect() != Effect.UNSAFE && !d.isBoundToZone();
-        if (repeatable || d.attempts.stream().noneMatch(Attempt::mayRun)) {
-            actions.reject(d.message.id(), Math.max(0, d.destination.opensAt() - clock));
+        boolean repeatable = d.messageClass.effect() != Effect.UNSAFE && !d.isDedupWithinZone();
+        if (repeatable || d.attempts.stream().noneMatch(Attempt::mayTakeEffect)) {
+            actions.reject(d.message.id(), Math.max(0, d.destination.nextReadyAt() - clock));
         } else {
             actions.fail(d.message.id());
         }
-        close(d);
+        complete(d);
     }
 
     /** Marks a message as completed and cancels its redundant attempts. */
-    private void close(Delivery d) {
-        if (d.ended) {
+    private void complete(Delivery d) {
+        if (d.completed) {
             return;
         }
-        d.ended = true;
+        d.completed = true;
         waiting.remove(d);
-        timers.removeAll(d, d.window, d.pause);
-        d.line.ifPresent(line -> line.remove(d));
+        timers.removeAll(d, d.windowTimer, d.backoffTimer);
+        d.keyQueue.ifPresent(queue -> queue.remove(d));
         for (int i = 0; i < d.attempts.size(); i++) {
-            if (d.attempts.get(i).out && settings.cancellation()) {
+            if (d.attempts.get(i).inFlight && settings.cancellation()) {
                 actions.cancel(d.message.id(), i);
             }
         }
-        forget(d);
+        removeUnlessInFlight(d);
     }
 
-    private void forget(Delivery d) {
-        if (d.out == 0) {
+    private void removeUnlessInFlight(Delivery d) {
+        if (d.inFlight == 0) {
             deliveries.remove(d.message.id());
         }
     }
@@ -639,113 +643,112 @@
     /** A message and its attempts. */
     private final class Delivery extends GroupedQueues.Element<Delivery> {
         final Message message;
-        final MessageClass type;
+        final MessageClass messageClass;
         final Destination destination;
-        final double aimAt;
+        final double targetAt;
         final double deadline;
         List<Attempt> attempts = List.of();
         double notBefore = Double.NEGATIVE_INFINITY;
         /** Position in the order in which messages began to wait, or to wait again. */
-        long queued = queuings++;
-        final Optional<KeyLines<Delivery>.Line> line;
+        long queuePosition = nextQueuePosition++;
+        final Optional<KeyQueues<Delivery>.KeyQueue> keyQueue;
         /** Timers for the end of the deduplication window and of the backoff; null until set. */
-        Timer window;
-        Timer pause;
-        int piece;
-        int waves;
+        Timer windowTimer;
+        Timer backoffTimer;
+        int segment;
+        int rounds;
         boolean refused;
-        int out;
-        boolean ended;
+        int inFlight;
+        boolean completed;
 
         Delivery(Message message) {
             this.message = message;
-            this.type = settings.classes().get(message.messageClass());
+            this.messageClass = settings.classes().get(message.messageClass());
             this.destination = destination(message.destination());
             this.deadline = clock + message.timeLeftMs();
-            this.aimAt = deadline - type.deadlineMs() + type.targetLatencyMs();
-            this.line = message.key().filter(key -> type.ordered()).map(keyQueues::line);
+            this.targetAt = deadline - messageClass.deadlineMs() + messageClass.targetLatencyMs();
+            this.keyQueue = message.key().filter(key -> messageClass.ordered()).map(keyQueues::queue);
         }
 
         @Override
-        void due() {
-            finish(this);
+        void fire() {
+            finishUndelivered(this);
         }
 
-        boolean isBoundToZone() {
-            return type.effect() == Effect.KEYED && type.dedupWithinZone();
+        boolean isDedupWithinZone() {
+            return messageClass.effect() == Effect.KEYED && messageClass.dedupWithinZone();
         }
 
         /** The zone of its earlier attempts if only that zone drops repeats of them. */
-        long zone() {
-            long[] ran = attempts.stream().filter(a -> a.mayRun() && isBoundToZone())
-                    .mapToLong(a -> a.target.map(t -> (long) t.entry.zone()).orElse(NO_ZONE))
+        long allowedZone() {
+            long[] zones = attempts.stream().filter(a -> a.mayTakeEffect() && isDedupWithinZone())
+                    .mapToLong(a -> a.endpoint.map(e -> (long) e.entry.zone()).orElse(NO_ZONE))
                     .distinct().toArray();
-            return ran.length == 0 ? ANY_ZONE : ran.length == 1 ? ran[0] : NO_ZONE;
+            return zones.length == 0 ? ANY_ZONE : zones.length == 1 ? zones[0] : NO_ZONE;
         }
 
-        boolean isOutAt(Target target) {
-            return attempts.stream().anyMatch(a -> a.out && a.target.filter(t -> t == target).isPresent());
+        boolean isInFlightAt(TrackedEndpoint endpoint) {
+            return attempts.stream()
+                    .anyMatch(a -> a.inFlight && a.endpoint.filter(e -> e == endpoint).isPresent());
         }
 
-        double worthAt(double time) {
-            if (time > deadline) {
+        double valueAt(double timeMs) {
+            if (timeMs > deadline) {
                 return 0;
             }
-            double late = Math.max(0, time - aimAt);
+            double late = Math.max(0, timeMs - targetAt);
             double share = settings.valueDecay() == Decay.HALVING
-                    ? Math.max(type.lateValue(), Math.pow(0.5, late / type.targetLatencyMs()))
-                    : 1 - (1 - type.lateValue()) * late / Math.max(1,
-                    type.deadlineMs() - type.targetLatencyMs());
-            return type.value() * share;
+                    ? Math.max(messageClass.lateValue(), Math.pow(0.5, late / messageClass.targetLatencyMs()))
+                    : 1 - (1 - messageClass.lateValue()) * late / Math.max(1,
+                    messageClass.deadlineMs() - messageClass.targetLatencyMs());
+            return messageClass.value() * share;
         }
 
-        double rank() {
-            double worth = worthAt(clock);
-            return worth - worthAt(clock + RANK_HORIZON_MS) + RANK_WORTH * worth;
+        double priority() {
+            double value = valueAt(clock);
+            return value - valueAt(clock + PRIORITY_HORIZON_MS) + PRIORITY_VALUE_WEIGHT * value;
         }
 
         /**
          * The current segment of the priority curve, in which the order of two messages of a class is fixed.
-         * Until the target time priority rises, and the oldest message is first. Then it falls, and the
-         * newest is first; it jumps up where the horizon reaches the deadline. Once the value is at its
-         * minimum, priority is constant, and the oldest is first.
+         * Until the target time priority rises: oldest first. Then it falls: newest first, with a jump up
+         * where the horizon reaches the deadline. At the minimum value it is constant: oldest first.
          */
-        int pieceNow() {
-            return (clock > aimAt ? AIM_PASSED : 0) + (clock > deadline - RANK_HORIZON_MS ? JUMP_PASSED : 0)
-                    + (clock > leastAt() ? LEAST_REACHED : 0);
+        int currentSegment() {
+            return (clock > targetAt ? TARGET_PASSED : 0)
+                    + (clock > deadline - PRIORITY_HORIZON_MS ? JUMP_PASSED : 0)
+                    + (clock > minValueAt() ? MIN_VALUE_REACHED : 0);
         }
 
-        double pieceEnd() {
-            double jumpAt = (piece & JUMP_PASSED) > 0 ? Double.POSITIVE_INFINITY : deadline - RANK_HORIZON_MS;
-            double least = (piece & LEAST_REACHED) > 0 ? Double.POSITIVE_INFINITY : leastAt();
-            return (piece & AIM_PASSED) > 0 ? Math.min(jumpAt, least) : Math.min(jumpAt, aimAt);
+        double segmentEnd() {
+            double jumpAt = (segment & JUMP_PASSED) > 0 ? Double.POSITIVE_INFINITY
+                    : deadline - PRIORITY_HORIZON_MS;
+            double minAt = (segment & MIN_VALUE_REACHED) > 0 ? Double.POSITIVE_INFINITY : minValueAt();
+            return (segment & TARGET_PASSED) > 0 ? Math.min(jumpAt, minAt) : Math.min(jumpAt, targetAt);
         }
 
-        private double leastAt() {
-            if (type.value() <= 0 || type.lateValue() >= 1) {
-                return aimAt;
+        private double minValueAt() {
+            if (messageClass.value() <= 0 || messageClass.lateValue() >= 1) {
+                return targetAt;
             }
-            return settings.valueDecay() == Decay.LINEAR ? Double.POSITIVE_INFINITY
-                    : aimAt - type.targetLatencyMs() * Math.log(type.lateValue()) / Math.log(2);
+            return settings.valueDecay() == Decay.LINEAR ? Double.POSITIVE_INFINITY : targetAt
+                    - messageClass.targetLatencyMs() * Math.log(messageClass.lateValue()) / Math.log(2);
         }
     }
 
-    /**
-     * One attempt of a message. Attempts of a previous process have no call and hold no slot, unless they are
-     * still in flight, and no endpoint if it has left the list.
-     */
+    /** An attempt. One of a previous process has no call unless in flight, and no endpoint unless listed. */
     private final class Attempt extends Timer {
         final Delivery delivery;
-        final Optional<Target> target;
+        final Optional<TrackedEndpoint> endpoint;
         final double sentAt;
         Optional<Call> call = Optional.empty();
-        boolean out;
+        boolean inFlight;
         boolean mayHaveRun;
-        boolean calledOff;
+        boolean cancelledForSlot;
 
-        Attempt(Delivery delivery, Optional<Target> target, double sentAt) {
+        Attempt(Delivery delivery, Optional<TrackedEndpoint> endpoint, double sentAt) {
             this.delivery = delivery;
-            this.target = target;
+            this.endpoint = endpoint;
             this.sentAt = sentAt;
             if (delivery.attempts.isEmpty()) {
                 delivery.attempts = new ArrayList<>(2);
@@ -755,90 +758,91 @@
 
         /** The hedging delay has passed: a hedged attempt may join the round. */
         @Override
-        void due() {
-            boolean races = out && delivery.type.effect() != Effect.UNSAFE && settings.hedging();
-            if (races && !delivery.ended && slotsUsed < settings.slots() && copies.allows()) {
-                choose(delivery, true).ifPresent(target -> send(delivery, target, true));
+        void fire() {
+            boolean hedge = inFlight && delivery.messageClass.effect() != Effect.UNSAFE && settings.hedging();
+            if (hedge && !delivery.completed && slotsUsed < settings.slots() && hedgeBudget.allowsSend()) {
+                chooseEndpoint(delivery, true).ifPresent(endpoint -> send(delivery, endpoint, true));
             }
         }
 
-        boolean mayRun() {
-            return out || mayHaveRun;
+        boolean mayTakeEffect() {
+            return inFlight || mayHaveRun;
         }
 
         /** Its time in flight, relative to a limit that grows with each cancellation at its endpoint. */
-        double overPatience() {
-            return target.map(t -> (clock - sentAt)
-                    / (Math.max(t.patience(), CALL_OFF_LEAST_MS) * (1 + t.calledOff))).orElse(0.0);
+        double overdueRatio() {
+            return endpoint.map(e -> (clock - sentAt) / (Math.max(e.overdueAfter(), MIN_CANCEL_AGE_MS)
+                    * (1 + e.cancelledForSlots))).orElse(0.0);
         }
     }
 
     /** A request on the wire with one attempt or more: it takes one slot, and counts once for health. */
     private final class Call extends Timer {
-        final Target target;
+        final TrackedEndpoint endpoint;
         final double sentAt;
         final long sentTurn = turn;
         /** Its id in the previous process, if that one sent it. */
-        final OptionalLong earlier;
-        final double idledMs;
-        int items;
-        int itemsOut;
-        boolean observed;
-        boolean late;
-
-        Call(Target target, double sentAt, OptionalLong earlier) {
-            this.target = target;
+        final OptionalLong previousId;
+        final double connIdleMs;
+        int attempts;
+        int attemptsInFlight;
+        boolean resultRecorded;
+        boolean overdue;
+
+        Call(TrackedEndpoint endpoint, double sentAt, OptionalLong previousId) {
+            this.endpoint = endpoint;
             this.sentAt = sentAt;
-            this.earlier = earlier;
-            this.idledMs = connections.take(target);
-            target.usedAt = clock;
+            this.previousId = previousId;
+            this.connIdleMs = connectionReuse.takeConnection(endpoint);
+            endpoint.lastUsedAt = clock;
             slotsUsed++;
-            target.calls.add(this);
-            target.destination.out++;
-            target.destination.markChanged();
-        }
-
-        void itemEnded(AttemptResult end) {
-            itemsOut--;
-            target.limit.told(end.retryAfterMs());
-            target.limit.says(end.report().rate());
-            if (!observed && end.outcome() != Outcome.CANCELLED && end.outcome() != Outcome.NOT_SENT) {
-                observed = true;
-                target.observe(this, end);
+            endpoint.calls.add(this);
+            endpoint.destination.callsInFlight++;
+            endpoint.destination.markChanged();
+        }
+
+        void attemptCompleted(AttemptResult result) {
+            attemptsInFlight--;
+            endpoint.limiter.recordRetryAfter(result.retryAfterMs());
+            endpoint.limiter.recordReportedRate(result.report().rate());
+            if (!resultRecorded && result.outcome() != Outcome.CANCELLED
+                    && result.outcome() != Outcome.NOT_SENT) {
+                resultRecorded = true;
+                endpoint.recordResult(this, result);
             }
-            target.usedAt = clock;
-            if (itemsOut == 0) {
+            endpoint.lastUsedAt = clock;
+            if (attemptsInFlight == 0) {
                 slotsUsed--;
-                target.calls.remove(this);
-                target.destination.out--;
+                endpoint.calls.remove(this);
+                endpoint.destination.callsInFlight--;
                 timers.remove(this);
             }
-            target.destination.markChanged();
+            endpoint.destination.markChanged();
         }
 
         /** Sets the time from which the call is overdue; the earliest of its attempts counts. */
-        void overdueAt(double time) {
-            if (time < at()) {
-                timers.set(this, time);
+        void setOverdueAt(double overdueAt) {
+            if (overdueAt < dueAt()) {
+                timers.set(this, overdueAt);
             }
         }
 
         @Override
-        void due() {
-            if (!late && !observed && itemsOut > 0) {
-                late = true;
-                target.overdue(this);
-                target.destination.markChanged();
+        void fire() {
+            if (!overdue && !resultRecorded && attemptsInFlight > 0) {
+                overdue = true;
+                endpoint.onOverdue(this);
+                endpoint.destination.markChanged();
             }
         }
     }
 
     /** A destination with its endpoints and, unless they are separate routes, their shared rate limiter. */
     private final class Destination extends GroupedQueues.Owner<Delivery> {
-        final List<Target> targets = new ArrayList<>(2);
-        final Limit shared = new Limit(this);
-        final Rate demand = new Rate(clock, CARRIED, asked);
-        int out;
+        final List<TrackedEndpoint> endpoints = new ArrayList<>(2);
+        final RateLimiter sharedLimiter = new RateLimiter(this);
+        final EventRate demand = new EventRate(clock, RATE_AVERAGING, totalDemand);
+        int callsInFlight;
 
         Destination() {
             super(waiting);
@@ -846,82 +850,84 @@
 
         /** Sets the eligibility of each group, and returns the time at which the next endpoint is ready. */
         @Override
-        double look() {
+        double updateGroups() {
             for (Group<Delivery> group : groups()) {
-                group.stand(targets.stream().filter(t -> t.lets(group.tag))
-                        .mapToInt(t -> t.mayJoin() ? JOINABLE : OPEN).max().orElse(0));
+                group.setLevel(endpoints.stream().filter(e -> e.allowsZone(group.tag))
+                        .mapToInt(e -> e.canJoinCall() ? JOINABLE : ELIGIBLE).max().orElse(0));
             }
-            return gatesOpenAt().filter(at -> at > clock).min().orElse(Double.POSITIVE_INFINITY);
+            return readyTimes().filter(at -> at > clock).min().orElse(Double.POSITIVE_INFINITY);
         }
 
-        long serving() {
-            return Math.max(1, targets.stream().filter(t -> t.serving).count());
+        long servingCount() {
+            return Math.max(1, endpoints.stream().filter(e -> e.serving).count());
         }
 
         /** When a client should submit again: when the first endpoint is ready, or now if that is unknown. */
-        double opensAt() {
-            return gatesOpenAt().min().orElse(clock);
+        double nextReadyAt() {
+            return readyTimes().min().orElse(clock);
         }
 
-        private DoubleStream gatesOpenAt() {
-            return targets.stream().filter(t -> t.serving).mapToDouble(Target::gatesOpenAt);
+        private DoubleStream readyTimes() {
+            return endpoints.stream().filter(e -> e.serving).mapToDouble(TrackedEndpoint::readyAt);
         }
     }
 
     /** Allowed rate and Retry-After wait of endpoints that share a limit: avoids refusals and early sends. */
-    private final class Limit {
-        final Rate sends = new Rate(clock, CARRIED);
-        final Times lastSecond = new Times();
+    private final class RateLimiter {
+        final EventRate sendRate = new EventRate(clock, RATE_AVERAGING);
+        final TimestampQueue lastSecondSends = new TimestampQueue();
         final Destination destination;
-        int pressed;
+        int refusalLevel;
         double listedRate;
-        double toldRate;
-        double rate = Double.POSITIVE_INFINITY;
-        double nextAt = Double.NEGATIVE_INFINITY;
-        double waitUntil = Double.NEGATIVE_INFINITY;
-        double cutAt = Double.NEGATIVE_INFINITY;
-        final OutageEvidence evidence = new OutageEvidence(clock, SHUT_MS);
-        double returnedAt = Double.NEGATIVE_INFINITY;
+        double reportedRate;
+        double allowedRate = Double.POSITIVE_INFINITY;
+        double nextSendAt = Double.NEGATIVE_INFINITY;
+        double retryAfterUntil = Double.NEGATIVE_INFINITY;
+        double rateCutAt = Double.NEGATIVE_INFINITY;
+        final OutageEvidence evidence = new OutageEvidence(clock, MIN_OUTAGE_MS);
+        double recoveredAt = Double.NEGATIVE_INFINITY;
         /** When the next call may go to one of its endpoints that are not in full service. */
-        double coldNextAt = Double.NEGATIVE_INFINITY;
+        double nextRecoverySendAt = Double.NEGATIVE_INFINITY;
 
-        Limit(Destination destination) {
+        RateLimiter(Destination destination) {
             this.destination = destination;
         }
 
-        void sent() {
-            if (!lastSecond.isEmpty() && lastSecond.last() < clock - IDLE_MS) {
-                rate = Double.POSITIVE_INFINITY;
+        void recordSend() {
+            if (!lastSecondSends.isEmpty() && lastSecondSends.newest() < clock - RATE_RESET_IDLE_MS) {
+                allowedRate = Double.POSITIVE_INFINITY;
             }
-            sends.count(clock);
-            lastSecond.add(clock);
-            lastSecond.trim(clock - 1000);
-            if (rate < Double.POSITIVE_INFINITY) {
-                nextAt = Math.max(nextAt + 1 / rate, clock);
+            sendRate.addEvent(clock);
+            lastSecondSends.add(clock);
+            lastSecondSends.removeBefore(clock - 1000);
+            if (allowedRate < Double.POSITIVE_INFINITY) {
+                nextSendAt = Math.max(nextSendAt + 1 / allowedRate, clock);
             }
         }
 
         /** Many senders may restart at once: spreads the sends of their restored messages. */
-        void resumed() {
+        void messageRestored() {
             evidence.messageRestored();
-            if (rate == Double.POSITIVE_INFINITY && evenPart(0) > 0) {
-                rate = evenPart(0);
-                nextAt = clock + random.nextDouble() / rate;
+            if (allowedRate == Double.POSITIVE_INFINITY && fairShare(0) > 0) {
+                allowedRate = fairShare(0);
+                nextSendAt = clock + random.nextDouble() / allowedRate;
             }
         }
 
         /** Records a Retry-After wait. Messages of one call may report different ones: the longest counts. */
-        void told(double waitMs) {
+        void recordRetryAfter(double retryAfterMs) {
             destination.markChanged();
-            waitUntil = waitMs > 0 ? Math.max(waitUntil, clock + waitMs + CLOCK_MARGIN_MS) : waitUntil;
+            retryAfterUntil = retryAfterMs > 0
+                    ? Math.max(retryAfterUntil, clock + retryAfterMs + CLOCK_MARGIN_MS) : retryAfterUntil;
         }
 
         /** Averages the rates that answers report, as a single value may be wrong. */
-        void says(double perSecond) {
+        void recordReportedRate(double perSecond) {
             if (perSecond > 0 && perSecond < Double.POSITIVE_INFINITY) {
-                double said = perSecond / 1000;
-                toldRate = toldRate == 0 ? said : toldRate + TOLD_WEIGHT
-                        * (Math.max(toldRate / TOLD_STEP, Math.min(said, toldRate * TOLD_STEP)) - toldRate);
+                double perMs = perSecond / 1000;
+                reportedRate = reportedRate == 0 ? perMs : reportedRate + REPORTED_RATE_WEIGHT
+                        * (Math.max(reportedRate / REPORTED_RATE_MAX_STEP,
+                        Math.min(perMs, reportedRate * REPORTED_RATE_MAX_STEP)) - reportedRate);
             }
         }
 
@@ -930,93 +936,98 @@
          * waits of all senders end at the same time: if the next send would come after the wait, it gets a
          * random delay after it, so that the senders don't all send at once.
          */
-        void refused(Call call) {
-            if (call.sentAt < cutAt) {
+        void cutRate(Call call) {
+            if (call.sentAt < rateCutAt) {
                 return;
             }
-            boolean paced = rate < Double.POSITIVE_INFINITY;
-            double edge = paced ? rate : lastSecond.size() / 1000.0;
+            boolean limited = allowedRate < Double.POSITIVE_INFINITY;
+            double currentRate = limited ? allowedRate : lastSecondSends.size() / 1000.0;
             // Where each sender has little traffic, the count of one second is too small to give a rate.
-            edge = paced || evenPart(0) > 0 ? Math.min(edge, PACE_OVER_SENT * sends.perMs()) : edge;
-            rate = Math.max(floor(), edge * PACE_CUT);
-            pressed = Math.min(pressed + 1, PACE_PAUSES);
-            cutAt = clock;
-            nextAt = clock + 1 / rate;
-            if (nextAt > waitUntil) {
-                nextAt = Math.max(clock, waitUntil) + (0.5 + random.nextDouble()) / rate;
+            currentRate = limited || fairShare(0) > 0
+                    ? Math.min(currentRate, MAX_RATE_OVER_SENT * sendRate.perMs()) : currentRate;
+            allowedRate = Math.max(minRate(), currentRate * RATE_CUT_FACTOR);
+            refusalLevel = Math.min(refusalLevel + 1, MAX_REFUSAL_LEVEL);
+            rateCutAt = clock;
+            nextSendAt = clock + 1 / allowedRate;
+            if (nextSendAt > retryAfterUntil) {
+                nextSendAt = Math.max(clock, retryAfterUntil) + (0.5 + random.nextDouble()) / allowedRate;
             }
         }
 
-        void delivered(double left) {
-            pressed = Math.max(pressed - 1, 0);
-            double seconds = Math.min(LEFT_SECONDS, Math.max(1, 1 / (1000 * rate)));
-            boolean told = left >= 0 && left <= 1;
-            rate *= 1 + (told ? LEFT_GAIN * seconds * (left - LEFT_AIM) : PACE_GROWTH);
-            rate = Math.max(floor(), rate);
+        void adjustRate(double shareLeft) {
+            refusalLevel = Math.max(refusalLevel - 1, 0);
+            double seconds = Math.min(MAX_SHARE_LEFT_STEP_S, Math.max(1, 1 / (1000 * allowedRate)));
+            boolean reported = shareLeft >= 0 && shareLeft <= 1;
+            allowedRate *= 1 + (reported ? SHARE_LEFT_GAIN_PER_S * seconds * (shareLeft - TARGET_SHARE_LEFT)
+                    : RATE_GROWTH_PER_DELIVERY);
+            allowedRate = Math.max(minRate(), allowedRate);
         }
 
-        void recall(LearnedEndpointState known) {
-            told(known.waitLeftMs());
-            rate = known.pace();
-            nextAt = clock + 1 / rate;
-            cutAt = clock - known.paceCutAgoMs();
-            pressed = known.pressed();
-            toldRate = known.told();
-            sends.recall(known.sent());
-            destination.demand.recall(known.demand());
+        void restore(LearnedEndpointState learned) {
+            recordRetryAfter(learned.waitLeftMs());
+            allowedRate = learned.pace();
+            nextSendAt = clock + 1 / allowedRate;
+            rateCutAt = clock - learned.paceCutAgoMs();
+            refusalLevel = learned.pressed();
+            reportedRate = learned.told();
+            sendRate.restore(learned.sent());
+            destination.demand.restore(learned.demand());
         }
 
-        private List<Target> targets() {
-            return destination.targets.stream().filter(t -> t.limit == this).toList();
+        private List<TrackedEndpoint> endpoints() {
+            return destination.endpoints.stream().filter(e -> e.limiter == this).toList();
         }
 
         /** One of its endpoints has failed a call: all are marked as down if the evidence is of an outage. */
-        void failed(String symptom) {
+        void endpointFailed(String reason) {
             evidence.recordFailure(clock);
             if (evidence.isOutage(clock)) {
-                targets().forEach(t -> t.down(symptom));
+                endpoints().forEach(e -> e.markDown(reason));
             }
         }
 
         /** One of its endpoints has refused a call: all are marked as down if it asked for a long wait. */
-        void turnedAway(double waitMs) {
-            if (waitMs >= SHUT_MS) {
-                targets().forEach(Target::shut);
+        void endpointRefused(double retryAfterMs) {
+            if (retryAfterMs >= MIN_OUTAGE_MS) {
+                endpoints().forEach(TrackedEndpoint::markRefusing);
             }
         }
 
         /** One of its endpoints has delivered: if that may end an outage, slow start begins for all. */
-        void good(boolean returns) {
+        void endpointDelivered(boolean mayEndOutage) {
             evidence.recordDelivery(clock);
-            if (returns) {
-                returnedAt = clock;
-                targets().stream().filter(t -> t.state == EndpointState.UP).forEach(Target::warm);
+            if (mayEndOutage) {
+                recoveredAt = clock;
+                endpoints().stream().filter(e -> e.state == EndpointState.UP)
+                        .forEach(TrackedEndpoint::startSlowStart);
             }
         }
 
         /** Whether a possible outage ended less than a ramp-up time ago. */
-        boolean isReturning() {
-            return clock - returnedAt < settings.slowStart().rampUpMs();
+        boolean isRecovering() {
+            return clock - recoveredAt < settings.slowStart().rampUpMs();
         }
 
         /** Allowed rate of calls to all its endpoints not in full service; the given one is next. */
-        double coldRate(Target next) {
-            double part = this == destination.shared ? 1 : 1.0 / destination.serving();
-            double asked = destination.demand.perMs() * part * DEMAND_SHARE;
-            double carried = targets().stream().mapToDouble(t -> t.carried.perMs()).sum();
-            return Math.max(leastTrialRate(), next.rampRate(Math.max(carried, Math.max(asked, evenPart(0)))));
+        double recoveryRate(TrackedEndpoint next) {
+            double endpointShare = this == destination.sharedLimiter ? 1 : 1.0 / destination.servingCount();
+            double assumed = destination.demand.perMs() * endpointShare * ASSUMED_DEMAND_SHARE;
+            double sustainedRate = endpoints().stream().mapToDouble(e -> e.sustainedRate.perMs()).sum();
+            return Math.max(minProbeRate(),
+                    next.slowStartRate(Math.max(sustainedRate, Math.max(assumed, fairShare(0)))));
         }
 
         /** This sender's fair share of the listed or reported rate, at this refusal level; 0 if unknown. */
-        double evenPart(int refusals) {
-            double told = TOLD_SHARE * toldRate / (1 + refusals);
-            return Math.max(LISTED_SHARE * listedRate, told) / settings.senderCount();
+        double fairShare(int level) {
+            double reportedShare = REPORTED_RATE_SHARE * reportedRate / (1 + level);
+            return Math.max(LISTED_RATE_SHARE * listedRate, reportedShare) / settings.senderCount();
         }
 
-        private double floor() {
-            double part = evenPart(pressed);
-            return Math.max(PACE_LEAST_SHARE * destination.demand.perMs(),
-                    part > 0 ? part : 1 / (PACE_PAUSE_MS * Math.pow(PACE_PAUSE_GROWTH, pressed)));
+        private double minRate() {
+            double fairShare = fairShare(refusalLevel);
+            return Math.max(MIN_RATE_DEMAND_SHARE * destination.demand.perMs(),
+                    fairShare > 0 ? fairShare
+                    : 1 / (MAX_SEND_INTERVAL_MS * Math.pow(SEND_INTERVAL_GROWTH, refusalLevel)));
         }
     }
 
@@ -1025,78 +1036,79 @@
      * and gets single probes in place of the backlog; when it answers again, slow start keeps the load within
      * what it can take after an outage. Drawback: an endpoint that is only slow may be marked as down.
      */
-    private final class Target {
+    private final class TrackedEndpoint {
         final Endpoint entry;
         final Destination destination;
-        final Limit limit;
-        final int batch;
-        final double fee;
+        final RateLimiter limiter;
+        final int maxBatchSize;
+        final double zoneFee;
         boolean serving;
         EndpointState state = EndpointState.UP;
-        Call latest;
+        Call latestCall;
         /** Its calls in flight, in the order in which they were sent. */
         final List<Call> calls = new ArrayList<>(0);
-        double latency = FIRST_LATENCY_MS;
-        double deviation = FIRST_LATENCY_MS / 2;
-        double bad;
-        int silentCalls;
-        int calledOff;
-        int fruitless;
-        double fruitlessSince;
-        double lastGood = Double.NEGATIVE_INFINITY;
-        final Rate carried = new Rate(clock, CARRIED);
-        double warmSince;
+        double meanLatency = INITIAL_LATENCY_MS;
+        double latencyDeviation = INITIAL_LATENCY_MS / 2;
+        double failureScore;
+        int overdueCalls;
+        int cancelledForSlots;
+        int consecutiveFailures;
+        double firstFailureAt;
+        double lastDeliveryAt = Double.NEGATIVE_INFINITY;
+        final EventRate sustainedRate = new EventRate(clock, RATE_AVERAGING);
+        double slowStartAt;
         double downAt;
-        boolean silentOnly;
+        boolean downOnlyOverdue;
         /** It answered with errors or refusals while down; lost connections may be the network's fault. */
-        boolean failing;
-        double nextAt = Double.NEGATIVE_INFINITY;
-        double usedAt = Double.NEGATIVE_INFINITY;
-        double goneAt = Double.POSITIVE_INFINITY;
+        boolean failedWhileDown;
+        double nextSendAt = Double.NEGATIVE_INFINITY;
+        double lastUsedAt = Double.NEGATIVE_INFINITY;
+        double removedAt = Double.POSITIVE_INFINITY;
 
-        Target(Endpoint entry) {
+        TrackedEndpoint(Endpoint entry) {
             DestinationKind kind = settings.kinds().get(Math.min(entry.kind(), settings.kinds().size() - 1));
             this.entry = entry;
             this.destination = DeliveryScheduler.this.destination(entry.destination());
-            this.limit = kind.separateRoutes() ? new Limit(destination) : destination.shared;
-            this.batch = kind.maxBatchSize();
-            boolean charged = kind.separateRoutes() && entry.zone() < settings.zoneFees().size();
-            this.fee = charged ? settings.zoneFees().get(entry.zone()) : 0;
-            destination.targets.add(this);
+            this.limiter = kind.separateRoutes() ? new RateLimiter(destination) : destination.sharedLimiter;
+            this.maxBatchSize = kind.maxBatchSize();
+            boolean hasFee = kind.separateRoutes() && entry.zone() < settings.zoneFees().size();
+            this.zoneFee = hasFee ? settings.zoneFees().get(entry.zone()) : 0;
+            destination.endpoints.add(this);
         }
 
-        LearnedEndpointState known() {
-            return new LearnedEndpointState(entry.id(), Math.max(0, limit.waitUntil - clock), limit.rate,
-                    clock - limit.cutAt, limit.pressed, limit.sends.perMs(), limit.toldRate,
-                    destination.demand.perMs(), carried.perMs(), latency, deviation, clock - lastGood);
+        LearnedEndpointState learnedState() {
+            return new LearnedEndpointState(entry.id(), Math.max(0, limiter.retryAfterUntil - clock),
+                    limiter.allowedRate, clock - limiter.rateCutAt, limiter.refusalLevel,
+                    limiter.sendRate.perMs(), limiter.reportedRate, destination.demand.perMs(),
+                    sustainedRate.perMs(), meanLatency, latencyDeviation, clock - lastDeliveryAt);
         }
 
-        void recall(LearnedEndpointState known) {
-            limit.recall(known);
-            carried.recall(known.carried());
-            latency = known.latencyMs();
-            deviation = known.deviationMs();
-            lastGood = clock - known.goodAgoMs();
+        void restore(LearnedEndpointState learned) {
+            limiter.restore(learned);
+            sustainedRate.restore(learned.carried());
+            meanLatency = learned.latencyMs();
+            latencyDeviation = learned.deviationMs();
+            lastDeliveryAt = clock - learned.goodAgoMs();
         }
 
-        void listed(boolean serves) {
-            serving = serves;
-            goneAt = Double.POSITIVE_INFINITY;
-            leaving.remove(this);
+        void markListed(boolean isServing) {
+            serving = isServing;
+            removedAt = Double.POSITIVE_INFINITY;
+            removedEndpoints.remove(this);
             destination.markChanged();
         }
 
-        void leave() {
+        void markRemoved() {
             serving = false;
-            goneAt = Math.min(goneAt, clock);
-            leaving.add(this);
+            removedAt = Math.min(removedAt, clock);
+            removedEndpoints.add(this);
             destination.markChanged();
         }
 
         /** Whether a message with this allowed zone may be sent there, apart from slots. */
-        boolean lets(long zone) {
+        boolean allowsZone(long zone) {
             return serving && (zone == ANY_ZONE || zone == entry.zone())
-                    && (mayJoin() || limit.waitUntil <= clock && isOpen());
+                    && (canJoinCall() || limiter.retryAfterUntil <= clock && isReady());
         }
 
         /**
@@ -1106,248 +1118,252 @@
          */
         double cost(Delivery d) {
             if (state == EndpointState.DOWN) {
-                return (d.type.effect() == Effect.UNSAFE ? 1 : -1) * Double.POSITIVE_INFINITY;
+                return (d.messageClass.effect() == Effect.UNSAFE ? 1 : -1) * Double.POSITIVE_INFINITY;
             }
             double freeShare = 1 - (double) slotsUsed / settings.slots();
-            return latency * (1 + calls.size()) + fruitless * SHUT_MS + fee * FEE_MS * freeShare;
+            return meanLatency * (1 + calls.size()) + consecutiveFailures * MIN_OUTAGE_MS
+                    + zoneFee * MS_PER_FEE_POINT * freeShare;
         }
 
-        boolean mayJoin() {
-            return latest != null && latest.sentTurn == turn && latest.items < batch
+        boolean canJoinCall() {
+            return latestCall != null && latestCall.sentTurn == turn && latestCall.attempts < maxBatchSize
                     && state != EndpointState.DOWN;
         }
 
-        Call joinOrStart() {
-            if (!mayJoin()) {
-                latest = new Call(this, clock, OptionalLong.empty());
-                limit.sent();
-                nextAt = state == EndpointState.UP ? nextAt : clock + 1 / allowedRate();
+        Call joinOrStartCall() {
+            if (!canJoinCall()) {
+                latestCall = new Call(this, clock, OptionalLong.empty());
+                limiter.recordSend();
+                nextSendAt = state == EndpointState.UP ? nextSendAt : clock + 1 / recoveryRate();
             }
             destination.markChanged();
             if (!isInFullService()) {
-                limit.coldNextAt = clock + 1 / limit.coldRate(this);
+                limiter.nextRecoverySendAt = clock + 1 / limiter.recoveryRate(this);
             }
-            latest.items++;
-            latest.itemsOut++;
-            return latest;
+            latestCall.attempts++;
+            latestCall.attemptsInFlight++;
+            return latestCall;
         }
 
         /** The call of the previous process that still carries the attempt: it holds a slot until it ends. */
-        Call adopt(EarlierAttempt attempt) {
-            Call call = calls.stream().filter(c -> c.earlier.equals(attempt.inFlightCallId())).findFirst()
+        Call adoptCall(EarlierAttempt attempt) {
+            Call call = calls.stream().filter(c -> c.previousId.equals(attempt.inFlightCallId())).findFirst()
                     .orElseGet(() -> new Call(this, attempt.sentAtMs(), attempt.inFlightCallId()));
-            call.itemsOut++;
+            call.attemptsInFlight++;
             return call;
         }
 
         /**
          * Whether its destination may take one more slot. It may hold fewer slots than remain free, so that a
          * slow or silent one can't hold them all. A fast one frees its slots soon and may take all but one,
-         * and the last one too while it holds less than its share by demand, else destinations with no call
-         * in flight starve the busiest one. Drawback: it may go silent, and keeps this until its second call
-         * is overdue.
+         * and that one too while it holds less than its share by demand, else those with no call in flight
+         * starve the busiest one. Drawback: if it goes silent, this lasts until its second call is overdue.
          */
-        boolean hasSlot() {
-            int free = settings.slots() - slotsUsed;
-            boolean quick = latency <= QUICK_MS && lastGood > Double.NEGATIVE_INFINITY && calls.stream()
-                    .skip(SILENT_CALLS - 1).limit(1).allMatch(c -> clock - c.sentAt <= patience());
-            double part = settings.slots() * destination.demand.share();
-            boolean lacks = destination.out + 1 + SHARE_MARGIN < part;
-            return quick && free > (lacks ? 0 : 1) || free > 0 && destination.out < Math.max(1, free - 1);
+        boolean slotAvailable() {
+            int freeSlots = settings.slots() - slotsUsed;
+            boolean fast = meanLatency <= FAST_LATENCY_MS && lastDeliveryAt > Double.NEGATIVE_INFINITY
+                    && calls.stream().skip(DOWN_OVERDUE_CALLS - 1).limit(1)
+                    .allMatch(c -> clock - c.sentAt <= overdueAfter());
+            double slotShare = settings.slots() * destination.demand.shareOfTotal();
+            boolean belowShare = destination.callsInFlight + 1 + SHARE_TOLERANCE < slotShare;
+            return fast && freeSlots > (belowShare ? 0 : 1)
+                    || freeSlots > 0 && destination.callsInFlight < Math.max(1, freeSlots - 1);
         }
 
         /** Whether the rate limit and the endpoint's health allow a call now. */
-        boolean isOpen() {
-            return limit.nextAt <= clock && nextAt <= clock
+        boolean isReady() {
+            return limiter.nextSendAt <= clock && nextSendAt <= clock
                     && (state != EndpointState.DOWN || calls.isEmpty())
-                    && (isInFullService() || limit.coldNextAt <= clock);
+                    && (isInFullService() || limiter.nextRecoverySendAt <= clock);
         }
 
         /** When it is ready for a call, as far as that depends on time alone. */
-        double gatesOpenAt() {
-            double opensAt = Math.max(Math.max(limit.waitUntil, limit.nextAt), nextAt);
-            return isInFullService() ? opensAt : Math.max(opensAt, limit.coldNextAt);
+        double readyAt() {
+            double earliest = Math.max(Math.max(limiter.retryAfterUntil, limiter.nextSendAt), nextSendAt);
+            return isInFullService() ? earliest : Math.max(earliest, limiter.nextRecoverySendAt);
         }
 
         /** The longest usual latency; a call that takes longer is overdue. */
-        double patience() {
-            return latency + SILENT_DEVIATIONS * deviation;
+        double overdueAfter() {
+            return meanLatency + OVERDUE_DEVIATIONS * latencyDeviation;
         }
 
         /**
          * The time that must be left before the shutdown to start a call. An unsafe message must not be cut
-         * off, as it can't be repeated: it needs the slowest likely latency, but not its whole timeout, which
-         * is longer than any shutdown takes.
+         * off: it needs the slowest likely latency, but not its timeout, longer than any shutdown takes.
          */
-        double expectedEnd(MessageClass type) {
-            return type.effect() == Effect.UNSAFE ? slowest() : patience();
+        double expectedDuration(MessageClass messageClass) {
+            return messageClass.effect() == Effect.UNSAFE ? slowestLatency() : overdueAfter();
         }
 
-        private double slowest() {
-            return latency + TIMEOUT_DEVIATIONS * deviation;
+        private double slowestLatency() {
+            return meanLatency + TIMEOUT_DEVIATIONS * latencyDeviation;
         }
 
-        double timeout(MessageClass type) {
-            double base = Math.max(type.targetLatencyMs() * TIMEOUT_AIMS, slowest());
-            double patience = type.effect() == Effect.UNSAFE ? type.deadlineMs() * UNSAFE_PATIENCE : 0;
-            return Math.max(base, patience);
+        double timeout(MessageClass messageClass) {
+            double usual = Math.max(messageClass.targetLatencyMs() * TIMEOUT_TARGET_FACTOR, slowestLatency());
+            double unsafeMin = messageClass.effect() == Effect.UNSAFE
+                    ? messageClass.deadlineMs() * UNSAFE_TIMEOUT_SHARE : 0;
+            return Math.max(usual, unsafeMin);
         }
 
         /** Allowed rate while down or in slow start, from the share of the load that it had before. */
-        double allowedRate() {
-            double asked = destination.demand.perMs() / destination.serving() * DEMAND_SHARE;
-            double part = limit.evenPart(0) / (limit == destination.shared ? destination.serving() : 1);
-            double rate = rampRate(Math.max(carried.perMs(), Math.max(asked, part)));
+        double recoveryRate() {
+            double assumed = destination.demand.perMs() / destination.servingCount() * ASSUMED_DEMAND_SHARE;
+            double fairShare = limiter.fairShare(0)
+                    / (limiter == destination.sharedLimiter ? destination.servingCount() : 1);
+            double rate = slowStartRate(Math.max(sustainedRate.perMs(), Math.max(assumed, fairShare)));
             if (rate == 0) {
                 // There was no demand yet, only restored messages: the rate of probes, until there is some.
-                return leastTrialRate();
+                return minProbeRate();
             }
             return state != EndpointState.DOWN ? rate
-                    : Math.max(leastTrialRate(), Math.min(1 / TRIAL_LEAST_MS, rate));
+                    : Math.max(minProbeRate(), Math.min(1 / MIN_PROBE_INTERVAL_MS, rate));
         }
 
         /** The rate that slow start allows now, given the sustained rate before the outage. */
-        double rampRate(double known) {
-            SlowStart cold = settings.slowStart();
-            double warm = state == EndpointState.WARMING ? (clock - warmSince) / cold.rampUpMs() : 0;
-            double capacity = cold.initialCapacityShare() + (1 - cold.initialCapacityShare()) * warm;
-            return RAMP_SAFETY * cold.overloadMultiple() * capacity * known;
+        double slowStartRate(double sustained) {
+            SlowStart slowStart = settings.slowStart();
+            double done = state == EndpointState.WARMING ? (clock - slowStartAt) / slowStart.rampUpMs() : 0;
+            double share = slowStart.initialCapacityShare() + (1 - slowStart.initialCapacityShare()) * done;
+            return SLOW_START_LOAD_SHARE * slowStart.overloadMultiple() * share * sustained;
         }
 
         /** Whether it is up, and no outage is suspected of the endpoints that share its limit. */
         boolean isInFullService() {
-            return state == EndpointState.UP && !limit.evidence.isSuspected(clock);
+            return state == EndpointState.UP && !limiter.evidence.isSuspected(clock);
         }
 
-        void observe(Call call, AttemptResult end) {
-            switch (end.outcome()) {
-                case DELIVERED -> good(call, end);
-                case FULL -> full(call, end.retryAfterMs());
-                case UNREACHABLE -> bad(UNREACHABLE_WEIGHT, "refuses connections");
+        void recordResult(Call call, AttemptResult result) {
+            switch (result.outcome()) {
+                case DELIVERED -> onDelivered(call, result);
+                case FULL -> onRefused(call, result.retryAfterMs());
+                case UNREACHABLE -> onFailure(UNREACHABLE_WEIGHT, "refuses connections");
                 case ERROR -> {
-                    bad(BAD_WEIGHT, "answers with errors");
-                    failing |= state == EndpointState.DOWN;
+                    onFailure(FAILURE_WEIGHT, "answers with errors");
+                    failedWhileDown |= state == EndpointState.DOWN;
                 }
                 default -> {
-                    connections.lost(call);
-                    bad(BAD_WEIGHT, "times out or drops connections");
+                    connectionReuse.connectionLost(call);
+                    onFailure(FAILURE_WEIGHT, "times out or drops connections");
                 }
             }
-            if (state == EndpointState.WARMING && clock - warmSince >= settings.slowStart().rampUpMs()) {
-                up("completed its slow start");
+            if (state == EndpointState.WARMING && clock - slowStartAt >= settings.slowStart().rampUpMs()) {
+                markUp("completed its slow start");
             }
         }
 
-        private void good(Call call, AttemptResult end) {
+        private void onDelivered(Call call, AttemptResult result) {
             // With deliveries this close together, no outage was long enough to require a slow start.
-            boolean blip = !failing && clock - lastGood < SHUT_MS;
-            boolean returns = limit.evidence.isSuspected(clock);
-            limit.good(returns);
-            connections.held(call);
-            bad *= GOOD_FACTOR;
-            silentCalls = 0;
-            calledOff = 0;
-            fruitless = 0;
-            lastGood = clock;
-            deviation += LATENCY_WEIGHT * (Math.abs(end.durationMs() - latency) - deviation);
-            latency += LATENCY_WEIGHT * (end.durationMs() - latency);
+            boolean briefFailure = !failedWhileDown && clock - lastDeliveryAt < MIN_OUTAGE_MS;
+            boolean mayEndOutage = limiter.evidence.isSuspected(clock);
+            limiter.endpointDelivered(mayEndOutage);
+            connectionReuse.connectionWorked(call);
+            failureScore *= DELIVERY_FACTOR;
+            overdueCalls = 0;
+            cancelledForSlots = 0;
+            consecutiveFailures = 0;
+            lastDeliveryAt = clock;
+            latencyDeviation += LATENCY_SAMPLE_WEIGHT
+                    * (Math.abs(result.durationMs() - meanLatency) - latencyDeviation);
+            meanLatency += LATENCY_SAMPLE_WEIGHT * (result.durationMs() - meanLatency);
             if (state == EndpointState.UP) {
-                carried.count(clock);
-            } else if (state == EndpointState.DOWN && limit.isReturning()) {
-                latency = end.durationMs();
-                warm();
-            } else if (state == EndpointState.DOWN && silentOnly && call.sentAt < downAt
-                    && end.durationMs() < SHUT_MS) {
-                up("was slow but did answer, is up again");
-            } else if (state == EndpointState.DOWN && blip) {
-                up("failed only briefly, is up again");
+                sustainedRate.addEvent(clock);
+            } else if (state == EndpointState.DOWN && limiter.isRecovering()) {
+                meanLatency = result.durationMs();
+                startSlowStart();
+            } else if (state == EndpointState.DOWN && downOnlyOverdue && call.sentAt < downAt
+                    && result.durationMs() < MIN_OUTAGE_MS) {
+                markUp("was slow but did answer, is up again");
+            } else if (state == EndpointState.DOWN && briefFailure) {
+                markUp("failed only briefly, is up again");
             } else if (state == EndpointState.DOWN) {
-                latency = end.durationMs();
-                warm();
+                meanLatency = result.durationMs();
+                startSlowStart();
             }
-            limit.delivered(end.report().left());
+            limiter.adjustRate(result.report().left());
         }
 
-        private void full(Call call, double waitMs) {
-            limit.refused(call);
-            if (noneGood()) {
-                shut();
+        private void onRefused(Call call, double retryAfterMs) {
+            limiter.cutRate(call);
+            if (countFailure()) {
+                markRefusing();
             }
-            limit.turnedAway(waitMs);
+            limiter.endpointRefused(retryAfterMs);
         }
 
-        private void shut() {
-            down("refuses all messages");
-            failing = true;
+        private void markRefusing() {
+            markDown("refuses all messages");
+            failedWhileDown = true;
         }
 
-        private boolean noneGood() {
-            if (fruitless++ == 0) {
-                fruitlessSince = clock;
+        private boolean countFailure() {
+            if (consecutiveFailures++ == 0) {
+                firstFailureAt = clock;
             }
-            return fruitless >= SHUT_ENDS && clock - fruitlessSince >= SHUT_MS;
+            return consecutiveFailures >= DOWN_FAILURES && clock - firstFailureAt >= MIN_OUTAGE_MS;
         }
 
-        private void bad(double weight, String symptom) {
-            bad += (1 - bad) * weight;
-            if (noneGood() || bad >= DOWN_AT) {
-                down(symptom);
+        private void onFailure(double weight, String reason) {
+            failureScore += (1 - failureScore) * weight;
+            if (countFailure() || failureScore >= DOWN_SCORE) {
+                markDown(reason);
             }
-            limit.failed(symptom);
+            limiter.endpointFailed(reason);
         }
 
-        void overdue(Call call) {
-            connections.lost(call);
-            limit.evidence.recordOverdue(call.sentAt);
-            if (lastGood < call.sentAt && ++silentCalls >= SILENT_CALLS) {
+        void onOverdue(Call call) {
+            connectionReuse.connectionLost(call);
+            limiter.evidence.recordOverdue(call.sentAt);
+            if (lastDeliveryAt < call.sentAt && ++overdueCalls >= DOWN_OVERDUE_CALLS) {
                 boolean wasDown = state == EndpointState.DOWN;
-                down("does not answer");
-                silentOnly = !wasDown;
+                markDown("does not answer");
+                downOnlyOverdue = !wasDown;
             }
         }
 
-        private void warm() {
+        private void startSlowStart() {
             state = EndpointState.WARMING;
-            warmSince = clock;
-            nextAt = clock + 1 / allowedRate();
+            slowStartAt = clock;
+            nextSendAt = clock + 1 / recoveryRate();
             actions.log("endpoint " + entry.id() + " answers again, slow start begins");
-            remember();
+            saveHealth();
         }
 
-        private void up(String symptom) {
+        private void markUp(String reason) {
             state = EndpointState.UP;
-            nextAt = clock;
+            nextSendAt = clock;
             // The time of the outage must not lower the sustained rate.
-            carried.skipTo(clock);
-            actions.log("endpoint " + entry.id() + " " + symptom);
-            remember();
+            sustainedRate.skipTo(clock);
+            actions.log("endpoint " + entry.id() + " " + reason);
+            saveHealth();
         }
 
-        private void down(String symptom) {
-            silentOnly = false;
+        private void markDown(String reason) {
+            downOnlyOverdue = false;
             if (state != EndpointState.DOWN) {
                 state = EndpointState.DOWN;
-                failing = false;
+                failedWhileDown = false;
                 downAt = clock;
-                nextAt = Math.max(clock, limit.waitUntil) + random.nextDouble() / allowedRate();
-                actions.log("endpoint " + entry.id() + " " + symptom + ", only probes are sent");
-                remember();
+                nextSendAt = Math.max(clock, limiter.retryAfterUntil) + random.nextDouble() / recoveryRate();
+                actions.log("endpoint " + entry.id() + " " + reason + ", only probes are sent");
+                saveHealth();
             }
         }
 
-        private void remember() {
-            actions.saveEndpointHealth(entry.id(), new EndpointHealth(state, clock, carried.perMs()));
+        private void saveHealth() {
+            actions.saveEndpointHealth(entry.id(), new EndpointHealth(state, clock, sustainedRate.perMs()));
         }
 
         /** Continues in the state before the restart: a backlog could overload a recovering endpoint. */
-        void recall(EndpointHealth health) {
+        void restore(EndpointHealth health) {
             state = health.state();
-            carried.recall(health.sustainedPerMs());
+            sustainedRate.restore(health.sustainedPerMs());
             if (state == EndpointState.WARMING) {
-                warmSince = health.sinceMs();
+                slowStartAt = health.sinceMs();
             }
             if (state != EndpointState.UP) {
-                nextAt = clock + random.nextDouble() / allowedRate();
+                nextSendAt = clock + random.nextDouble() / recoveryRate();
                 actions.log("endpoint " + entry.id() + " was " + state + " before the restart");
             }
         }
@@ -1358,39 +1374,41 @@
      * calls, those idle for over {@link #REUSE_IDLE_SHARE} of the shorter time are closed before use, until a
      * call on one that was idle as long is delivered.
      */
-    private final class Connections {
-        private Optional<Call> suspect = Optional.empty();
-        private double lostAt = Double.NEGATIVE_INFINITY;
-        private boolean sure;
+    private final class IdleConnectionReuse {
+        /** Of the calls lost on idle connections, the one whose connection was idle for the shortest time. */
+        private Optional<Call> loss = Optional.empty();
+        private double lastLossAt = Double.NEGATIVE_INFINITY;
+        private boolean confirmed;
 
         /** Idle time of the connection that a new call will use: 0 for one in use, or a new one. */
-        double take(Target target) {
-            double idle = !target.calls.isEmpty() ? 0 : clock - target.usedAt;
-            if (clock > lostAt + TRUST_MEMORY_MS) {
-                suspect = Optional.empty();
-                sure = false;
+        double takeConnection(TrackedEndpoint endpoint) {
+            double idleMs = !endpoint.calls.isEmpty() ? 0 : clock - endpoint.lastUsedAt;
+            if (clock > lastLossAt + IDLE_LOSS_MEMORY_MS) {
+                loss = Optional.empty();
+                confirmed = false;
             }
-            if (idle < IDLE_LEAST_MS || idle >= settings.keepAliveMs()) {
+            if (idleMs < MIN_IDLE_MS || idleMs >= settings.keepAliveMs()) {
                 return 0;
             }
-            if (sure && suspect.filter(s -> idle > s.idledMs * TRUST_CUT).isPresent()) {
-                actions.closeIdleConnections(target.entry.id());
+            if (confirmed && loss.filter(l -> idleMs > l.connIdleMs * REUSE_IDLE_SHARE).isPresent()) {
+                actions.closeIdleConnections(endpoint.entry.id());
                 return 0;
             }
-            return idle;
+            return idleMs;
         }
 
-        void lost(Call call) {
-            if (call.idledMs > 0) {
-                sure |= suspect.filter(s -> s.target.destination != call.target.destination).isPresent();
-                suspect = suspect.filter(s -> s.idledMs < call.idledMs).or(() -> Optional.of(call));
-                lostAt = clock;
+        void connectionLost(Call call) {
+            if (call.connIdleMs > 0) {
+                confirmed |= loss.filter(l -> l.endpoint.destination != call.endpoint.destination)
+                        .isPresent();
+                loss = loss.filter(l -> l.connIdleMs < call.connIdleMs).or(() -> Optional.of(call));
+                lastLossAt = clock;
             }
         }
 
-        void held(Call call) {
-            suspect = suspect.filter(s -> s != call && (call.late || call.idledMs < s.idledMs));
-            sure &= suspect.isPresent();
+        void connectionWorked(Call call) {
+            loss = loss.filter(l -> l != call && (call.overdue || call.connIdleMs < l.connIdleMs));
+            confirmed &= loss.isPresent();
         }
     }
 
@@ -1398,25 +1416,25 @@
      * Limits extra sends to a share of first sends, over all destinations. Without it hedged attempts could
      * double the load on a slow destination, and retries of refused messages could use up its limit for good.
      */
-    private final class Throttle {
-        private final double base;
-        private final double share;
-        private final Times extra = new Times();
+    private final class SendBudget {
+        private final double alwaysAllowed;
+        private final double perFirstSend;
+        private final TimestampQueue extraSends = new TimestampQueue();
 
-        Throttle(double base, double share) {
-            this.base = base;
-            this.share = share;
+        SendBudget(double alwaysAllowed, double perFirstSend) {
+            this.alwaysAllowed = alwaysAllowed;
+            this.perFirstSend = perFirstSend;
         }
 
-        void sent(double at) {
-            extra.add(at);
-            timers.add(at + THROTTLE_PERIOD_MS + CLOCK_MARGIN_MS, () -> { });
+        void recordSend(double at) {
+            extraSends.add(at);
+            timers.add(at + BUDGET_PERIOD_MS + CLOCK_MARGIN_MS, () -> { });
         }
 
-        boolean allows() {
-            extra.trim(clock - THROTTLE_PERIOD_MS);
-            firstSends.trim(clock - THROTTLE_PERIOD_MS);
-            return extra.size() + 1 <= base + share * firstSends.size();
+        boolean allowsSend() {
+            extraSends.removeBefore(clock - BUDGET_PERIOD_MS);
+            firstSends.removeBefore(clock - BUDGET_PERIOD_MS);
+            return extraSends.size() + 1 <= alwaysAllowed + perFirstSend * firstSends.size();
         }
     }
 }
--- a/src/main/java/kestreldeal/DueQueue.java
+++ b/src/main/java/kestreldeal/DueQueue.java
@@ -12,52 +12,52 @@
 class DueQueue<E extends DueQueue.Entry> {
     private Entry[] heap = new Entry[16];
     private int size;
-    private long count;
+    private long nextSequence;
 
-    /** Base class of the entries, which keeps the time and the index of an entry without an object for them. */
+    /** Base class of entries: stores the time and the index, so that no separate object is needed for them. */
     abstract static class Entry {
-        private double at = Double.POSITIVE_INFINITY;
-        private long number;
-        private int place = -1;
+        private double dueAt = Double.POSITIVE_INFINITY;
+        private long sequence;
+        private int index = -1;
 
         /** The time at which the entry is due; infinite if it is in no queue. */
-        final double at() {
-            return at;
+        final double dueAt() {
+            return dueAt;
         }
 
         private boolean isBefore(Entry other) {
-            return at < other.at || at == other.at && number < other.number;
+            return dueAt < other.dueAt || dueAt == other.dueAt && sequence < other.sequence;
         }
     }
 
     /** Adds an entry, or moves it, behind all others of the same time; an infinite time removes it. */
-    final void set(E entry, double at) {
+    final void set(E entry, double dueAt) {
         remove(entry);
-        if (at < Double.POSITIVE_INFINITY) {
+        if (dueAt < Double.POSITIVE_INFINITY) {
             Entry added = entry;
-            added.at = at;
-            added.number = count++;
+            added.dueAt = dueAt;
+            added.sequence = nextSequence++;
             if (size == heap.length) {
                 heap = Arrays.copyOf(heap, 2 * size);
             }
-            up(size++, added);
+            siftUp(size++, added);
         }
     }
 
     /** Removes an entry, if it is in the queue. */
     final void remove(E entry) {
         Entry removed = entry;
-        int hole = removed.place;
-        if (hole < 0) {
+        int index = removed.index;
+        if (index < 0) {
             return;
         }
-        removed.place = -1;
-        removed.at = Double.POSITIVE_INFINITY;
+        removed.index = -1;
+        removed.dueAt = Double.POSITIVE_INFINITY;
         Entry last = heap[--size];
         heap[size] = null;
         if (last != removed) {
-            up(hole, last);
-            down(last.place, last);
+            siftUp(index, last);
+            siftDown(last.index, last);
         }
     }
 
@@ -72,8 +72,8 @@
     }
 
     /** The time of the first entry; infinite if there is none. */
-    final double nextAt() {
-        return size == 0 ? Double.POSITIVE_INFINITY : heap[0].at;
+    final double nextDueAt() {
+        return size == 0 ? Double.POSITIVE_INFINITY : heap[0].dueAt;
     }
 
     /** The first entry, or null. */
@@ -95,32 +95,32 @@
         return size;
     }
 
-    private void up(int from, Entry entry) {
-        int place = from;
-        while (place > 0 && entry.isBefore(heap[(place - 1) / 2])) {
-            put(place, heap[(place - 1) / 2]);
-            place = (place - 1) / 2;
+    private void siftUp(int start, Entry entry) {
+        int index = start;
+        while (index > 0 && entry.isBefore(heap[(index - 1) / 2])) {
+            store(index, heap[(index - 1) / 2]);
+            index = (index - 1) / 2;
         }
-        put(place, entry);
+        store(index, entry);
     }
 
-    private void down(int from, Entry entry) {
-        int place = from;
-        for (int child = 2 * place + 1; child < size; child = 2 * place + 1) {
+    private void siftDown(int start, Entry entry) {
+        int index = start;
+        for (int child = 2 * index + 1; child < size; child = 2 * index + 1) {
             if (child + 1 < size && heap[child + 1].isBefore(heap[child])) {
                 child++;
             }
             if (!heap[child].isBefore(entry)) {
                 break;
             }
-            put(place, heap[child]);
-            place = child;
+            store(index, heap[child]);
+            index = child;
         }
-        put(place, entry);
+        store(index, entry);
     }
 
-    private void put(int place, Entry entry) {
-        heap[place] = entry;
-        entry.place = place;
+    private void store(int index, Entry entry) {
+        heap[index] = entry;
+        entry.index = index;
     }
 }
--- a/src/main/java/kestreldeal/GroupedQueues.java
+++ b/src/main/java/kestreldeal/GroupedQueues.java
@@ -17,26 +17,26 @@
  * @param <E> the elements; a queue's order must tell any two apart and must not change while they are in the queue
  */
 final class GroupedQueues<E extends GroupedQueues.Element<E>> {
-    private final List<Lane<E>> lanes = new ArrayList<>();
-    private final ToDoubleFunction<E> endsAt;
-    private final DueQueue<Group<E>> ending = new DueQueue<>();
-    private final DueQueue<Owner<E>> owners = new DueQueue<>();
-    private final List<Owner<E>> touched = new ArrayList<>();
+    private final List<Queue<E>> queues = new ArrayList<>();
+    private final ToDoubleFunction<E> expiryOf;
+    private final DueQueue<Group<E>> groupExpiries = new DueQueue<>();
+    private final DueQueue<Owner<E>> scheduledUpdates = new DueQueue<>();
+    private final List<Owner<E>> changedOwners = new ArrayList<>();
     private long operations;
 
-    /** Base class of the elements, which keeps the group of an element without an object for it. */
+    /** Base class of elements: stores the group of an element, so that no separate entry object is needed. */
     abstract static class Element<E extends Element<E>> extends Timers.Timer {
         private Group<E> group;
     }
 
     /** Base class of the owners of groups, which decide on the eligibility of their groups. */
     abstract static class Owner<E extends Element<E>> extends DueQueue.Entry {
-        private final GroupedQueues<E> lanes;
+        private final GroupedQueues<E> queues;
         private List<Group<E>> groups = List.of();
-        private boolean isTouched;
+        private boolean changed;
 
-        Owner(GroupedQueues<E> lanes) {
-            this.lanes = lanes;
+        Owner(GroupedQueues<E> queues) {
+            this.queues = queues;
         }
 
         final List<Group<E>> groups() {
@@ -44,36 +44,36 @@
         }
 
         /** Sets the levels of its groups, and returns when to do so again if nothing changes before. */
-        abstract double look();
+        abstract double updateGroups();
 
         /** Schedules an update, as the eligibility of its groups may have changed; nothing to do without groups. */
         final void markChanged() {
-            if (!isTouched && (!groups.isEmpty() || at() < Double.POSITIVE_INFINITY)) {
-                isTouched = true;
-                lanes.touched.add(this);
+            if (!changed && (!groups.isEmpty() || dueAt() < Double.POSITIVE_INFINITY)) {
+                changed = true;
+                queues.changedOwners.add(this);
             }
         }
 
-        private void lookIfNeeded() {
-            lanes.operations++;
-            isTouched = false;
-            lanes.owners.set(this, groups.isEmpty() ? Double.POSITIVE_INFINITY : look());
+        private void update() {
+            queues.operations++;
+            changed = false;
+            queues.scheduledUpdates.set(this, groups.isEmpty() ? Double.POSITIVE_INFINITY : updateGroups());
         }
 
-        private Group<E> group(Lane<E> lane, long tag) {
+        private Group<E> findOrAddGroup(Queue<E> queue, long tag) {
             for (Group<E> group : groups) {
-                if (group.lane == lane && group.tag == tag) {
+                if (group.queue == queue && group.tag == tag) {
                     return group;
                 }
             }
-            Group<E> added = new Group<>(this, lane, tag);
+            Group<E> added = new Group<>(this, queue, tag);
             groups = groups.isEmpty() ? new ArrayList<>(1) : groups;
             groups.add(added);
             markChanged();
             return added;
         }
 
-        private void drop(Group<E> group) {
+        private void removeGroup(Group<E> group) {
             groups.remove(group);
             if (groups.isEmpty()) {
                 groups = List.of();
@@ -87,23 +87,23 @@
      * included in all levels up to its own. An element expires from its queue at the given time, which must rise or
      * fall monotonically along the order of the queue.
      */
-    GroupedQueues(List<Comparator<E>> orders, int levels, ToDoubleFunction<E> endsAt) {
-        this.endsAt = endsAt;
-        orders.forEach(order -> lanes.add(new Lane<>(order, levels)));
+    GroupedQueues(List<Comparator<E>> orders, int levelCount, ToDoubleFunction<E> expiryOf) {
+        this.expiryOf = expiryOf;
+        orders.forEach(order -> queues.add(new Queue<>(order, levelCount)));
     }
 
     /** Updates the eligibility of the groups of all owners that were marked as changed or whose update is due. */
-    void updateEligibility(double now) {
-        while (owners.nextAt() <= now) {
-            owners.poll().markChanged();
+    void updateEligibility(double nowMs) {
+        while (scheduledUpdates.nextDueAt() <= nowMs) {
+            scheduledUpdates.poll().markChanged();
         }
-        touched.forEach(Owner::lookIfNeeded);
-        touched.clear();
+        changedOwners.forEach(Owner::update);
+        changedOwners.clear();
     }
 
     /** Time of the next update that an owner has scheduled. */
     double nextUpdateAt() {
-        return owners.nextAt();
+        return scheduledUpdates.nextDueAt();
     }
 
     /** Counts an operation that an owner did outside of the queues. */
@@ -117,17 +117,17 @@
     }
 
     /** Puts an element into its group, removing it from another one. A new group is not eligible yet. */
-    void put(E element, Owner<E> owner, int lane, long tag) {
+    void put(E element, Owner<E> owner, int queueIndex, long tag) {
         operations++;
-        Group<E> to = owner.group(lanes.get(lane), tag);
+        Group<E> to = owner.findOrAddGroup(queues.get(queueIndex), tag);
         Group<E> from = ((Element<E>) element).group;
         if (from != to) {
             remove(element);
-            to.leave();
+            to.removeFromLevels();
             to.elements.add(element);
-            to.enter();
+            to.addToLevels();
             ((Element<E>) element).group = to;
-            ending.set(to, endOf(to));
+            groupExpiries.set(to, groupExpiry(to));
         }
     }
 
@@ -139,51 +139,52 @@
         }
         operations++;
         ((Element<E>) element).group = null;
-        group.leave();
+        group.removeFromLevels();
         group.elements.remove(element);
         if (group.isEmpty()) {
-            ending.remove(group);
-            group.owner.drop(group);
+            groupExpiries.remove(group);
+            group.owner.removeGroup(group);
         } else {
-            group.enter();
-            ending.set(group, endOf(group));
+            group.addToLevels();
+            groupExpiries.set(group, groupExpiry(group));
         }
     }
 
     /** Passes each element that has expired from its queue to the given function, which must put it into another. */
-    void end(double now, Consumer<E> putElsewhere) {
-        while (ending.nextAt() < now) {
-            Group<E> group = ending.first();
+    void requeueExpired(double nowMs, Consumer<E> requeue) {
+        while (groupExpiries.nextDueAt() < nowMs) {
+            Group<E> group = groupExpiries.first();
             E first = group.first();
-            putElsewhere.accept(endsAt.applyAsDouble(first) < now ? first : group.elements.last());
+            requeue.accept(expiryOf.applyAsDouble(first) < nowMs ? first : group.elements.last());
         }
     }
 
     /** Of the groups with at least this level in the first queues, the one with the first element in order, or null. */
-    Group<E> first(int ofLanes, int level, Comparator<E> order) {
-        return lanes.stream().limit(ofLanes).map(lane -> lane.levels.get(level - 1)).filter(l -> !l.isEmpty())
+    Group<E> first(int queueCount, int level, Comparator<E> order) {
+        return queues.stream().limit(queueCount).map(queue -> queue.groupsByLevel.get(level - 1))
+                .filter(eligible -> !eligible.isEmpty())
                 .map(TreeSet::first).peek(group -> operations++)
                 .min(Comparator.comparing(Group::first, order)).orElse(null);
     }
 
     /** The groups with at least this level in the first queues. */
-    Stream<Group<E>> stream(int ofLanes, int level) {
-        return lanes.stream().limit(ofLanes).flatMap(lane -> lane.levels.get(level - 1).stream())
-                .peek(g -> operations++);
+    Stream<Group<E>> groups(int queueCount, int level) {
+        return queues.stream().limit(queueCount).flatMap(queue -> queue.groupsByLevel.get(level - 1).stream())
+                .peek(group -> operations++);
     }
 
-    private double endOf(Group<E> group) {
-        return Math.min(endsAt.applyAsDouble(group.first()), endsAt.applyAsDouble(group.elements.last()));
+    private double groupExpiry(Group<E> group) {
+        return Math.min(expiryOf.applyAsDouble(group.first()), expiryOf.applyAsDouble(group.elements.last()));
     }
 
-    private static final class Lane<E extends Element<E>> {
+    private static final class Queue<E extends Element<E>> {
         final Comparator<E> order;
-        final List<TreeSet<Group<E>>> levels = new ArrayList<>();
+        final List<TreeSet<Group<E>>> groupsByLevel = new ArrayList<>();
 
-        Lane(Comparator<E> order, int levels) {
+        Queue(Comparator<E> order, int levelCount) {
             this.order = order;
-            for (int i = 0; i < levels; i++) {
-                this.levels.add(new TreeSet<>(Comparator.comparing(Group::first, order)));
+            for (int i = 0; i < levelCount; i++) {
+                this.groupsByLevel.add(new TreeSet<>(Comparator.comparing(Group::first, order)));
             }
         }
     }
@@ -192,23 +193,23 @@
     static final class Group<E extends Element<E>> extends DueQueue.Entry {
         final Owner<E> owner;
         final long tag;
-        private final Lane<E> lane;
+        private final Queue<E> queue;
         private final TreeSet<E> elements;
         private int level;
 
-        private Group(Owner<E> owner, Lane<E> lane, long tag) {
+        private Group(Owner<E> owner, Queue<E> queue, long tag) {
             this.owner = owner;
-            this.lane = lane;
+            this.queue = queue;
             this.tag = tag;
-            this.elements = new TreeSet<>(lane.order);
+            this.elements = new TreeSet<>(queue.order);
         }
 
         /** Sets the eligibility level; at 0 the group is ineligible. */
-        void stand(int atLevel) {
-            if (level != atLevel) {
-                leave();
-                level = atLevel;
-                enter();
+        void setLevel(int newLevel) {
+            if (level != newLevel) {
+                removeFromLevels();
+                level = newLevel;
+                addToLevels();
             }
         }
 
@@ -226,15 +227,15 @@
         }
 
         /** Must be called before a change of the first element, as the sets are ordered by it. */
-        private void leave() {
+        private void removeFromLevels() {
             for (int i = 0; i < level && !isEmpty(); i++) {
-                lane.levels.get(i).remove(this);
+                queue.groupsByLevel.get(i).remove(this);
             }
         }
 
-        private void enter() {
+        private void addToLevels() {
             for (int i = 0; i < level && !isEmpty(); i++) {
-                lane.levels.get(i).add(this);
+                queue.groupsByLevel.get(i).add(this);
             }
         }
     }
--- a/src/main/java/kestreldeal/Times.java
+++ b/src/main/java/kestreldeal/TimestampQueue.java
@@ -4,14 +4,14 @@
 import java.util.stream.IntStream;
 
 /** A FIFO queue of timestamps, oldest first: a ring buffer of primitive values, allocated with the first one. */
-final class Times {
-    private static final double[] NONE = {};
+final class TimestampQueue {
+    private static final double[] EMPTY = {};
 
-    private double[] ring = NONE;
+    private double[] ring = EMPTY;
     private int head;
     private int size;
 
-    void add(double time) {
+    void add(double timeMs) {
         if (size == ring.length) {
             double[] grown = new double[Math.max(4, 2 * size)];
             for (int i = 0; i < size; i++) {
@@ -20,12 +20,12 @@
             ring = grown;
             head = 0;
         }
-        ring[(head + size++) % ring.length] = time;
+        ring[(head + size++) % ring.length] = timeMs;
     }
 
     /** Removes the timestamps before this one. */
-    void trim(double before) {
-        while (size > 0 && ring[head] < before) {
+    void removeBefore(double cutoffMs) {
+        while (size > 0 && ring[head] < cutoffMs) {
             head = (head + 1) % ring.length;
             size--;
         }
@@ -40,13 +40,13 @@
     }
 
     /** The newest timestamp; the queue must not be empty. */
-    double last() {
+    double newest() {
         return get(size - 1);
     }
 
     /** The age of each timestamp, oldest first. */
-    List<Double> ago(double now) {
-        return IntStream.range(0, size).mapToObj(i -> now - get(i)).toList();
+    List<Double> ages(double nowMs) {
+        return IntStream.range(0, size).mapToObj(i -> nowMs - get(i)).toList();
     }
 
     private double get(int index) {
--- a/src/test/java/kestreldeal/DueQueueTest.java
+++ b/src/test/java/kestreldeal/DueQueueTest.java
@@ -15,45 +15,45 @@
     }
 
     @Test
-    void givesTheFirstInTimeAndOfOneTimeTheOneSetFirst() {
+    void returnsTheEarliestAndOfEqualTimesTheOneSetFirst() {
         Random random = new Random(1);
         for (int round = 0; round < 200; round++) {
             DueQueue<Item> queue = new DueQueue<>();
-            List<Item> plain = new ArrayList<>();
+            List<Item> expected = new ArrayList<>();
             List<Item> items = new ArrayList<>();
             for (int i = 0; i < 40; i++) {
                 items.add(new Item());
             }
             for (int i = 0; i < 400; i++) {
                 Item item = items.get(random.nextInt(items.size()));
-                int kind = random.nextInt(8);
-                if (kind < 5) {
+                int operation = random.nextInt(8);
+                if (operation < 5) {
                     queue.set(item, random.nextInt(10));
-                    plain.remove(item);
-                    plain.add(item);
-                } else if (kind == 5) {
+                    expected.remove(item);
+                    expected.add(item);
+                } else if (operation == 5) {
                     queue.remove(item);
-                    plain.remove(item);
-                } else if (kind == 6) {
+                    expected.remove(item);
+                } else if (operation == 6) {
                     queue.set(item, Double.POSITIVE_INFINITY);
-                    plain.remove(item);
+                    expected.remove(item);
                 } else {
-                    Item first = first(plain);
-                    assertSame(first, queue.poll());
-                    plain.remove(first);
+                    Item earliest = earliest(expected);
+                    assertSame(earliest, queue.poll());
+                    expected.remove(earliest);
                 }
-                assertEquals(plain.size(), queue.size());
-                assertSame(first(plain), queue.first());
+                assertEquals(expected.size(), queue.size());
+                assertSame(earliest(expected), queue.first());
             }
         }
         assertNull(new DueQueue<Item>().poll());
     }
 
-    private static Item first(List<Item> plain) {
-        Item first = null;
-        for (Item item : plain) {
-            first = first == null || item.at() < first.at() ? item : first;
+    private static Item earliest(List<Item> expected) {
+        Item earliest = null;
+        for (Item item : expected) {
+            earliest = earliest == null || item.dueAt() < earliest.dueAt() ? item : earliest;
         }
-        return first;
+        return earliest;
     }
 }
