--- a/src/main/java/kestreldeal/DeliveryScheduler.java
+++ b/src/main/java/kestreldeal/DeliveryScheduler.java
@@ -71,7 +71,7 @@
     private static final double MAX_RATE_OVER_SENT = 1.3;
     /** Growth of the allowed rate with each delivery, if answers don't report the share of the limit left. */
     private static final double RATE_GROWTH_PER_DELIVERY = 0.05;
-    /** If they do, the rate is steered to keep this share left: the gain per second, and the longest step. */
+    /** If answers report it, the rate is steered to keep this share left: gain per second, longest step. */
     private static final double TARGET_SHARE_LEFT = 0.5;
     private static final double SHARE_LEFT_GAIN_PER_S = 0.6;
     private static final double MAX_SHARE_LEFT_STEP_S = 3;
@@ -115,7 +115,7 @@
     private static final double MIN_OUTAGE_MS = 2500;
     /** Shortest interval between probes of a down endpoint; times the number of senders, also the longest. */
     private static final double MIN_PROBE_INTERVAL_MS = 500;
-    /** Upper bound of the longest interval between probes, in ramp-up times. */
+    /** Upper bound of the interval between probes, in ramp-up times of the slow start. */
     private static final double MAX_PROBE_INTERVAL_RAMPS = 4;
     /** Share of the load permitted to a recovering endpoint that slow start uses; the rest is for bursts. */
     private static final double SLOW_START_LOAD_SHARE = 0.7;
@@ -640,7 +640,6 @@
 
     // ---- nested types ----
 
-    /** A message and its attempts. */
     private final class Delivery extends GroupedQueues.Element<Delivery> {
         final Message message;
         final MessageClass messageClass;
@@ -993,7 +992,7 @@
             }
         }
 
-        /** One of its endpoints has delivered: if that may end an outage, slow start begins for all. */
+        /** One of its endpoints has delivered: if that may end an outage, all that are up get a slow start. */
         void endpointDelivered(boolean mayEndOutage) {
             evidence.recordDelivery(clock);
             if (mayEndOutage) {
