--- a/src/main/java/kestreldeal/net/AcceptedMessage.java
+++ b/src/main/java/kestreldeal/net/AcceptedMessage.java
@@ -11,15 +11,15 @@
  */
 final class AcceptedMessage {
     /** How long a client waits for an answer, by the protocol, before it closes the connection. */
-    private static final double CLIENT_WAIT_MS = 400;
+    private static final double CLIENT_RESPONSE_TIMEOUT_MS = 400;
     /** Limits the time allowed for an unread request to this share of its class's deadline. */
-    private static final double UNREAD_SHARE = 0.25;
+    private static final double MAX_UNREAD_SHARE = 0.25;
     /**
      * How long before the end of the client's budget a message is completed. The budget counts from when the request
      * was sent. When CPU time is scarce, the request may stay unread for the 400 ms that its client waits, and the
      * notice takes a turn or two of an event loop that is as late: results were up to 421 ms late after a start.
      */
-    private static final long ENDED_BEFORE_MS = 700;
+    private static final long COMPLETION_MARGIN_MS = 700;
 
     final long number;
     final String id;
@@ -33,7 +33,7 @@
      * Earliest time at which the client's budget may be used up, counting the time that the request may have been
      * unread. Not recorded: for a message restored from the journal this is its deadline.
      */
-    private final long timeUpNanos;
+    private final long earliestExpiryNanos;
     final byte[] body;
     final List<Attempt> attempts = new ArrayList<>();
     /** Number of attempts that the journal has a record of. */
@@ -56,14 +56,14 @@
         /** Index of an attempt that the journal has no record of. */
         static final int UNRECORDED = -1;
         /** Age given to an attempt of unknown age: longer than any deduplication window. */
-        private static final long ANY_AGE_MS = TimeUnit.DAYS.toMillis(365);
+        private static final long UNKNOWN_AGE_MS = TimeUnit.DAYS.toMillis(365);
 
         final String endpoint;
         /** When the attempt was decided on, by {@link MachineClock#nanos}. */
         final long sentNanos;
         boolean neverRan;
         /** Index among the message's attempts in the journal, which does not count those that could not be recorded. */
-        int recordIndex = UNRECORDED;
+        int record = UNRECORDED;
 
         private Attempt(String endpoint, long sentNanos) {
             this.endpoint = endpoint;
@@ -72,7 +72,7 @@
 
         /** An attempt made the given time ago; a negative age can't be true and counts as unknown. */
         static Attempt sentAgo(String endpoint, long agoMs, MachineClock clock) {
-            long ageMs = agoMs < 0 ? ANY_AGE_MS : agoMs;
+            long ageMs = agoMs < 0 ? UNKNOWN_AGE_MS : agoMs;
             return new Attempt(endpoint, clock.nanos() - TimeUnit.MILLISECONDS.toNanos(ageMs));
         }
 
@@ -83,7 +83,7 @@
 
         /** An attempt made an unknown time ago; it counts as older than any deduplication window. */
         static Attempt ofUnknownAge(String endpoint, MachineClock clock) {
-            return sentAgo(endpoint, ANY_AGE_MS, clock);
+            return sentAgo(endpoint, UNKNOWN_AGE_MS, clock);
         }
 
         /** An attempt that was decided on but not made. */
@@ -117,26 +117,28 @@
      * short deadline only a share of the deadline is assumed, or else none of its messages could be accepted.
      */
     static long maxUnreadMs(double classDeadlineMs) {
-        return (long) Math.min(CLIENT_WAIT_MS, classDeadlineMs * UNREAD_SHARE);
+        return (long) Math.min(CLIENT_RESPONSE_TIMEOUT_MS, classDeadlineMs * MAX_UNREAD_SHARE);
     }
 
     /** A message that is being accepted now, of a class with the given deadline. */
-    static AcceptedMessage fromSubmission(long number, ClientServer.Submission s, double classDeadlineMs,
+    static AcceptedMessage fromSubmission(long number, ClientServer.Submission submission, double classDeadlineMs,
             MachineClock clock) {
-        long leftMs = (long) Math.min(s.budgetMs(), classDeadlineMs);
-        long deadlineMs = leftMs - Math.min(ENDED_BEFORE_MS, leftMs / 2);
-        return new AcceptedMessage(number, s.id(), s.messageClass(), s.tenant(), s.key(), s.destination(),
-                after(deadlineMs, clock), after(leftMs - maxUnreadMs(classDeadlineMs), clock), s.body());
+        long budgetLeftMs = (long) Math.min(submission.budgetMs(), classDeadlineMs);
+        long timeLeftMs = budgetLeftMs - Math.min(COMPLETION_MARGIN_MS, budgetLeftMs / 2);
+        return new AcceptedMessage(number, submission.id(), submission.messageClass(), submission.tenant(),
+                submission.key(), submission.destination(), nanosFromNow(timeLeftMs, clock),
+                nanosFromNow(budgetLeftMs - maxUnreadMs(classDeadlineMs), clock), submission.body());
     }
 
-    private static long after(long ms, MachineClock clock) {
+    private static long nanosFromNow(long ms, MachineClock clock) {
         return clock.nanos() + TimeUnit.MILLISECONDS.toNanos(ms);
     }
 
     /** A message that may be tried for the given time from now on. */
     static AcceptedMessage withTimeLeft(long number, String id, String messageClass, String tenant,
-            Optional<String> key, long destination, long leftMs, byte[] body, MachineClock clock) {
-        return new AcceptedMessage(number, id, messageClass, tenant, key, destination, after(leftMs, clock), body);
+            Optional<String> key, long destination, long timeLeftMs, byte[] body, MachineClock clock) {
+        return new AcceptedMessage(number, id, messageClass, tenant, key, destination,
+                nanosFromNow(timeLeftMs, clock), body);
     }
 
     /** Whether any attempt may have run. */
@@ -151,7 +153,7 @@
 
     /** Whether the client's budget may be used up. */
     boolean mayHaveExpired(MachineClock clock) {
-        return clock.nanos() >= timeUpNanos;
+        return clock.nanos() >= earliestExpiryNanos;
     }
 
     AcceptedMessage(long number, String id, String messageClass, String tenant, Optional<String> key, long destination,
@@ -160,7 +162,7 @@
     }
 
     private AcceptedMessage(long number, String id, String messageClass, String tenant, Optional<String> key,
-            long destination, long deadlineNanos, long timeUpNanos, byte[] body) {
+            long destination, long deadlineNanos, long earliestExpiryNanos, byte[] body) {
         this.number = number;
         this.id = id;
         this.messageClass = messageClass;
@@ -168,7 +170,7 @@
         this.key = key;
         this.destination = destination;
         this.deadlineNanos = deadlineNanos;
-        this.timeUpNanos = timeUpNanos;
+        this.earliestExpiryNanos = earliestExpiryNanos;
         this.body = body;
     }
 }
--- a/src/main/java/kestreldeal/net/Config.java
+++ b/src/main/java/kestreldeal/net/Config.java
@@ -34,30 +34,30 @@
     /** Field of the list of endpoints as of when the file was written; {@link Discovery} reads it. */
     static final String KNOWN_ENDPOINTS_FIELD = "known";
     /** Upper limit, since the journal is read into memory as a whole at the start, and files count as memory. */
-    private static final double MOST_DISK_MB = 12;
+    private static final double MAX_DISK_MB = 12;
 
     static Config read(Map<String, String> env) throws IOException, InvalidInputException {
-        Path file = Path.of(required(env, "GW_CONFIG"));
-        JsonNode json = json(file);
+        Path file = Path.of(requiredVariable(env, "GW_CONFIG"));
+        JsonNode json = readJson(file);
         Map<String, String> values = new HashMap<>();
         flatten("", json.path("settings"), values);
         Params settings = new Params(values);
-        Map<String, String> machine = new HashMap<>();
-        flatten("limits", json.path("limits"), machine);
-        Params limits = new Params(machine);
-        double diskMb = Math.min(limits.numberOrDefault("limits.disk_mb", MOST_DISK_MB), MOST_DISK_MB);
+        Map<String, String> limitValues = new HashMap<>();
+        flatten("limits", json.path("limits"), limitValues);
+        Params limits = new Params(limitValues);
+        double diskMb = Math.min(limits.numberOrDefault("limits.disk_mb", MAX_DISK_MB), MAX_DISK_MB);
         return new Config(
                 env.getOrDefault("GW_NAME", json.path("name").asText("sender")),
                 parseAddress(env.getOrDefault("GW_LISTEN", json.path("listen").asText())),
-                optionalAddress(env.getOrDefault("GW_OPS", json.path("ops").asText())),
+                parseOptionalAddress(env.getOrDefault("GW_OPS", json.path("ops").asText())),
                 parseAddress(json.path("discovery").asText(env.getOrDefault("GW_DISCOVERY", ""))),
-                Path.of(required(env, "GW_STATE")),
-                seed(json.path("seed").asText("0")),
+                Path.of(requiredVariable(env, "GW_STATE")),
+                parseSeed(json.path("seed").asText("0")),
                 (int) limits.numberOrDefault("limits.sockets", 1024),
                 (long) (diskMb * 1_000_000),
                 settings.settings(),
-                names(settings, "classes"),
-                names(settings, "tenants"),
+                readNames(settings, "classes"),
+                readNames(settings, "tenants"),
                 settings.list("flavors"),
                 settings.list("zones"),
                 values.containsKey("limits.max_open") ? (int) settings.atLeastOne("limits.max_open")
@@ -67,7 +67,7 @@
     }
 
     /** Reads everything but the list of endpoints, which may be far longer than the rest and would stay in memory. */
-    private static JsonNode json(Path file) throws IOException, InvalidInputException {
+    private static JsonNode readJson(Path file) throws IOException, InvalidInputException {
         JsonMapper mapper = JsonMapper.builder().build();
         ObjectNode json = mapper.createObjectNode();
         try (JsonParser parser = mapper.createParser(Files.newInputStream(file))) {
@@ -90,20 +90,20 @@
 
     /** Parses an address such as {@code 10.0.0.4:7070}; there is no DNS, so a host name is an error. */
     static InetSocketAddress parseAddress(String text) throws InvalidInputException {
-        int cut = text.lastIndexOf(':');
+        int colon = text.lastIndexOf(':');
         try {
-            if (cut < 1 || !text.substring(0, cut).matches("[0-9.]+|\\[[0-9a-fA-F:.]+]")) {
+            if (colon < 1 || !text.substring(0, colon).matches("[0-9.]+|\\[[0-9a-fA-F:.]+]")) {
                 throw new InvalidInputException("not an address with a port: '" + text + "'");
             }
-            return new InetSocketAddress(InetAddress.getByName(text.substring(0, cut)),
-                    Integer.parseInt(text.substring(cut + 1)));
+            return new InetSocketAddress(InetAddress.getByName(text.substring(0, colon)),
+                    Integer.parseInt(text.substring(colon + 1)));
         } catch (IOException | IllegalArgumentException e) {
             throw new InvalidInputException("not an address with a port: '" + text + "'");
         }
     }
 
     /** Parses an address that a deployment may leave out. */
-    private static Optional<InetSocketAddress> optionalAddress(String text) throws InvalidInputException {
+    private static Optional<InetSocketAddress> parseOptionalAddress(String text) throws InvalidInputException {
         return text.isEmpty() ? Optional.empty() : Optional.of(parseAddress(text));
     }
 
@@ -126,15 +126,15 @@
         }
     }
 
-    private static List<String> names(Params settings, String list) throws InvalidInputException {
+    private static List<String> readNames(Params settings, String listName) throws InvalidInputException {
         List<String> names = new ArrayList<>();
-        for (int i = 0; i < settings.numberOrDefault(list + ".count", 0); i++) {
-            names.add(settings.text(list + "." + i + ".name"));
+        for (int i = 0; i < settings.numberOrDefault(listName + ".count", 0); i++) {
+            names.add(settings.text(listName + "." + i + ".name"));
         }
         return names;
     }
 
-    private static long seed(String hex) throws InvalidInputException {
+    private static long parseSeed(String hex) throws InvalidInputException {
         try {
             return Long.parseUnsignedLong(hex, 16);
         } catch (NumberFormatException e) {
@@ -142,7 +142,7 @@
         }
     }
 
-    private static String required(Map<String, String> env, String name) throws InvalidInputException {
+    private static String requiredVariable(Map<String, String> env, String name) throws InvalidInputException {
         String value = env.get(name);
         if (value == null || value.isEmpty()) {
             throw new InvalidInputException(name + " is not set");
--- a/src/main/java/kestreldeal/net/Journal.java
+++ b/src/main/java/kestreldeal/net/Journal.java
@@ -34,58 +34,58 @@
  * then no message is accepted.
  */
 final class Journal implements AutoCloseable {
-    private static final int TAKEN = 1;
+    private static final int ACCEPTED = 1;
     private static final int ATTEMPT = 2;
     private static final int NEVER_RAN = 3;
-    private static final int OWED = 4;
-    private static final int ENDED = 5;
-    private static final int HEALTH = 6;
-    private static final int OVER = 7;
+    private static final int NOTICE = 4;
+    private static final int COMPLETED = 5;
+    private static final int ENDPOINT_HEALTH = 6;
+    private static final int COMPLETED_ID = 7;
     /** Names the boot whose monotonic clock gave the times in the records after it; without one they are wall times. */
     private static final int BOOT = 8;
     /** Bytes reserved for the later records of a live message: for each attempt, and for its completion. */
-    private static final int ATTEMPT_ROOM = 128;
-    private static final int END_ROOM = 64;
+    private static final int ATTEMPT_RESERVE_BYTES = 128;
+    private static final int COMPLETION_RESERVE_BYTES = 64;
     /** Limits on the ids of completed messages that are kept: their number, and their part of the folder's limit. */
-    private static final int MOST_OVER = 4096;
-    private static final int OVER_PART = 16;
+    private static final int MAX_COMPLETED_IDS = 4096;
+    private static final int COMPLETED_IDS_DIVISOR = 16;
     /**
      * Disk use counts in whole blocks of 512 bytes, so each file may take up to a block more than its size: two journal
      * files, the two files of {@link ProcessHandover}, and a spare block.
      */
-    private static final int BLOCKS = 5 * 512;
+    private static final int BLOCK_ROUNDING_BYTES = 5 * 512;
     /** Delay before a failed write is retried: the first one, doubled after each failure up to the maximum. */
-    private static final long FIRST_PAUSE_MS = 10;
-    private static final long MOST_PAUSE_MS = 320;
+    private static final long INITIAL_RETRY_DELAY_MS = 10;
+    private static final long MAX_RETRY_DELAY_MS = 320;
     /** Bytes of unwritten records kept in memory; beyond that they are dropped and a compaction is written instead. */
-    private static final int MOST_UNWRITTEN = 1 << 18;
+    private static final int MAX_UNWRITTEN_BYTES = 1 << 18;
     /** Time left for a message of another boot: longer than any class's deadline, to which its users limit it. */
-    private static final long ANY_SPAN_NANOS = TimeUnit.DAYS.toNanos(1);
+    private static final long OTHER_BOOT_TIME_LEFT_NANOS = TimeUnit.DAYS.toNanos(1);
 
     private final JournalFile file;
-    private final long bound;
-    private final long messageRoom;
+    private final long maxBytes;
+    private final long reservedBytesPerMessage;
     private final MachineClock clock;
-    private final Map<Long, AcceptedMessage> live = new TreeMap<>();
+    private final Map<Long, AcceptedMessage> liveMessages = new TreeMap<>();
     /** Ids of the most recently completed messages, oldest first, and whether each was delivered. */
     private final Map<String, Boolean> completedIds = new LinkedHashMap<>();
-    private long overBytes;
+    private long completedIdsBytes;
     /** The decision module's last state of each endpoint that is not in service. */
     private final Map<String, RecordedHealth> endpointHealth = new TreeMap<>();
     private long liveBytes;
-    private long numbers;
+    private long nextNumber;
     /** Records of past events that could not be written yet, in order; a compaction makes all of them obsolete. */
-    private final Deque<byte[]> unwritten = new ArrayDeque<>();
+    private final Deque<byte[]> unwrittenRecords = new ArrayDeque<>();
     private long unwrittenBytes;
     /** A compaction has to be written before anything else: the last one failed, or unwritten records were dropped. */
-    private boolean needsSnapshot;
+    private boolean needsCompaction;
     private boolean failing;
     private long writeFailures;
-    private long pauseMs = FIRST_PAUSE_MS;
-    private long tryAgainNanos = Long.MIN_VALUE;
-    private LongConsumer tryAgain = ms -> { };
+    private long retryDelayMs = INITIAL_RETRY_DELAY_MS;
+    private long nextRetryNanos = Long.MIN_VALUE;
+    private LongConsumer failureCallback = ms -> { };
     /** What the times in the records being read, or already in the file, count from. */
-    private TimeBase base = TimeBase.WALL_CLOCK;
+    private TimeBase timeBase = TimeBase.WALL_CLOCK;
 
     private enum TimeBase {
         /** Unix time in milliseconds, as written by an earlier release that recorded no boot. */
@@ -106,22 +106,23 @@
     }
 
     /** Opens the journal with the given clock and access to files. */
-    Journal(Path folder, long diskBytes, int maxAttempts, MachineClock clock, FileOpener files) throws IOException {
+    Journal(Path folder, long diskBytes, int maxAttempts, MachineClock clock, FileOpener fileOpener)
+            throws IOException {
         this.clock = clock;
-        this.bound = diskBytes - BLOCKS;
-        this.messageRoom = (long) maxAttempts * ATTEMPT_ROOM + END_ROOM;
+        this.maxBytes = diskBytes - BLOCK_ROUNDING_BYTES;
+        this.reservedBytesPerMessage = (long) maxAttempts * ATTEMPT_RESERVE_BYTES + COMPLETION_RESERVE_BYTES;
         this.liveBytes = bootFrame().length;
-        this.file = new JournalFile(folder, files);
+        this.file = new JournalFile(folder, fileOpener);
         try {
             byte[] bytes = file.read();
-            file.begin(JournalFrames.read(bytes, this::apply), bytes.length);
+            file.setAppendPosition(JournalFrames.read(bytes, this::applyRecord), bytes.length);
         } catch (IOException e) {
             file.close();
             throw e;
         }
-        if (base == TimeBase.OTHER_BOOT && !live.isEmpty()) {
+        if (timeBase == TimeBase.OTHER_BOOT && !liveMessages.isEmpty()) {
             Log.write("the journal was written before the machine was rebooted, so its times are unknown: "
-                    + live.size() + " messages get their full deadline again,"
+                    + liveMessages.size() + " messages get their full deadline again,"
                     + " and earlier attempts count as past the deduplication window");
         }
     }
@@ -137,22 +138,22 @@
 
     /** The messages that are not completed or have a notice pending, in the order in which they were accepted. */
     Collection<AcceptedMessage> liveMessages() {
-        return new ArrayList<>(live.values());
+        return new ArrayList<>(liveMessages.values());
     }
 
     /** Returns a number for the next message, above all numbers used before. */
     long nextNumber() {
-        return numbers++;
+        return nextNumber++;
     }
 
     /** Sets a callback for failed writes; it gets the delay in milliseconds after which to call {@link #catchUp}. */
-    void onFailure(LongConsumer told) {
-        tryAgain = told;
+    void onFailure(LongConsumer callback) {
+        failureCallback = callback;
     }
 
     /** Whether something is still to be written after a failure; no message is accepted until it is. */
     boolean isBehind() {
-        return needsSnapshot || !unwritten.isEmpty() || file.isTorn();
+        return needsCompaction || !unwrittenRecords.isEmpty() || file.hasTornBytes();
     }
 
     /** Number of failed writes in this process. */
@@ -163,102 +164,102 @@
     /** Retries failed writes unless the retry delay is still running; returns whether everything is written. */
     boolean catchUp() {
         if (isBehind()) {
-            if (!file.isOpen() || clock.nanos() < tryAgainNanos) {
+            if (!file.isOpen() || clock.nanos() < nextRetryNanos) {
                 return false;
             }
             try {
-                writeUnwritten();
+                retryWrites();
             } catch (IOException e) {
-                failed(e);
+                writeFailed(e);
                 return false;
             }
         }
         if (failing) {
             failing = false;
-            pauseMs = FIRST_PAUSE_MS;
+            retryDelayMs = INITIAL_RETRY_DELAY_MS;
             Log.write("the journal can be written again; messages are accepted");
         }
         return true;
     }
 
-    private void writeUnwritten() throws IOException {
-        if (needsSnapshot) {
+    private void retryWrites() throws IOException {
+        if (needsCompaction) {
             compact();
         }
-        file.mend();
-        while (!unwritten.isEmpty()) {
-            byte[] record = unwritten.peek();
-            write(record);
+        file.removeTornBytes();
+        while (!unwrittenRecords.isEmpty()) {
+            byte[] record = unwrittenRecords.peek();
+            appendRecord(record);
             // Writing may have compacted the journal, which empties the queue.
-            if (unwritten.peek() == record) {
+            if (unwrittenRecords.peek() == record) {
                 unwrittenBytes -= record.length;
-                unwritten.remove();
+                unwrittenRecords.remove();
             }
         }
     }
 
-    private void failed(IOException e) {
+    private void writeFailed(IOException e) {
         writeFailures++;
         if (!failing) {
             failing = true;
             Log.write("the journal can't be written; messages are rejected until a retry succeeds: " + e.getMessage());
         }
-        tryAgainNanos = clock.nanos() + TimeUnit.MILLISECONDS.toNanos(pauseMs);
-        tryAgain.accept(pauseMs);
-        pauseMs = Math.min(MOST_PAUSE_MS, 2 * pauseMs);
+        nextRetryNanos = clock.nanos() + TimeUnit.MILLISECONDS.toNanos(retryDelayMs);
+        failureCallback.accept(retryDelayMs);
+        retryDelayMs = Math.min(MAX_RETRY_DELAY_MS, 2 * retryDelayMs);
     }
 
     /** Records that a message is accepted. If this throws, the message must be rejected. */
-    void recordAccepted(AcceptedMessage held) throws IOException {
-        byte[] record = takenFrame(held);
-        long needed = liveBytes + record.length + messageRoom * (live.size() + 1L);
-        if (2 * needed > bound) {
+    void recordAccepted(AcceptedMessage message) throws IOException {
+        byte[] record = acceptedFrame(message);
+        long needed = liveBytes + record.length + reservedBytesPerMessage * (liveMessages.size() + 1L);
+        if (2 * needed > maxBytes) {
             throw new JournalFullException("the journal has no room for another message");
         }
-        writeNow(record);
-        count(held, record.length);
-        live.put(held.number, held);
+        writeAhead(record);
+        addRecordBytes(message, record.length);
+        liveMessages.put(message.number, message);
     }
 
     /**
      * Records an attempt that is about to be made; from here on it counts as one that may have run. If this throws, the
      * attempt must not be made. It still keeps its place in the message's list of attempts, as one that never ran.
      */
-    void recordAttempt(AcceptedMessage held, AcceptedMessage.Attempt attempt) throws IOException {
-        held.attempts.add(attempt);
+    void recordAttempt(AcceptedMessage message, AcceptedMessage.Attempt attempt) throws IOException {
+        message.attempts.add(attempt);
         attempt.neverRan = true;
-        byte[] record = attemptFrame(held, attempt);
-        writeNow(record);
-        count(held, record.length);
+        byte[] record = attemptFrame(message, attempt);
+        writeAhead(record);
+        addRecordBytes(message, record.length);
         attempt.neverRan = false;
-        attempt.recordIndex = held.recordedAttempts++;
+        attempt.record = message.recordedAttempts++;
     }
 
     /** Records that the result of an attempt proved that it never ran. */
-    void recordNeverRan(AcceptedMessage held, int number) {
-        AcceptedMessage.Attempt attempt = held.attempts.get(number);
+    void recordNeverRan(AcceptedMessage message, int attemptNumber) {
+        AcceptedMessage.Attempt attempt = message.attempts.get(attemptNumber);
         attempt.neverRan = true;
-        if (attempt.recordIndex != AcceptedMessage.Attempt.UNRECORDED) {
-            append(held, neverRanFrame(held, attempt.recordIndex));
+        if (attempt.record != AcceptedMessage.Attempt.UNRECORDED) {
+            writeMessageRecord(message, neverRanFrame(message, attempt.record));
         }
     }
 
     /** Records that the message ended with a notice, which the agent has not confirmed yet. */
-    void recordNotice(AcceptedMessage held, AcceptedMessage.Notice notice) {
-        held.pendingNotice = Optional.of(notice);
-        rememberCompleted(held.id, false);
-        append(held, owedFrame(held, notice));
+    void recordNotice(AcceptedMessage message, AcceptedMessage.Notice notice) {
+        message.pendingNotice = Optional.of(notice);
+        rememberCompleted(message.id, false);
+        writeMessageRecord(message, noticeFrame(message, notice));
     }
 
     /**
      * Records that nothing is left to do for the message: it was delivered, its notice was confirmed, or its client
      * never got the answer that it was accepted.
      */
-    void recordCompleted(AcceptedMessage held) {
-        if (live.remove(held.number) != null) {
-            liveBytes -= held.journalBytes;
-            markIfTried(held);
-            writeInTime(endedFrame(held));
+    void recordCompleted(AcceptedMessage message) {
+        if (liveMessages.remove(message.number) != null) {
+            liveBytes -= message.journalBytes;
+            rememberIfAttempted(message);
+            writeOrQueue(completedFrame(message));
         }
     }
 
@@ -275,26 +276,26 @@
     /** Remembers the id of a completed message, so that neither this process nor the next accepts it again. */
     void rememberCompleted(String id, boolean delivered) {
         if (completedIds.put(id, delivered) == null) {
-            overBytes += overSize(id);
-            liveBytes += overSize(id);
+            completedIdsBytes += completedIdFrameLength(id);
+            liveBytes += completedIdFrameLength(id);
         }
-        while (completedIds.size() > MOST_OVER || overBytes > bound / OVER_PART) {
+        while (completedIds.size() > MAX_COMPLETED_IDS || completedIdsBytes > maxBytes / COMPLETED_IDS_DIVISOR) {
             String oldest = completedIds.keySet().iterator().next();
             completedIds.remove(oldest);
-            overBytes -= overSize(oldest);
-            liveBytes -= overSize(oldest);
+            completedIdsBytes -= completedIdFrameLength(oldest);
+            liveBytes -= completedIdFrameLength(oldest);
         }
     }
 
     /** A message with neither an attempt nor a notice is not remembered: its client does not know it was accepted. */
-    private void markIfTried(AcceptedMessage held) {
-        if (held.pendingNotice.isPresent() || !held.attempts.isEmpty()) {
-            rememberCompleted(held.id, held.pendingNotice.isEmpty());
+    private void rememberIfAttempted(AcceptedMessage message) {
+        if (message.pendingNotice.isPresent() || !message.attempts.isEmpty()) {
+            rememberCompleted(message.id, message.pendingNotice.isEmpty());
         }
     }
 
-    private static int overSize(String id) {
-        return overFrame(id, true).length;
+    private static int completedIdFrameLength(String id) {
+        return completedIdFrame(id, true).length;
     }
 
     /** An endpoint's state, since when ({@link MachineClock#nanos}), and its sustained call rate before an outage. */
@@ -312,10 +313,10 @@
     }
 
     /** Records a change of an endpoint's health; an endpoint in service needs no live record. */
-    void recordEndpointHealth(String endpoint, RecordedHealth now) {
-        byte[] record = healthFrame(endpoint, now);
-        writeInTime(record);
-        keep(endpoint, now, record.length);
+    void recordEndpointHealth(String endpoint, RecordedHealth health) {
+        byte[] record = endpointHealthFrame(endpoint, health);
+        writeOrQueue(record);
+        storeEndpointHealth(endpoint, health, record.length);
     }
 
     /** The recorded health of the endpoints that are not in service, by endpoint id. */
@@ -323,12 +324,12 @@
         return new TreeMap<>(endpointHealth);
     }
 
-    private void keep(String endpoint, RecordedHealth now, int bytes) {
-        boolean before = endpointHealth.remove(endpoint) != null;
-        if (now.state() != Relay.EndpointState.UP) {
-            endpointHealth.put(endpoint, now);
+    private void storeEndpointHealth(String endpoint, RecordedHealth health, int recordBytes) {
+        boolean wasLive = endpointHealth.remove(endpoint) != null;
+        if (health.state() != Relay.EndpointState.UP) {
+            endpointHealth.put(endpoint, health);
         }
-        liveBytes += (endpointHealth.containsKey(endpoint) ? bytes : 0) - (before ? bytes : 0);
+        liveBytes += (endpointHealth.containsKey(endpoint) ? recordBytes : 0) - (wasLive ? recordBytes : 0);
     }
 
     /** Closes the journal for another process to open, compacted so that it has only the live records to read. */
@@ -362,51 +363,51 @@
         });
     }
 
-    private static byte[] takenFrame(AcceptedMessage held) {
+    private static byte[] acceptedFrame(AcceptedMessage message) {
         return JournalFrames.frame(out -> {
-            out.writeByte(TAKEN);
-            out.writeLong(held.number);
-            out.writeUTF(held.id);
-            out.writeUTF(held.messageClass);
-            out.writeUTF(held.tenant);
-            out.writeBoolean(held.key.isPresent());
-            out.writeUTF(held.key.orElse(""));
-            out.writeLong(held.destination);
-            out.writeLong(held.deadlineNanos);
-            out.writeInt(held.body.length);
-            out.write(held.body);
+            out.writeByte(ACCEPTED);
+            out.writeLong(message.number);
+            out.writeUTF(message.id);
+            out.writeUTF(message.messageClass);
+            out.writeUTF(message.tenant);
+            out.writeBoolean(message.key.isPresent());
+            out.writeUTF(message.key.orElse(""));
+            out.writeLong(message.destination);
+            out.writeLong(message.deadlineNanos);
+            out.writeInt(message.body.length);
+            out.write(message.body);
         });
     }
 
-    private static byte[] attemptFrame(AcceptedMessage held, AcceptedMessage.Attempt attempt) {
+    private static byte[] attemptFrame(AcceptedMessage message, AcceptedMessage.Attempt attempt) {
         return JournalFrames.frame(out -> {
             out.writeByte(ATTEMPT);
-            out.writeLong(held.number);
+            out.writeLong(message.number);
             out.writeUTF(attempt.endpoint);
             out.writeLong(attempt.sentNanos);
         });
     }
 
-    private static byte[] neverRanFrame(AcceptedMessage held, int attempt) {
+    private static byte[] neverRanFrame(AcceptedMessage message, int recordIndex) {
         return JournalFrames.frame(out -> {
             out.writeByte(NEVER_RAN);
-            out.writeLong(held.number);
-            out.writeInt(attempt);
+            out.writeLong(message.number);
+            out.writeInt(recordIndex);
         });
     }
 
-    private static byte[] owedFrame(AcceptedMessage held, AcceptedMessage.Notice notice) {
+    private static byte[] noticeFrame(AcceptedMessage message, AcceptedMessage.Notice notice) {
         return JournalFrames.frame(out -> {
-            out.writeByte(OWED);
-            out.writeLong(held.number);
+            out.writeByte(NOTICE);
+            out.writeLong(message.number);
             out.writeBoolean(notice.bounced());
             out.writeDouble(notice.retryAfterMs());
         });
     }
 
-    private static byte[] overFrame(String id, boolean delivered) {
+    private static byte[] completedIdFrame(String id, boolean delivered) {
         return JournalFrames.frame(out -> {
-            out.writeByte(OVER);
+            out.writeByte(COMPLETED_ID);
             // In the place of the message number in other records.
             out.writeLong(0);
             out.writeUTF(id);
@@ -414,9 +415,9 @@
         });
     }
 
-    private static byte[] healthFrame(String endpoint, RecordedHealth health) {
+    private static byte[] endpointHealthFrame(String endpoint, RecordedHealth health) {
         return JournalFrames.frame(out -> {
-            out.writeByte(HEALTH);
+            out.writeByte(ENDPOINT_HEALTH);
             // In the place of the message number in other records.
             out.writeLong(health.sinceNanos());
             out.writeUTF(endpoint);
@@ -425,20 +426,20 @@
         });
     }
 
-    private static byte[] endedFrame(AcceptedMessage held) {
+    private static byte[] completedFrame(AcceptedMessage message) {
         return JournalFrames.frame(out -> {
-            out.writeByte(ENDED);
-            out.writeLong(held.number);
+            out.writeByte(COMPLETED);
+            out.writeLong(message.number);
         });
     }
 
-    private void append(AcceptedMessage held, byte[] record) {
-        writeInTime(record);
-        count(held, record.length);
+    private void writeMessageRecord(AcceptedMessage message, byte[] record) {
+        writeOrQueue(record);
+        addRecordBytes(message, record.length);
     }
 
     /** Writes a record before the step that it describes; if this throws, the step must not be taken. */
-    private void writeNow(byte[] record) throws IOException {
+    private void writeAhead(byte[] record) throws IOException {
         if (!file.isOpen()) {
             throw new ClosedChannelException();
         }
@@ -446,45 +447,45 @@
             throw new IOException("the journal can't be written: an earlier write failed and is still to be retried");
         }
         try {
-            write(record);
+            appendRecord(record);
         } catch (JournalFullException e) {
             throw e;
         } catch (IOException e) {
-            needsSnapshot |= !file.isTorn();
-            failed(e);
+            needsCompaction |= !file.hasTornBytes();
+            writeFailed(e);
             throw e;
         }
     }
 
     /** Writes a record of an event that has already happened, or queues it until the journal can be written. */
-    private void writeInTime(byte[] record) {
+    private void writeOrQueue(byte[] record) {
         if (!file.isOpen()) {
             // Another process owns the file by now, or this process is ending.
             return;
         }
         if (catchUp()) {
             try {
-                write(record);
+                appendRecord(record);
                 return;
             } catch (IOException e) {
-                failed(e);
+                writeFailed(e);
             }
         }
-        unwritten.add(record);
+        unwrittenRecords.add(record);
         unwrittenBytes += record.length;
-        if (unwrittenBytes > MOST_UNWRITTEN) {
+        if (unwrittenBytes > MAX_UNWRITTEN_BYTES) {
             // A compaction writes the same state from memory.
-            unwritten.clear();
+            unwrittenRecords.clear();
             unwrittenBytes = 0;
-            needsSnapshot = true;
+            needsCompaction = true;
         }
     }
 
-    private void write(byte[] record) throws IOException {
-        if (base != TimeBase.THIS_BOOT || file.size() + liveBytes + 2L * record.length > bound) {
+    private void appendRecord(byte[] record) throws IOException {
+        if (timeBase != TimeBase.THIS_BOOT || file.size() + liveBytes + 2L * record.length > maxBytes) {
             compact();
         }
-        if (file.size() + record.length > bound) {
+        if (file.size() + record.length > maxBytes) {
             throw new JournalFullException("the journal is full");
         }
         file.append(record);
@@ -493,109 +494,109 @@
     private void compact() throws IOException {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream((int) liveBytes);
         bytes.write(bootFrame());
-        for (Map.Entry<String, RecordedHealth> known : endpointHealth.entrySet()) {
-            bytes.write(healthFrame(known.getKey(), known.getValue()));
+        for (Map.Entry<String, RecordedHealth> entry : endpointHealth.entrySet()) {
+            bytes.write(endpointHealthFrame(entry.getKey(), entry.getValue()));
         }
-        for (Map.Entry<String, Boolean> known : completedIds.entrySet()) {
-            bytes.write(overFrame(known.getKey(), known.getValue()));
+        for (Map.Entry<String, Boolean> entry : completedIds.entrySet()) {
+            bytes.write(completedIdFrame(entry.getKey(), entry.getValue()));
         }
-        for (AcceptedMessage held : live.values()) {
-            bytes.write(takenFrame(held));
-            for (AcceptedMessage.Attempt attempt : held.attempts) {
-                if (attempt.recordIndex == AcceptedMessage.Attempt.UNRECORDED) {
+        for (AcceptedMessage message : liveMessages.values()) {
+            bytes.write(acceptedFrame(message));
+            for (AcceptedMessage.Attempt attempt : message.attempts) {
+                if (attempt.record == AcceptedMessage.Attempt.UNRECORDED) {
                     continue;
                 }
-                bytes.write(attemptFrame(held, attempt));
+                bytes.write(attemptFrame(message, attempt));
                 if (attempt.neverRan) {
-                    bytes.write(neverRanFrame(held, attempt.recordIndex));
+                    bytes.write(neverRanFrame(message, attempt.record));
                 }
             }
-            if (held.pendingNotice.isPresent()) {
-                bytes.write(owedFrame(held, held.pendingNotice.get()));
+            if (message.pendingNotice.isPresent()) {
+                bytes.write(noticeFrame(message, message.pendingNotice.get()));
             }
         }
         file.replace(bytes.toByteArray());
-        unwritten.clear();
+        unwrittenRecords.clear();
         unwrittenBytes = 0;
-        needsSnapshot = false;
-        base = TimeBase.THIS_BOOT;
+        needsCompaction = false;
+        timeBase = TimeBase.THIS_BOOT;
     }
 
     // ---- reading ----
 
-    private void apply(DataInputStream in, int length) throws IOException {
+    private void applyRecord(DataInputStream in, int length) throws IOException {
         int type = in.readByte();
         long number = in.readLong();
         if (type == BOOT) {
             // A time later than this clock's is not of this boot, even if the boot id is the same.
-            String boot = in.readUTF();
-            boolean same = !boot.isEmpty() && boot.equals(clock.bootId()) && number <= clock.nanos();
-            base = same ? TimeBase.THIS_BOOT : TimeBase.OTHER_BOOT;
+            String bootId = in.readUTF();
+            boolean sameBoot = !bootId.isEmpty() && bootId.equals(clock.bootId()) && number <= clock.nanos();
+            timeBase = sameBoot ? TimeBase.THIS_BOOT : TimeBase.OTHER_BOOT;
             return;
         }
-        if (type == HEALTH) {
+        if (type == ENDPOINT_HEALTH) {
             String endpoint = in.readUTF();
             Relay.EndpointState state = Relay.EndpointState.values()[in.readByte()];
-            keep(endpoint, restoredHealth(state, number, in.readDouble()), length);
+            storeEndpointHealth(endpoint, restoredHealth(state, number, in.readDouble()), length);
             return;
         }
-        if (type == OVER) {
+        if (type == COMPLETED_ID) {
             rememberCompleted(in.readUTF(), in.readBoolean());
             return;
         }
-        numbers = Math.max(numbers, number + 1);
-        if (type == TAKEN) {
+        nextNumber = Math.max(nextNumber, number + 1);
+        if (type == ACCEPTED) {
             String id = in.readUTF();
             String messageClass = in.readUTF();
             String tenant = in.readUTF();
             boolean keyed = in.readBoolean();
             String key = in.readUTF();
-            AcceptedMessage held = new AcceptedMessage(number, id, messageClass, tenant,
-                    keyed ? Optional.of(key) : Optional.empty(), in.readLong(), deadlineNanos(in.readLong()),
+            AcceptedMessage message = new AcceptedMessage(number, id, messageClass, tenant,
+                    keyed ? Optional.of(key) : Optional.empty(), in.readLong(), restoredDeadlineNanos(in.readLong()),
                     in.readNBytes(in.readInt()));
-            live.put(number, held);
-            count(held, length);
+            liveMessages.put(number, message);
+            addRecordBytes(message, length);
             return;
         }
-        AcceptedMessage held = live.get(number);
-        if (held == null) {
+        AcceptedMessage message = liveMessages.get(number);
+        if (message == null) {
             return;
         }
         switch (type) {
             case ATTEMPT -> {
                 AcceptedMessage.Attempt attempt = restoredAttempt(in.readUTF(), in.readLong());
-                held.attempts.add(attempt);
-                attempt.recordIndex = held.recordedAttempts++;
+                message.attempts.add(attempt);
+                attempt.record = message.recordedAttempts++;
             }
-            case NEVER_RAN -> held.attempts.get(in.readInt()).neverRan = true;
-            case OWED -> {
-                held.pendingNotice = Optional.of(new AcceptedMessage.Notice(in.readBoolean(), in.readDouble()));
-                held.finished = true;
-                rememberCompleted(held.id, false);
+            case NEVER_RAN -> message.attempts.get(in.readInt()).neverRan = true;
+            case NOTICE -> {
+                message.pendingNotice = Optional.of(new AcceptedMessage.Notice(in.readBoolean(), in.readDouble()));
+                message.finished = true;
+                rememberCompleted(message.id, false);
             }
-            case ENDED -> {
-                live.remove(number);
-                liveBytes -= held.journalBytes;
-                markIfTried(held);
+            case COMPLETED -> {
+                liveMessages.remove(number);
+                liveBytes -= message.journalBytes;
+                rememberIfAttempted(message);
                 return;
             }
             default -> throw new IOException("unknown type of journal record: " + type);
         }
-        count(held, length);
+        addRecordBytes(message, length);
     }
 
     /** A message of another boot gets a new deadline: retrying for too long does less harm than giving it up. */
-    private long deadlineNanos(long recorded) {
-        return switch (base) {
+    private long restoredDeadlineNanos(long recorded) {
+        return switch (timeBase) {
             case THIS_BOOT -> recorded;
-            case OTHER_BOOT -> clock.nanos() + ANY_SPAN_NANOS;
+            case OTHER_BOOT -> clock.nanos() + OTHER_BOOT_TIME_LEFT_NANOS;
             case WALL_CLOCK -> clock.nanos() + TimeUnit.MILLISECONDS.toNanos(recorded - clock.wallMillis());
         };
     }
 
     /** An attempt of another boot counts as older than any deduplication window, so that it is not repeated. */
     private AcceptedMessage.Attempt restoredAttempt(String endpoint, long recorded) {
-        return switch (base) {
+        return switch (timeBase) {
             case THIS_BOOT -> AcceptedMessage.Attempt.sentAt(endpoint, recorded, clock);
             case OTHER_BOOT -> AcceptedMessage.Attempt.ofUnknownAge(endpoint, clock);
             case WALL_CLOCK -> AcceptedMessage.Attempt.sentAgo(endpoint, clock.wallMillis() - recorded, clock);
@@ -603,16 +604,16 @@
     }
 
     /** The health of an endpoint from another boot counts as just begun, so that a slow start begins again. */
-    private RecordedHealth restoredHealth(Relay.EndpointState state, long recorded, double carriedPerMs) {
-        return switch (base) {
-            case THIS_BOOT -> new RecordedHealth(state, recorded, carriedPerMs);
-            case OTHER_BOOT -> RecordedHealth.ofAge(0, state, carriedPerMs, clock);
-            case WALL_CLOCK -> RecordedHealth.ofAge(clock.wallMillis() - recorded, state, carriedPerMs, clock);
+    private RecordedHealth restoredHealth(Relay.EndpointState state, long recorded, double sustainedPerMs) {
+        return switch (timeBase) {
+            case THIS_BOOT -> new RecordedHealth(state, recorded, sustainedPerMs);
+            case OTHER_BOOT -> RecordedHealth.ofAge(0, state, sustainedPerMs, clock);
+            case WALL_CLOCK -> RecordedHealth.ofAge(clock.wallMillis() - recorded, state, sustainedPerMs, clock);
         };
     }
 
-    private void count(AcceptedMessage held, int length) {
-        held.journalBytes += length;
+    private void addRecordBytes(AcceptedMessage message, int length) {
+        message.journalBytes += length;
         liveBytes += length;
     }
 }
--- a/src/main/java/kestreldeal/net/JournalFile.java
+++ b/src/main/java/kestreldeal/net/JournalFile.java
@@ -17,41 +17,41 @@
  * reported as failed.
  */
 final class JournalFile implements AutoCloseable {
-    private static final int READ_BYTES = 1 << 16;
+    private static final int READ_CHUNK_BYTES = 1 << 16;
 
     private final Path file;
-    private final Path next;
-    private final Journal.FileOpener files;
+    private final Path replacementFile;
+    private final Journal.FileOpener fileOpener;
     private FileChannel channel;
     /** End of the last record that was written completely, where the next one is appended. */
     private long size;
     /** End of the bytes that a failed append may have left; not beyond {@link #size} if there are none. */
-    private long tornUntil;
+    private long tornEnd;
 
     /** Opens the file, creating it if there is none; the leftover of an unfinished replacement is deleted. */
-    JournalFile(Path folder, Journal.FileOpener files) throws IOException {
+    JournalFile(Path folder, Journal.FileOpener fileOpener) throws IOException {
         this.file = folder.resolve("journal");
-        this.next = folder.resolve("journal.next");
-        this.files = files;
-        Files.deleteIfExists(next);
-        channel = files.open(file, StandardOpenOption.CREATE, StandardOpenOption.READ, StandardOpenOption.WRITE);
+        this.replacementFile = folder.resolve("journal.next");
+        this.fileOpener = fileOpener;
+        Files.deleteIfExists(replacementFile);
+        channel = fileOpener.open(file, StandardOpenOption.CREATE, StandardOpenOption.READ, StandardOpenOption.WRITE);
     }
 
     /** Reads the whole file. */
     byte[] read() throws IOException {
         ByteArrayOutputStream all = new ByteArrayOutputStream((int) channel.size());
-        ByteBuffer piece = ByteBuffer.allocate(READ_BYTES);
-        for (long at = 0; channel.read(piece, at) > 0; at = all.size()) {
-            all.write(piece.array(), 0, piece.position());
-            piece.clear();
+        ByteBuffer chunk = ByteBuffer.allocate(READ_CHUNK_BYTES);
+        for (long position = 0; channel.read(chunk, position) > 0; position = all.size()) {
+            all.write(chunk.array(), 0, chunk.position());
+            chunk.clear();
         }
         return all.toByteArray();
     }
 
     /** Sets where to append: after the complete records at the start of the bytes that were read. */
-    void begin(long wholeBytes, long readBytes) {
-        size = wholeBytes;
-        tornUntil = readBytes;
+    void setAppendPosition(long completeBytes, long readBytes) {
+        size = completeBytes;
+        tornEnd = readBytes;
     }
 
     /** Whether the file has not been closed by this process. */
@@ -64,14 +64,14 @@
         return size;
     }
 
-    /** Whether bytes may follow the last complete record; {@link #mend} has to remove them before the next append. */
-    boolean isTorn() {
-        return tornUntil > size;
+    /** Whether bytes may follow the last complete record, which {@link #removeTornBytes} has to remove first. */
+    boolean hasTornBytes() {
+        return tornEnd > size;
     }
 
     /** Truncates the file after the last complete record or, if that fails, overwrites what follows it with zeros. */
-    void mend() throws IOException {
-        if (!isTorn()) {
+    void removeTornBytes() throws IOException {
+        if (!hasTornBytes()) {
             return;
         }
         try {
@@ -79,22 +79,22 @@
         } catch (ClosedChannelException e) {
             throw e;
         } catch (IOException e) {
-            writeAll(channel, new byte[(int) (tornUntil - size)], size);
+            writeAll(channel, new byte[(int) (tornEnd - size)], size);
         }
-        tornUntil = size;
+        tornEnd = size;
     }
 
     /** Appends a record. If this throws, no later reader may see it: the next append removes what was written of it. */
     void append(byte[] record) throws IOException {
-        mend();
+        removeTornBytes();
         try {
             writeAll(channel, record, size);
         } catch (IOException e) {
-            tornUntil = size + record.length;
+            tornEnd = size + record.length;
             throw e;
         }
         size += record.length;
-        tornUntil = size;
+        tornEnd = size;
     }
 
     /** Replaces the whole content of the file atomically. If this throws, the file is unchanged. */
@@ -103,20 +103,20 @@
             // Another process may own the file by now.
             throw new ClosedChannelException();
         }
-        FileChannel fresh = files.open(next, StandardOpenOption.CREATE, StandardOpenOption.TRUNCATE_EXISTING,
-                StandardOpenOption.WRITE);
+        FileChannel replacement = fileOpener.open(replacementFile, StandardOpenOption.CREATE,
+                StandardOpenOption.TRUNCATE_EXISTING, StandardOpenOption.WRITE);
         try {
-            writeAll(fresh, content, 0);
-            Files.move(next, file, StandardCopyOption.ATOMIC_MOVE);
+            writeAll(replacement, content, 0);
+            Files.move(replacementFile, file, StandardCopyOption.ATOMIC_MOVE);
         } catch (IOException e) {
-            close(fresh);
-            Files.deleteIfExists(next);
+            close(replacement);
+            Files.deleteIfExists(replacementFile);
             throw e;
         }
         FileChannel old = channel;
-        channel = fresh;
+        channel = replacement;
         size = content.length;
-        tornUntil = size;
+        tornEnd = size;
         // A failure to close must not fail the replacement: the new file is in place and all later records go there.
         close(old);
     }
--- a/src/main/java/kestreldeal/net/JournalFrames.java
+++ b/src/main/java/kestreldeal/net/JournalFrames.java
@@ -12,33 +12,34 @@
 /** Frames the journal's records with a length and a CRC-32 checksum, so that incomplete records are detected. */
 final class JournalFrames {
     /** Bytes of a frame's header: the record's length (4) and its checksum (8). */
-    private static final int HEAD = 12;
+    private static final int HEADER_BYTES = 12;
     /** Maximum length of a record in bytes; a larger value is not a length that was written here, or is damaged. */
-    private static final int LONGEST = 1 << 20;
+    private static final int MAX_RECORD_BYTES = 1 << 20;
 
     private JournalFrames() {
     }
 
     /** Writes the content of a record. */
-    interface Body {
+    interface RecordWriter {
         void write(DataOutputStream out) throws IOException;
     }
 
     /** Receives each record, and its length in bytes with the frame's header. */
-    interface Reader {
+    interface RecordReader {
         void read(DataInputStream record, int frameLength) throws IOException;
     }
 
     /** Builds a record with its frame's header. */
-    static byte[] frame(Body body) {
+    static byte[] frame(RecordWriter writer) {
         try {
             ByteArrayOutputStream bytes = new ByteArrayOutputStream(128);
             DataOutputStream out = new DataOutputStream(bytes);
             out.writeInt(0);
             out.writeLong(0);
-            body.write(out);
+            writer.write(out);
             byte[] frame = bytes.toByteArray();
-            ByteBuffer.wrap(frame).putInt(frame.length - HEAD).putLong(checksum(frame, HEAD, frame.length - HEAD));
+            ByteBuffer.wrap(frame).putInt(frame.length - HEADER_BYTES)
+                    .putLong(checksum(frame, HEADER_BYTES, frame.length - HEADER_BYTES));
             return frame;
         } catch (IOException e) {
             throw new UncheckedIOException(e);
@@ -46,24 +47,25 @@
     }
 
     /** Reads up to the first record that is incomplete, damaged or rejected by the reader; returns its position. */
-    static int read(byte[] bytes, Reader reader) {
-        int at = 0;
-        while (bytes.length - at >= HEAD) {
-            ByteBuffer head = ByteBuffer.wrap(bytes, at, HEAD);
-            int length = head.getInt();
-            long checksum = head.getLong();
-            if (length < 1 || length > LONGEST || length > bytes.length - at - HEAD
-                    || checksum(bytes, at + HEAD, length) != checksum) {
+    static int read(byte[] bytes, RecordReader reader) {
+        int position = 0;
+        while (bytes.length - position >= HEADER_BYTES) {
+            ByteBuffer header = ByteBuffer.wrap(bytes, position, HEADER_BYTES);
+            int length = header.getInt();
+            long checksum = header.getLong();
+            if (length < 1 || length > MAX_RECORD_BYTES || length > bytes.length - position - HEADER_BYTES
+                    || checksum(bytes, position + HEADER_BYTES, length) != checksum) {
                 break;
             }
             try {
-                reader.read(new DataInputStream(new ByteArrayInputStream(bytes, at + HEAD, length)), HEAD + length);
+                reader.read(new DataInputStream(new ByteArrayInputStream(bytes, position + HEADER_BYTES, length)),
+                        HEADER_BYTES + length);
             } catch (IOException e) {
                 break;
             }
-            at += HEAD + length;
+            position += HEADER_BYTES + length;
         }
-        return at;
+        return position;
     }
 
     private static long checksum(byte[] bytes, int from, int length) {
--- a/src/main/java/kestreldeal/net/LeaderLock.java
+++ b/src/main/java/kestreldeal/net/LeaderLock.java
@@ -20,7 +20,7 @@
     }
 
     /** Acquires the lock unless another process holds it; returns whether this process holds it now. */
-    boolean take() throws IOException {
+    boolean tryAcquire() throws IOException {
         if (channel != null) {
             return true;
         }
--- a/src/main/java/kestreldeal/net/ProcessConnection.java
+++ b/src/main/java/kestreldeal/net/ProcessConnection.java
@@ -28,54 +28,55 @@
  * objects prefixed with their length, and arrive in the order sent. When the other process ends, the connection closes.
  */
 final class ProcessConnection extends SimpleChannelInboundHandler<ByteBuf> {
-    private static final int LENGTH_BYTES = 4;
-    private static final int LONGEST = 16 << 20;
+    private static final int LENGTH_FIELD_BYTES = 4;
+    private static final int MAX_MESSAGE_BYTES = 16 << 20;
     private static final JsonMapper JSON = JsonMapper.builder().build();
 
     /** Handles the events of a connection. */
     interface MessageHandler {
-        void opened(ProcessConnection link);
+        void opened(ProcessConnection connection);
 
-        void heard(ProcessConnection link, JsonNode told) throws IOException;
+        void received(ProcessConnection connection, JsonNode message) throws IOException;
 
-        void closed(ProcessConnection link);
+        void closed(ProcessConnection connection);
     }
 
-    private final MessageHandler ear;
+    private final MessageHandler handler;
     private Channel channel;
 
-    private ProcessConnection(MessageHandler ear) {
-        this.ear = ear;
+    private ProcessConnection(MessageHandler handler) {
+        this.handler = handler;
     }
 
     /** Listens for connections at a path where no socket file exists. */
-    static ChannelFuture listen(EventLoop loop, Path path, MessageHandler ear) {
+    static ChannelFuture listen(EventLoop loop, Path path, MessageHandler handler) {
         return new ServerBootstrap().group(loop, loop).channel(NioServerDomainSocketChannel.class)
-                .childHandler(initializer(ear)).bind(UnixDomainSocketAddress.of(path));
+                .childHandler(initializer(handler)).bind(UnixDomainSocketAddress.of(path));
     }
 
     /** Connects to the process that listens at a path; the future fails if there is none. */
-    static ChannelFuture connect(EventLoop loop, Path path, MessageHandler ear) {
+    static ChannelFuture connect(EventLoop loop, Path path, MessageHandler handler) {
         return new Bootstrap().group(loop).channel(NioDomainSocketChannel.class)
-                .handler(initializer(ear)).connect(UnixDomainSocketAddress.of(path));
+                .handler(initializer(handler)).connect(UnixDomainSocketAddress.of(path));
     }
 
-    private static ChannelInitializer<Channel> initializer(MessageHandler ear) {
+    private static ChannelInitializer<Channel> initializer(MessageHandler handler) {
         return new ChannelInitializer<>() {
             @Override
             protected void initChannel(Channel channel) {
                 channel.pipeline().addLast(
-                        new LengthFieldBasedFrameDecoder(LONGEST, 0, LENGTH_BYTES, 0, LENGTH_BYTES),
-                        new LengthFieldPrepender(LENGTH_BYTES), new ProcessConnection(ear));
+                        new LengthFieldBasedFrameDecoder(MAX_MESSAGE_BYTES, 0, LENGTH_FIELD_BYTES, 0,
+                                LENGTH_FIELD_BYTES),
+                        new LengthFieldPrepender(LENGTH_FIELD_BYTES), new ProcessConnection(handler));
             }
         };
     }
 
-    void tell(ObjectNode what) {
+    void send(ObjectNode message) {
         try {
-            channel.writeAndFlush(Unpooled.wrappedBuffer(JSON.writeValueAsBytes(what)));
+            channel.writeAndFlush(Unpooled.wrappedBuffer(JSON.writeValueAsBytes(message)));
         } catch (IOException e) {
-            throw new IllegalArgumentException("the message can't be written as JSON: " + what, e);
+            throw new IllegalArgumentException("the message can't be written as JSON: " + message, e);
         }
     }
 
@@ -86,19 +87,19 @@
     @Override
     public void channelActive(ChannelHandlerContext ctx) {
         channel = ctx.channel();
-        ear.opened(this);
+        handler.opened(this);
     }
 
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, ByteBuf frame) throws IOException {
         try (InputStream in = new ByteBufInputStream(frame)) {
-            ear.heard(this, JSON.readTree(in));
+            handler.received(this, JSON.readTree(in));
         }
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-        ear.closed(this);
+        handler.closed(this);
     }
 
     @Override
--- a/src/main/java/kestreldeal/net/ProcessHandover.java
+++ b/src/main/java/kestreldeal/net/ProcessHandover.java
@@ -31,7 +31,7 @@
  */
 final class ProcessHandover {
     /** Interval between tries to acquire the leader lock or to connect to the leader. */
-    private static final long SEEK_MS = 50;
+    private static final long RETRY_INTERVAL_MS = 50;
 
     /**
      * What the leader hands over beside the journal.
@@ -57,7 +57,7 @@
     /** What the sender does on the events of a handover. */
     interface Callbacks {
         /** This process leads from now on, with the predecessor's state if that could hand it over. */
-        void becomeLeader(Optional<HandoverState> legacy) throws IOException;
+        void becomeLeader(Optional<HandoverState> handoverState) throws IOException;
 
         /** The state that this leader would hand over now. */
         HandoverState handoverState();
@@ -69,10 +69,10 @@
         HttpResponseStatus messageForwarded(ClientServer.Submission submission);
 
         /** An attempt of the predecessor has completed. */
-        void predecessorAttemptCompleted(InFlightResult end);
+        void predecessorAttemptCompleted(InFlightResult result);
 
         /** An endpoint has asked the predecessor to back off (Retry-After). */
-        void retryAfterForwarded(String endpoint, double waitMs);
+        void retryAfterForwarded(String endpoint, double retryAfterMs);
 
         /** The successor cancels an attempt that was made here. */
         void attemptCancelled(long message, int attempt);
@@ -82,79 +82,79 @@
     }
 
     private final EventLoop loop;
-    private final LeaderLock helm;
-    private final Path socket;
+    private final LeaderLock leaderLock;
+    private final Path socketPath;
     /** Whether processes connect to each other; without it a process can only wait until the leader ends. */
-    private final boolean links;
-    private final Callbacks heir;
+    private final boolean connectsProcesses;
+    private final Callbacks callbacks;
     private final JsonMapper json = JsonMapper.builder()
             // A later release may send more fields.
             .disable(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES).build();
     /** A follower's connection to the leader, or a leader's to its predecessor. */
-    private Optional<ProcessConnection> before = Optional.empty();
+    private Optional<ProcessConnection> predecessor = Optional.empty();
     /** The connection to the follower that will take over, or has taken over. */
-    private Optional<ProcessConnection> next = Optional.empty();
-    private Channel listener;
-    private boolean leads;
-    private boolean welcome;
+    private Optional<ProcessConnection> successor = Optional.empty();
+    private Channel serverChannel;
+    private boolean isLeader;
+    private boolean registered;
     private boolean closed;
     /** Why this process could not become the leader when it last tried, to log each reason once in a row. */
-    private String obstacle = "";
+    private String lastObstacle = "";
     /** Clients' answers that wait for the successor's status, by the number of the forwarded message. */
-    private final Map<Long, Consumer<HttpResponseStatus>> asked = new HashMap<>();
-    private long asks;
+    private final Map<Long, Consumer<HttpResponseStatus>> pendingAnswers = new HashMap<>();
+    private long lastForwardNumber;
 
-    ProcessHandover(EventLoop loop, Path folder, boolean links, Callbacks heir) {
+    ProcessHandover(EventLoop loop, Path folder, boolean connectsProcesses, Callbacks callbacks) {
         this.loop = loop;
-        this.helm = new LeaderLock(folder);
-        this.socket = folder.resolve("helm.sock");
-        this.links = links;
-        this.heir = heir;
+        this.leaderLock = new LeaderLock(folder);
+        this.socketPath = folder.resolve("helm.sock");
+        this.connectsProcesses = connectsProcesses;
+        this.callbacks = callbacks;
     }
 
     /** Becomes the leader if no other process is, or else a follower; retries if the folder can't be used yet. */
     void start() {
         try {
-            if (helm.take()) {
-                lead(Optional.empty());
+            if (leaderLock.tryAcquire()) {
+                becomeLeader(Optional.empty());
                 return;
             }
             Log.write("another process of this sender is the leader; this one waits as its follower");
         } catch (IOException e) {
-            cantLead(e);
+            logCannotLead(e);
         }
-        seek();
+        leadOrConnect();
     }
 
     /** Logs why this process can't lead yet; since it retries, a repeated reason is not logged again. */
-    private void cantLead(IOException e) {
+    private void logCannotLead(IOException e) {
         String reason = String.valueOf(e.getMessage());
-        if (!reason.equals(obstacle)) {
-            obstacle = reason;
+        if (!reason.equals(lastObstacle)) {
+            lastObstacle = reason;
             Log.write("can't become the leader yet, will retry: " + reason);
         }
     }
 
     /** Whether the leader has registered this process as its follower, so that it can take over without a gap. */
     boolean isRegisteredFollower() {
-        return !leads && welcome;
+        return !isLeader && registered;
     }
 
     /** Whether this process leads and is still connected to the one that it took over from. */
     boolean hasPredecessor() {
-        return leads && before.isPresent();
+        return isLeader && predecessor.isPresent();
     }
 
-    private void lead(Optional<HandoverState> legacy) throws IOException {
-        leads = true;
+    private void becomeLeader(Optional<HandoverState> handoverState) throws IOException {
+        isLeader = true;
         try {
-            heir.becomeLeader(legacy);
+            callbacks.becomeLeader(handoverState);
         } catch (IOException e) {
-            leads = false;
+            isLeader = false;
             throw e;
         }
-        if (links) {
-            listen();
+        if (connectsProcesses) {
+            listenForFollower();
         }
     }
 
@@ -162,12 +162,12 @@
      * Listens for a follower, in the place of an earlier process's socket. If that fails, a successor can only start
      * once this process has ended.
      */
-    private void listen() {
+    private void listenForFollower() {
         try {
-            Files.deleteIfExists(socket);
-            ChannelFuture bound = ProcessConnection.listen(loop, socket, new Follower());
-            listener = bound.channel();
-            bound.addListener(f -> {
+            Files.deleteIfExists(socketPath);
+            ChannelFuture binding = ProcessConnection.listen(loop, socketPath, new SuccessorHandler());
+            serverChannel = binding.channel();
+            binding.addListener(f -> {
                 if (!f.isSuccess()) {
                     Log.write("can't listen for a successor, no process can take over while this one runs: "
                             + f.cause().getMessage());
@@ -180,161 +180,167 @@
 
     // ---- as a follower ----
 
-    private void seek() {
+    private void leadOrConnect() {
         if (closed) {
             return;
         }
         try {
-            if (helm.take()) {
-                lead(Optional.empty());
+            if (leaderLock.tryAcquire()) {
+                becomeLeader(Optional.empty());
                 return;
             }
         } catch (IOException e) {
-            cantLead(e);
+            logCannotLead(e);
         }
-        if (!links) {
-            seekLater();
+        if (!connectsProcesses) {
+            leadOrConnectLater();
             return;
         }
-        ProcessConnection.connect(loop, socket, new Leader()).addListener(f -> {
+        ProcessConnection.connect(loop, socketPath, new PredecessorHandler()).addListener(f -> {
             if (!f.isSuccess()) {
-                seekLater();
+                leadOrConnectLater();
             }
         });
     }
 
-    private void seekLater() {
-        loop.schedule(this::seek, SEEK_MS, TimeUnit.MILLISECONDS);
+    private void leadOrConnectLater() {
+        loop.schedule(this::leadOrConnect, RETRY_INTERVAL_MS, TimeUnit.MILLISECONDS);
     }
 
     /** Takes over with the leader's state; the leader released the lock before it sent that. */
-    private void takeOver(HandoverState legacy) throws IOException {
-        if (helm.take()) {
-            lead(Optional.of(legacy));
+    private void takeOver(HandoverState handoverState) throws IOException {
+        if (leaderLock.tryAcquire()) {
+            becomeLeader(Optional.of(handoverState));
         } else {
             Log.write("the leader lock was released to this process, but another process has acquired it");
         }
     }
 
     /** Handles messages from the leader, or from the predecessor once this process leads. */
-    private final class Leader implements ProcessConnection.MessageHandler {
+    private final class PredecessorHandler implements ProcessConnection.MessageHandler {
         @Override
-        public void opened(ProcessConnection link) {
-            before = Optional.of(link);
-            link.tell(message("follow"));
+        public void opened(ProcessConnection connection) {
+            predecessor = Optional.of(connection);
+            connection.send(newMessage("follow"));
         }
 
         @Override
-        public void heard(ProcessConnection link, JsonNode told) throws IOException {
-            switch (told.path("do").asText()) {
+        public void received(ProcessConnection connection, JsonNode message) throws IOException {
+            switch (message.path("do").asText()) {
                 case "welcome" -> {
                     // Warms up the parser: the first parse takes long, and would delay the takeover itself.
-                    json.treeToValue(told.path("legacy"), HandoverState.class);
-                    welcome = true;
+                    json.treeToValue(message.path("legacy"), HandoverState.class);
+                    registered = true;
                 }
-                case "helm" -> takeOver(json.treeToValue(told.path("legacy"), HandoverState.class));
+                case "helm" -> takeOver(json.treeToValue(message.path("legacy"), HandoverState.class));
                 case "message" -> {
-                    HttpResponseStatus status = heir.messageForwarded(submission(told));
-                    link.tell(message("answer").put("ask", told.path("ask").asLong()).put("status", status.code()));
+                    HttpResponseStatus status = callbacks.messageForwarded(parseSubmission(message));
+                    connection.send(newMessage("answer").put("ask", message.path("ask").asLong())
+                            .put("status", status.code()));
                 }
-                case "wait" -> heir.retryAfterForwarded(told.path("endpoint").asText(), told.path("wait").asDouble());
-                case "end" -> heir.predecessorAttemptCompleted(
-                        json.treeToValue(told.path("end"), InFlightResult.class));
+                case "wait" -> callbacks.retryAfterForwarded(message.path("endpoint").asText(),
+                        message.path("wait").asDouble());
+                case "end" -> callbacks.predecessorAttemptCompleted(
+                        json.treeToValue(message.path("end"), InFlightResult.class));
                 default -> Log.write("unknown type of handover message from the predecessor process is ignored");
             }
         }
 
         @Override
-        public void closed(ProcessConnection link) {
-            before = Optional.empty();
-            welcome = false;
-            if (leads) {
-                heir.predecessorGone();
+        public void closed(ProcessConnection connection) {
+            predecessor = Optional.empty();
+            registered = false;
+            if (isLeader) {
+                callbacks.predecessorGone();
             } else {
-                seek();
+                leadOrConnect();
             }
         }
     }
 
     /** Notifies the predecessor that this process listens for clients, so that it can stop listening. */
     void notifyListening() {
-        before.ifPresent(link -> link.tell(message("listening")));
+        predecessor.ifPresent(connection -> connection.send(newMessage("listening")));
     }
 
     /** Asks the predecessor to cancel an attempt that it made. */
     void cancelAttempt(long message, int attempt) {
-        before.ifPresent(link -> link.tell(message("cancel").put("message", message).put("attempt", attempt)));
+        predecessor.ifPresent(connection -> connection.send(
+                newMessage("cancel").put("message", message).put("attempt", attempt)));
     }
 
     // ---- as a leader ----
 
     /** Whether a follower is connected and can take over. */
     boolean hasFollower() {
-        return leads && next.isPresent();
+        return isLeader && successor.isPresent();
     }
 
     /** Releases the leader lock and sends the state to the successor; the journal must be closed by now. */
-    void handOver(HandoverState legacy) {
-        leads = false;
-        helm.release();
-        tellNext(message("helm").set("legacy", json.valueToTree(legacy)));
+    void handOver(HandoverState handoverState) {
+        isLeader = false;
+        leaderLock.release();
+        sendToSuccessor(newMessage("helm").set("legacy", json.valueToTree(handoverState)));
     }
 
     /** Forwards a client's message to the successor. The answer comes later; it is 503 if the successor is gone. */
-    void forward(ClientServer.Submission s, Consumer<HttpResponseStatus> answer) {
-        if (next.isEmpty()) {
+    void forward(ClientServer.Submission submission, Consumer<HttpResponseStatus> answer) {
+        if (successor.isEmpty()) {
             answer.accept(HttpResponseStatus.SERVICE_UNAVAILABLE);
             return;
         }
-        asked.put(++asks, answer);
-        tellNext(message("message").put("ask", asks).put("id", s.id()).put("class", s.messageClass())
-                .put("tenant", s.tenant()).put("key", s.key().orElse(null)).put("dest", s.destination())
-                .put("budget", s.budgetMs()).put("body", s.body()));
+        pendingAnswers.put(++lastForwardNumber, answer);
+        sendToSuccessor(newMessage("message").put("ask", lastForwardNumber).put("id", submission.id())
+                .put("class", submission.messageClass()).put("tenant", submission.tenant())
+                .put("key", submission.key().orElse(null)).put("dest", submission.destination())
+                .put("budget", submission.budgetMs()).put("body", submission.body()));
     }
 
-    void sendResult(InFlightResult end) {
-        tellNext(message("end").set("end", json.valueToTree(end)));
+    void sendResult(InFlightResult result) {
+        sendToSuccessor(newMessage("end").set("end", json.valueToTree(result)));
     }
 
-    void sendRetryAfter(String endpoint, double waitMs) {
-        tellNext(message("wait").put("endpoint", endpoint).put("wait", waitMs));
+    void sendRetryAfter(String endpoint, double retryAfterMs) {
+        sendToSuccessor(newMessage("wait").put("endpoint", endpoint).put("wait", retryAfterMs));
     }
 
-    private void tellNext(ObjectNode what) {
-        next.ifPresent(link -> link.tell(what));
+    private void sendToSuccessor(ObjectNode message) {
+        successor.ifPresent(connection -> connection.send(message));
     }
 
     /** Handles messages from a follower, or from the successor once it has taken over. */
-    private final class Follower implements ProcessConnection.MessageHandler {
+    private final class SuccessorHandler implements ProcessConnection.MessageHandler {
         @Override
-        public void opened(ProcessConnection link) {
+        public void opened(ProcessConnection connection) {
         }
 
         @Override
-        public void heard(ProcessConnection link, JsonNode told) {
-            switch (told.path("do").asText()) {
+        public void received(ProcessConnection connection, JsonNode message) {
+            switch (message.path("do").asText()) {
                 case "follow" -> {
-                    if (leads) {
-                        next = Optional.of(link);
-                        tellNext(message("welcome").set("legacy", json.valueToTree(heir.handoverState())));
+                    if (isLeader) {
+                        successor = Optional.of(connection);
+                        sendToSuccessor(newMessage("welcome")
+                                .set("legacy", json.valueToTree(callbacks.handoverState())));
                     } else {
-                        link.close();
+                        connection.close();
                     }
                 }
-                case "listening" -> heir.successorListening();
-                case "answer" -> Optional.ofNullable(asked.remove(told.path("ask").asLong()))
-                        .ifPresent(answer -> answer.accept(HttpResponseStatus.valueOf(told.path("status").asInt())));
-                case "cancel" -> heir.attemptCancelled(told.path("message").asLong(), told.path("attempt").asInt());
+                case "listening" -> callbacks.successorListening();
+                case "answer" -> Optional.ofNullable(pendingAnswers.remove(message.path("ask").asLong()))
+                        .ifPresent(answer -> answer.accept(HttpResponseStatus.valueOf(message.path("status").asInt())));
+                case "cancel" -> callbacks.attemptCancelled(message.path("message").asLong(),
+                        message.path("attempt").asInt());
                 default -> Log.write("unknown type of handover message from the successor process is ignored");
             }
         }
 
         @Override
-        public void closed(ProcessConnection link) {
-            if (next.filter(n -> n == link).isPresent()) {
-                next = Optional.empty();
-                new ArrayList<>(asked.values()).forEach(a -> a.accept(HttpResponseStatus.SERVICE_UNAVAILABLE));
-                asked.clear();
+        public void closed(ProcessConnection connection) {
+            if (successor.filter(n -> n == connection).isPresent()) {
+                successor = Optional.empty();
+                new ArrayList<>(pendingAnswers.values()).forEach(a -> a.accept(HttpResponseStatus.SERVICE_UNAVAILABLE));
+                pendingAnswers.clear();
             }
         }
     }
@@ -342,21 +348,21 @@
     /** Releases the lock and closes all connections, as the end of the process would. */
     void close() {
         closed = true;
-        helm.release();
-        before.ifPresent(ProcessConnection::close);
-        next.ifPresent(ProcessConnection::close);
-        if (listener != null) {
-            listener.close();
+        leaderLock.release();
+        predecessor.ifPresent(ProcessConnection::close);
+        successor.ifPresent(ProcessConnection::close);
+        if (serverChannel != null) {
+            serverChannel.close();
         }
     }
 
-    private ObjectNode message(String what) {
-        return json.createObjectNode().put("do", what);
+    private ObjectNode newMessage(String type) {
+        return json.createObjectNode().put("do", type);
     }
 
-    private static ClientServer.Submission submission(JsonNode told) throws IOException {
-        return new ClientServer.Submission(told.path("id").asText(), told.path("class").asText(),
-                told.path("tenant").asText(), Optional.ofNullable(told.path("key").textValue()),
-                told.path("dest").asLong(), told.path("budget").asLong(), told.path("body").binaryValue());
+    private static ClientServer.Submission parseSubmission(JsonNode message) throws IOException {
+        return new ClientServer.Submission(message.path("id").asText(), message.path("class").asText(),
+                message.path("tenant").asText(), Optional.ofNullable(message.path("key").textValue()),
+                message.path("dest").asLong(), message.path("budget").asLong(), message.path("body").binaryValue());
     }
 }
--- a/src/main/java/kestreldeal/net/SighupHandler.java
+++ b/src/main/java/kestreldeal/net/SighupHandler.java
@@ -18,23 +18,23 @@
     }
 
     /** Runs the action at each SIGHUP from now on, one run at a time, on a thread of its own. */
-    static void install(Runnable told) {
-        ExecutorService thread = Executors.newSingleThreadExecutor(run -> {
-            Thread daemon = new Thread(run, "reload");
+    static void install(Runnable action) {
+        ExecutorService executor = Executors.newSingleThreadExecutor(task -> {
+            Thread daemon = new Thread(task, "reload");
             daemon.setDaemon(true);
             return daemon;
         });
-        Runnable handed = () -> thread.execute(told);
+        Runnable dispatch = () -> executor.execute(action);
         try {
             Class<?> signal = Class.forName("sun.misc.Signal");
             Class<?> handler = Class.forName("sun.misc.SignalHandler");
-            MethodHandle run = MethodHandles.lookup()
-                    .findVirtual(Runnable.class, "run", MethodType.methodType(void.class)).bindTo(handed);
+            MethodHandle task = MethodHandles.lookup()
+                    .findVirtual(Runnable.class, "run", MethodType.methodType(void.class)).bindTo(dispatch);
             Object proxy = MethodHandleProxies.asInterfaceInstance(handler,
-                    MethodHandles.dropArguments(run, 0, signal));
-            Object before = signal.getMethod("handle", signal, handler)
+                    MethodHandles.dropArguments(task, 0, signal));
+            Object previousHandler = signal.getMethod("handle", signal, handler)
                     .invoke(null, signal.getConstructor(String.class).newInstance("HUP"), proxy);
-            if (before == handler.getField("SIG_IGN").get(null)) {
+            if (previousHandler == handler.getField("SIG_IGN").get(null)) {
                 Log.write("SIGHUP was ignored when this process was started and can't be handled:"
                         + " a change of the configuration needs a restart");
             }
--- a/src/test/java/kestreldeal/net/AcceptedMessageTest.java
+++ b/src/test/java/kestreldeal/net/AcceptedMessageTest.java
@@ -10,80 +10,80 @@
 
 class AcceptedMessageTest {
     private final ManualClock clock = new ManualClock();
-    private final long begun = clock.nanos();
-    private final AcceptedMessage held =
+    private final long startNanos = clock.nanos();
+    private final AcceptedMessage message =
             new AcceptedMessage(1, "id", "order", "t", Optional.of("key"), 7, 20_000, new byte[0]);
 
-    private AcceptedMessage.Attempt sent(long atMs) {
-        clock.advanceTo(begun + TimeUnit.MILLISECONDS.toNanos(atMs));
+    private AcceptedMessage.Attempt addAttempt(long atMs) {
+        clock.advanceTo(startNanos + TimeUnit.MILLISECONDS.toNanos(atMs));
         AcceptedMessage.Attempt attempt = AcceptedMessage.Attempt.sentAgo("e", 0, clock);
-        held.attempts.add(attempt);
+        message.attempts.add(attempt);
         return attempt;
     }
 
-    private boolean isInWindow(int attempt, long nowMs, double windowMs) {
-        return held.isInDedupWindow(attempt, begun + TimeUnit.MILLISECONDS.toNanos(nowMs), windowMs);
+    private boolean isInDedupWindow(int attempt, long nowMs, double windowMs) {
+        return message.isInDedupWindow(attempt, startNanos + TimeUnit.MILLISECONDS.toNanos(nowMs), windowMs);
     }
 
     @Test
-    void aRepeatIsInTheWindowOfTheFirstAttemptThatMayHaveRun() {
-        AcceptedMessage.Attempt first = sent(1000);
-        sent(3000);
-        sent(5000);
-        assertTrue(isInWindow(2, 6000, 5000));
-        assertFalse(isInWindow(2, 6001, 5000));
+    void repeatMustBeInTheWindowOfTheFirstAttemptThatMayHaveRun() {
+        AcceptedMessage.Attempt first = addAttempt(1000);
+        addAttempt(3000);
+        addAttempt(5000);
+        assertTrue(isInDedupWindow(2, 6000, 5000));
+        assertFalse(isInDedupWindow(2, 6001, 5000));
         first.neverRan = true;
-        assertTrue(isInWindow(2, 8000, 5000));
-        assertFalse(isInWindow(2, 8001, 5000));
+        assertTrue(isInDedupWindow(2, 8000, 5000));
+        assertFalse(isInDedupWindow(2, 8001, 5000));
     }
 
     @Test
     void aFirstAttemptHasNoWindow() {
-        sent(1000);
-        assertTrue(isInWindow(0, 60_000, 5000));
+        addAttempt(1000);
+        assertTrue(isInDedupWindow(0, 60_000, 5000));
     }
 
     /** A first attempt whose connection is established late may be overtaken by its hedged attempt. */
     @Test
-    void anAttemptThatWasOvertakenIsARepeatItself() {
-        sent(1000);
-        AcceptedMessage.Attempt copy = sent(2000);
-        assertTrue(isInWindow(0, 7000, 5000));
-        assertFalse(isInWindow(0, 7001, 5000));
-        copy.neverRan = true;
-        assertTrue(isInWindow(0, 7001, 5000));
+    void overtakenAttemptCountsAsARepeat() {
+        addAttempt(1000);
+        AcceptedMessage.Attempt hedge = addAttempt(2000);
+        assertTrue(isInDedupWindow(0, 7000, 5000));
+        assertFalse(isInDedupWindow(0, 7001, 5000));
+        hedge.neverRan = true;
+        assertTrue(isInDedupWindow(0, 7001, 5000));
     }
 
     /** The clock went back, so how long ago the attempt was made is unknown. */
     @Test
-    void anAttemptFromTheFutureIsPastAnyWindow() {
-        held.attempts.add(AcceptedMessage.Attempt.sentAgo("e", -5000, clock));
-        sent(0);
-        assertFalse(isInWindow(1, 0, TimeUnit.DAYS.toMillis(1)));
+    void attemptFromTheFutureIsOutsideAnyWindow() {
+        message.attempts.add(AcceptedMessage.Attempt.sentAgo("e", -5000, clock));
+        addAttempt(0);
+        assertFalse(isInDedupWindow(1, 0, TimeUnit.DAYS.toMillis(1)));
     }
 
     @Test
-    void anAttemptOfAnEarlierLifeHasItsAge() {
-        held.attempts.add(AcceptedMessage.Attempt.sentAgo("e", 60_000, clock));
-        sent(0);
-        assertFalse(isInWindow(1, 0, 60_000 - 1));
-        assertTrue(isInWindow(1, 0, 60_000));
+    void attemptOfAPreviousProcessKeepsItsAge() {
+        message.attempts.add(AcceptedMessage.Attempt.sentAgo("e", 60_000, clock));
+        addAttempt(0);
+        assertFalse(isInDedupWindow(1, 0, 60_000 - 1));
+        assertTrue(isInDedupWindow(1, 0, 60_000));
     }
 
     /** A request may have been unread for as long as its client waits, or for a quarter of its class's deadline. */
     @Test
-    void itsTimeMayBeUpSoonerThanItsBudgetSays() {
-        ClientServer.Submission asked =
+    void budgetMayBeUsedUpBeforeTheRequestIsRead() {
+        ClientServer.Submission submission =
                 new ClientServer.Submission("id", "order", "t", Optional.empty(), 7, 2000, new byte[0]);
-        assertTimes(AcceptedMessage.fromSubmission(1, asked, 24_000, clock), 1300, 1600);
-        assertTimes(AcceptedMessage.fromSubmission(1, asked, 800, clock), 400, 600);
+        assertTimes(AcceptedMessage.fromSubmission(1, submission, 24_000, clock), 1300, 1600);
+        assertTimes(AcceptedMessage.fromSubmission(1, submission, 800, clock), 400, 600);
     }
 
-    private void assertTimes(AcceptedMessage taken, long leftMs, long timeUpInMs) {
-        assertEquals(leftMs, taken.timeLeftMs(clock));
-        clock.advance(timeUpInMs - 1);
-        assertFalse(taken.mayHaveExpired(clock));
+    private void assertTimes(AcceptedMessage message, long timeLeftMs, long expiresInMs) {
+        assertEquals(timeLeftMs, message.timeLeftMs(clock));
+        clock.advance(expiresInMs - 1);
+        assertFalse(message.mayHaveExpired(clock));
         clock.advance(1);
-        assertTrue(taken.mayHaveExpired(clock));
+        assertTrue(message.mayHaveExpired(clock));
     }
 }
--- a/src/test/java/kestreldeal/net/ConfigTest.java
+++ b/src/test/java/kestreldeal/net/ConfigTest.java
@@ -13,7 +13,7 @@
 
 /** Settings that a deployment may leave out, and the errors for invalid values. */
 class ConfigTest {
-    private static final String GOOD = """
+    private static final String VALID = """
             {"name":"n0","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"8c1f30d27a5be964",
              "limits":{"sockets":256,"disk_mb":3},
              "settings":{"classes":[{"name":"order","aim_ms":2000,"give_up_ms":24000,"repeat":"safe"}],
@@ -33,29 +33,29 @@
     }
 
     @Test
-    void kindsMayHaveANameOnly() throws Exception {
-        assertEquals(List.of(5, 1), read(GOOD).settings().kinds().stream().map(k -> k.maxBatchSize()).toList());
-        Config named = read(GOOD.replace(",\"batch_by_kind\":[5,1]", ""));
-        assertEquals(List.of(1, 1), named.settings().kinds().stream().map(k -> k.maxBatchSize()).toList());
+    void kindsMayHaveNoBatchSize() throws Exception {
+        assertEquals(List.of(5, 1), read(VALID).settings().kinds().stream().map(k -> k.maxBatchSize()).toList());
+        Config namesOnly = read(VALID.replace(",\"batch_by_kind\":[5,1]", ""));
+        assertEquals(List.of(1, 1), namesOnly.settings().kinds().stream().map(k -> k.maxBatchSize()).toList());
     }
 
     @Test
-    void aBadValueIsNamedInOneLine() {
-        Map<String, String> bad = Map.of("\"workers\":10", "\"workers\":0", "\"fleet_size\":3", "\"fleet_size\":\"many\"",
-                "\"most_tries\":12", "\"most_tries\":\"NaN\"", "\"max_open\":30", "\"max_open\":-1",
+    void errorOfAnInvalidValueNamesItsSettingInOneLine() {
+        Map<String, String> invalidByValid = Map.of("\"workers\":10", "\"workers\":0",
+                "\"fleet_size\":3", "\"fleet_size\":\"many\"", "\"most_tries\":12", "\"most_tries\":\"NaN\"", "\"max_open\":30", "\"max_open\":-1",
                 "\"aim_ms\":2000", "\"aim_ms\":-5", "\"sockets\":256", "\"sockets\":\"few\"",
                 "\"disk_mb\":3", "\"disk_mb\":[1,2]", "\"batch_by_kind\":[5,1]", "\"batch_by_kind\":[5,\"x\"]");
-        bad.forEach((good, wrong) -> {
-            String name = good.split("\"")[1];
-            InvalidInputException told =
-                    assertThrows(InvalidInputException.class, () -> read(GOOD.replace(good, wrong)), wrong);
-            assertEquals(List.of(name), List.of(told.getMessage().replaceAll(".*\\b(" + name + ")\\b.*", "$1")));
+        invalidByValid.forEach((valid, invalid) -> {
+            String name = valid.split("\"")[1];
+            InvalidInputException error =
+                    assertThrows(InvalidInputException.class, () -> read(VALID.replace(valid, invalid)), invalid);
+            assertEquals(List.of(name), List.of(error.getMessage().replaceAll(".*\\b(" + name + ")\\b.*", "$1")));
         });
     }
 
     @Test
-    void whatIsNoJsonIsSaidSoInOneLine() {
-        InvalidInputException told = assertThrows(InvalidInputException.class, () -> read("{\"name\":"));
-        assertEquals(1, told.getMessage().lines().count());
+    void errorOfInvalidJsonHasOneLine() {
+        InvalidInputException error = assertThrows(InvalidInputException.class, () -> read("{\"name\":"));
+        assertEquals(1, error.getMessage().lines().count());
     }
 }
--- a/src/test/java/kestreldeal/net/FailingFiles.java
+++ b/src/test/java/kestreldeal/net/FailingFiles.java
@@ -14,18 +14,18 @@
 final class FailingFiles implements Journal.FileOpener {
     private boolean failing;
     private boolean failingClose;
-    private boolean failingToTell;
+    private boolean failingAfterWrite;
     private boolean failingTruncate;
 
     /** Makes all calls fail from now on, or work again. */
-    void fail(boolean now) {
-        failing = now;
+    void fail(boolean enabled) {
+        failing = enabled;
     }
 
     /** Makes all calls fail from now on, but failing writes leave all of their bytes in the file. */
-    void failTelling() {
+    void failAfterWriting() {
         failing = true;
-        failingToTell = true;
+        failingAfterWrite = true;
     }
 
     /** Makes every truncation fail from now on, even while other calls work. */
@@ -40,11 +40,11 @@
 
     @Override
     public FileChannel open(Path file, OpenOption... options) throws IOException {
-        check();
+        throwIfFailing();
         return new Channel(FileChannel.open(file, options));
     }
 
-    private void check() throws IOException {
+    private void throwIfFailing() throws IOException {
         if (failing) {
             throw new IOException("Input/output error");
         }
@@ -58,17 +58,17 @@
         }
 
         /** The bytes that a failing write leaves in the file. */
-        private ByteBuffer left(ByteBuffer bytes) {
-            ByteBuffer left = bytes.duplicate();
-            left.limit(left.position() + left.remaining() / (failingToTell ? 1 : 2));
-            return left;
+        private ByteBuffer writtenPart(ByteBuffer bytes) {
+            ByteBuffer written = bytes.duplicate();
+            written.limit(written.position() + written.remaining() / (failingAfterWrite ? 1 : 2));
+            return written;
         }
 
         @Override
         public int write(ByteBuffer bytes) throws IOException {
             if (failing) {
-                file.write(left(bytes));
-                check();
+                file.write(writtenPart(bytes));
+                throwIfFailing();
             }
             return file.write(bytes);
         }
@@ -76,21 +76,21 @@
         @Override
         public int write(ByteBuffer bytes, long position) throws IOException {
             if (failing) {
-                file.write(left(bytes), position);
-                check();
+                file.write(writtenPart(bytes), position);
+                throwIfFailing();
             }
             return file.write(bytes, position);
         }
 
         @Override
         public long write(ByteBuffer[] all, int offset, int length) throws IOException {
-            check();
+            throwIfFailing();
             return file.write(all, offset, length);
         }
 
         @Override
         public FileChannel truncate(long size) throws IOException {
-            check();
+            throwIfFailing();
             if (failingTruncate) {
                 throw new IOException("Input/output error");
             }
@@ -100,19 +100,19 @@
 
         @Override
         public int read(ByteBuffer to) throws IOException {
-            check();
+            throwIfFailing();
             return file.read(to);
         }
 
         @Override
         public int read(ByteBuffer to, long position) throws IOException {
-            check();
+            throwIfFailing();
             return file.read(to, position);
         }
 
         @Override
         public long read(ByteBuffer[] to, int offset, int length) throws IOException {
-            check();
+            throwIfFailing();
             return file.read(to, offset, length);
         }
 
@@ -129,13 +129,13 @@
 
         @Override
         public long size() throws IOException {
-            check();
+            throwIfFailing();
             return file.size();
         }
 
         @Override
         public void force(boolean metaData) throws IOException {
-            check();
+            throwIfFailing();
             file.force(metaData);
         }
 
--- a/src/test/java/kestreldeal/net/JournalFailureTest.java
+++ b/src/test/java/kestreldeal/net/JournalFailureTest.java
@@ -20,89 +20,89 @@
 
 /** Write failures that last for a while: the next process must find every accepted message, and what became of it. */
 class JournalFailureTest {
-    private static final long DISK = 200_000;
+    private static final long DISK_BYTES = 200_000;
     /** Longer than any delay before the journal retries. */
-    private static final long LATER_MS = 60_000;
+    private static final long AFTER_RETRY_DELAY_MS = 60_000;
 
     @TempDir
     private Path folder;
     private final ManualClock clock = new ManualClock();
     private final FailingFiles files = new FailingFiles();
 
-    private Journal failing() throws IOException {
-        return new Journal(folder, DISK, 12, clock, files);
+    private Journal openWithFailingFiles() throws IOException {
+        return new Journal(folder, DISK_BYTES, 12, clock, files);
     }
 
-    private Journal nextLife() throws IOException {
-        return new Journal(folder, DISK, 12, clock, FileChannel::open);
+    private Journal reopen() throws IOException {
+        return new Journal(folder, DISK_BYTES, 12, clock, FileChannel::open);
     }
 
-    private AcceptedMessage held(Journal journal) {
+    private AcceptedMessage newMessage(Journal journal) {
         long number = journal.nextNumber();
         return AcceptedMessage.withTimeLeft(number, "id-" + number, "order", "", Optional.of("key"), 7, 600_000,
                 new byte[100], clock);
     }
 
-    private AcceptedMessage take(Journal journal) throws IOException {
-        AcceptedMessage held = held(journal);
-        journal.recordAccepted(held);
-        return held;
+    private AcceptedMessage accept(Journal journal) throws IOException {
+        AcceptedMessage message = newMessage(journal);
+        journal.recordAccepted(message);
+        return message;
     }
 
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
-    void whatIsTakenOnBehindATornWriteComesBack(boolean truncates) throws Exception {
-        if (!truncates) {
+    void messagesAcceptedAfterAFailedWriteAreRestored(boolean canTruncate) throws Exception {
+        if (!canTruncate) {
             files.failTruncating();
         }
-        try (Journal journal = failing()) {
+        try (Journal journal = openWithFailingFiles()) {
             for (int i = 0; i < 5; i++) {
-                take(journal);
+                accept(journal);
             }
             files.fail(true);
-            assertThrows(IOException.class, () -> take(journal));
+            assertThrows(IOException.class, () -> accept(journal));
             files.fail(false);
-            clock.advance(LATER_MS);
+            clock.advance(AFTER_RETRY_DELAY_MS);
             for (int i = 0; i < 20; i++) {
-                take(journal);
+                accept(journal);
             }
         }
-        try (Journal journal = nextLife()) {
+        try (Journal journal = reopen()) {
             assertEquals(25, journal.liveMessages().size());
         }
     }
 
     /** Even if the write reported an error after it had written the whole record: the message was rejected. */
     @Test
-    void nothingOfARecordThatFailedIsRead() throws Exception {
-        try (Journal journal = failing()) {
-            take(journal);
-            files.failTelling();
-            assertThrows(IOException.class, () -> take(journal));
+    void recordOfAFailedWriteIsNotRestored() throws Exception {
+        try (Journal journal = openWithFailingFiles()) {
+            accept(journal);
+            files.failAfterWriting();
+            assertThrows(IOException.class, () -> accept(journal));
             files.fail(false);
-            clock.advance(LATER_MS);
-            take(journal);
+            clock.advance(AFTER_RETRY_DELAY_MS);
+            accept(journal);
         }
-        try (Journal journal = nextLife()) {
+        try (Journal journal = reopen()) {
             assertEquals(List.of("id-0", "id-2"), journal.liveMessages().stream().map(h -> h.id).toList());
         }
     }
 
     /** A compaction closes the old file after the new one has replaced it. */
     @Test
-    void anOldFileThatCantBeClosedDoesNoHarm() throws Exception {
+    void failureToCloseTheOldFileLosesNothing() throws Exception {
         files.failClosing();
-        try (Journal journal = failing()) {
-            AcceptedMessage held = take(journal);
-            for (long before = -1; journal.size() > before;) {
-                before = journal.size();
-                journal.recordAttempt(held, AcceptedMessage.Attempt.sentAgo("e".repeat(5000), 0, clock));
-                journal.recordCompleted(held);
-                held = take(journal);
+        try (Journal journal = openWithFailingFiles()) {
+            AcceptedMessage message = accept(journal);
+            for (long sizeBefore = -1; journal.size() > sizeBefore;) {
+                sizeBefore = journal.size();
+                journal.recordAttempt(message, AcceptedMessage.Attempt.sentAgo("e".repeat(5000), 0, clock));
+                journal.recordCompleted(message);
+                message = accept(journal);
             }
-            take(journal);
+            accept(journal);
         }
-        try (Journal journal = nextLife()) {
+        try (Journal journal = reopen()) {
             assertEquals(2, journal.liveMessages().size());
         }
     }
@@ -112,48 +112,48 @@
      * one would make the old records after it readable again.
      */
     @Test
-    void whatLiesBehindATornRecordStaysHidden() throws Exception {
-        long whole;
-        try (Journal journal = nextLife()) {
-            take(journal);
-            whole = journal.size();
-            take(journal);
-            take(journal);
+    void recordsAfterADamagedOneAreNeverRestored() throws Exception {
+        long firstRecordEnd;
+        try (Journal journal = reopen()) {
+            accept(journal);
+            firstRecordEnd = journal.size();
+            accept(journal);
+            accept(journal);
         }
         byte[] bytes = Files.readAllBytes(folder.resolve("journal"));
-        bytes[(int) whole + 20] ^= 1;
+        bytes[(int) firstRecordEnd + 20] ^= 1;
         Files.write(folder.resolve("journal"), bytes);
         files.failTruncating();
-        try (Journal journal = failing()) {
+        try (Journal journal = openWithFailingFiles()) {
             assertEquals(1, journal.liveMessages().size());
             AcceptedMessage again = AcceptedMessage.withTimeLeft(1, "id-1", "order", "", Optional.of("key"), 7, 600_000,
                     new byte[100], clock);
             journal.recordAccepted(again);
         }
-        try (Journal journal = nextLife()) {
+        try (Journal journal = reopen()) {
             assertEquals(List.of("id-0", "id-1"), journal.liveMessages().stream().map(h -> h.id).toList());
         }
     }
 
     @Test
-    void whatHappenedWhileNothingCouldBeWrittenIsKnownInTheNextLife() throws Exception {
-        try (Journal journal = failing()) {
-            AcceptedMessage delivered = take(journal);
-            AcceptedMessage owed = take(journal);
-            AcceptedMessage refused = take(journal);
-            for (AcceptedMessage held : List.of(delivered, owed, refused)) {
+    void eventsDuringAWriteFailureAreRestored() throws Exception {
+        try (Journal journal = openWithFailingFiles()) {
+            AcceptedMessage delivered = accept(journal);
+            AcceptedMessage noticePending = accept(journal);
+            AcceptedMessage notRun = accept(journal);
+            for (AcceptedMessage held : List.of(delivered, noticePending, notRun)) {
                 journal.recordAttempt(held, AcceptedMessage.Attempt.sentAgo("e", 0, clock));
             }
             files.fail(true);
             journal.recordCompleted(delivered);
-            journal.recordNotice(owed, new AcceptedMessage.Notice(true, 500));
-            journal.recordNeverRan(refused, 0);
+            journal.recordNotice(noticePending, new AcceptedMessage.Notice(true, 500));
+            journal.recordNeverRan(notRun, 0);
             journal.recordEndpointHealth("e", Journal.RecordedHealth.ofAge(0, Relay.EndpointState.DOWN, 0.5, clock));
             files.fail(false);
-            clock.advance(LATER_MS);
-            take(journal);
+            clock.advance(AFTER_RETRY_DELAY_MS);
+            accept(journal);
         }
-        try (Journal journal = nextLife()) {
+        try (Journal journal = reopen()) {
             assertEquals(List.of("id-1", "id-2", "id-3"),
                     journal.liveMessages().stream().map(held -> held.id).toList());
             assertEquals(Optional.of(true), journal.deliveredBefore("id-0"));
@@ -166,23 +166,23 @@
 
     /** More unwritten records than are kept one by one: the journal then writes a compaction instead of them. */
     @Test
-    void aLongTimeOfFailuresLosesNothingEither() throws Exception {
-        try (Journal journal = failing()) {
-            AcceptedMessage held = take(journal);
-            AcceptedMessage over = take(journal);
+    void longWriteFailureLosesNothing() throws Exception {
+        try (Journal journal = openWithFailingFiles()) {
+            AcceptedMessage noticePending = accept(journal);
+            AcceptedMessage completed = accept(journal);
             files.fail(true);
             for (int i = 0; i < 20_000; i++) {
                 Relay.EndpointState state = i % 2 == 0 ? Relay.EndpointState.WARMING : Relay.EndpointState.DOWN;
                 journal.recordEndpointHealth("e", Journal.RecordedHealth.ofAge(0, state, 0.5, clock));
             }
-            journal.recordCompleted(over);
-            journal.recordNotice(held, new AcceptedMessage.Notice(false, 0));
+            journal.recordCompleted(completed);
+            journal.recordNotice(noticePending, new AcceptedMessage.Notice(false, 0));
             assertTrue(journal.isBehind());
             files.fail(false);
-            clock.advance(LATER_MS);
+            clock.advance(AFTER_RETRY_DELAY_MS);
             assertTrue(journal.catchUp());
         }
-        try (Journal journal = nextLife()) {
+        try (Journal journal = reopen()) {
             assertEquals(List.of("id-0"), journal.liveMessages().stream().map(h -> h.id).toList());
             assertTrue(journal.liveMessages().iterator().next().pendingNotice.isPresent());
             assertEquals(Relay.EndpointState.DOWN, journal.endpointHealth().get("e").state());
@@ -190,27 +190,27 @@
     }
 
     @Test
-    void itTriesAgainByItselfAfterPausesThatGrow() throws Exception {
-        List<Long> pauses = new ArrayList<>();
-        try (Journal journal = failing()) {
-            AcceptedMessage held = take(journal);
-            journal.onFailure(pauses::add);
+    void retriesFailedWritesWithGrowingDelays() throws Exception {
+        List<Long> delays = new ArrayList<>();
+        try (Journal journal = openWithFailingFiles()) {
+            AcceptedMessage message = accept(journal);
+            journal.onFailure(delays::add);
             files.fail(true);
-            assertThrows(IOException.class, () -> take(journal));
+            assertThrows(IOException.class, () -> accept(journal));
             for (int i = 0; i < 7; i++) {
                 assertFalse(journal.catchUp(), "the retry delay is still running");
-                clock.advance(pauses.get(i));
+                clock.advance(delays.get(i));
                 assertFalse(journal.catchUp());
             }
-            assertEquals(List.of(10L, 20L, 40L, 80L, 160L, 320L, 320L, 320L), pauses);
+            assertEquals(List.of(10L, 20L, 40L, 80L, 160L, 320L, 320L, 320L), delays);
             assertEquals(8, journal.writeFailures());
             files.fail(false);
             assertThrows(IOException.class,
-                    () -> journal.recordAttempt(held, AcceptedMessage.Attempt.sentAgo("e", 0, clock)));
+                    () -> journal.recordAttempt(message, AcceptedMessage.Attempt.sentAgo("e", 0, clock)));
             clock.advance(320);
             assertTrue(journal.catchUp());
             assertFalse(journal.isBehind());
-            journal.recordAttempt(held, AcceptedMessage.Attempt.sentAgo("e", 0, clock));
+            journal.recordAttempt(message, AcceptedMessage.Attempt.sentAgo("e", 0, clock));
         }
     }
 }
--- a/src/test/java/kestreldeal/net/JournalTest.java
+++ b/src/test/java/kestreldeal/net/JournalTest.java
@@ -21,7 +21,7 @@
 import org.junit.jupiter.api.io.TempDir;
 
 class JournalTest {
-    private static final long DISK = 200_000;
+    private static final long DISK_BYTES = 200_000;
 
     private final ManualClock clock = new ManualClock();
 
@@ -29,41 +29,41 @@
     private Path folder;
 
     private Journal open() throws IOException {
-        return new Journal(folder, DISK, 12, clock, FileChannel::open);
+        return new Journal(folder, DISK_BYTES, 12, clock, FileChannel::open);
     }
 
-    private AcceptedMessage held(Journal journal, int body) {
+    private AcceptedMessage newMessage(Journal journal, int bodyBytes) {
         long number = journal.nextNumber();
         return AcceptedMessage.withTimeLeft(number, "id-" + number, "order", "desk", Optional.of("key"), 7, 12_345,
-                new byte[body], clock);
+                new byte[bodyBytes], clock);
     }
 
-    private AcceptedMessage.Attempt attempt(String endpoint) {
+    private AcceptedMessage.Attempt newAttempt(String endpoint) {
         return AcceptedMessage.Attempt.sentAgo(endpoint, 0, clock);
     }
 
     @Test
-    void whatWasHeldComesBackWithAllThatHappenedToIt() throws Exception {
+    void restoresMessagesWithTheirHistory() throws Exception {
         try (Journal journal = open()) {
-            AcceptedMessage a = held(journal, 3);
-            AcceptedMessage b = held(journal, 3);
-            AcceptedMessage c = held(journal, 3);
+            AcceptedMessage a = newMessage(journal, 3);
+            AcceptedMessage b = newMessage(journal, 3);
+            AcceptedMessage c = newMessage(journal, 3);
             for (AcceptedMessage h : List.of(a, b, c)) {
                 journal.recordAccepted(h);
             }
             clock.advance(100);
-            journal.recordAttempt(a, attempt("s-1"));
+            journal.recordAttempt(a, newAttempt("s-1"));
             clock.advance(100);
-            journal.recordAttempt(a, attempt("s-2"));
+            journal.recordAttempt(a, newAttempt("s-2"));
             clock.advance(100);
             journal.recordNeverRan(a, 0);
             journal.recordNotice(b, new AcceptedMessage.Notice(true, 500));
             journal.recordCompleted(c);
         }
         try (Journal journal = open()) {
-            List<AcceptedMessage> held = List.copyOf(journal.liveMessages());
-            assertEquals(2, held.size());
-            AcceptedMessage a = held.get(0);
+            List<AcceptedMessage> messages = List.copyOf(journal.liveMessages());
+            assertEquals(2, messages.size());
+            AcceptedMessage a = messages.get(0);
             assertEquals("id-0", a.id);
             assertEquals(Optional.of("key"), a.key);
             assertEquals(12_345 - 300, a.timeLeftMs(clock));
@@ -71,13 +71,13 @@
             assertEquals(List.of("s-1", "s-2"), a.attempts.stream().map(x -> x.endpoint).toList());
             assertEquals(List.of(true, false), a.attempts.stream().map(x -> x.neverRan).toList());
             assertEquals(100, a.attempts.get(1).ageMs(clock));
-            assertEquals(Optional.of(new AcceptedMessage.Notice(true, 500)), held.get(1).pendingNotice);
+            assertEquals(Optional.of(new AcceptedMessage.Notice(true, 500)), messages.get(1).pendingNotice);
             assertEquals(3, journal.nextNumber(), "message numbers are not reused");
         }
     }
 
     @Test
-    void healthOutlastsLivesAndCompactionsUntilAnEndpointIsInService() throws Exception {
+    void endpointHealthSurvivesRestartsAndCompactionsUntilInService() throws Exception {
         Journal.RecordedHealth down = new Journal.RecordedHealth(Relay.EndpointState.DOWN, 100, 0.5);
         Journal.RecordedHealth warming = new Journal.RecordedHealth(Relay.EndpointState.WARMING, 200, 0.25);
         Journal.RecordedHealth up = new Journal.RecordedHealth(Relay.EndpointState.UP, 300, 0.25);
@@ -86,12 +86,12 @@
             journal.recordEndpointHealth("s-2", down);
             journal.recordEndpointHealth("s-1", warming);
             journal.recordEndpointHealth("s-2", up);
-            AcceptedMessage held = held(journal, 1000);
-            journal.recordAccepted(held);
-            for (long written = 0; written < 2 * DISK; written += 50) {
+            AcceptedMessage message = newMessage(journal, 1000);
+            journal.recordAccepted(message);
+            for (long written = 0; written < 2 * DISK_BYTES; written += 50) {
                 journal.recordEndpointHealth("s-3", down);
             }
-            assertTrue(journal.size() < DISK);
+            assertTrue(journal.size() < DISK_BYTES);
         }
         try (Journal journal = open()) {
             assertEquals(Map.of("s-1", warming, "s-3", down), journal.endpointHealth());
@@ -100,20 +100,20 @@
     }
 
     @Test
-    void aTornTailIsDroppedAndWrittenOver() throws Exception {
-        long firstEnds;
+    void incompleteLastRecordIsDroppedAndOverwritten() throws Exception {
+        long firstRecordEnd;
         try (Journal journal = open()) {
-            journal.recordAccepted(held(journal, 10));
-            firstEnds = journal.size();
-            journal.recordAccepted(held(journal, 10));
+            journal.recordAccepted(newMessage(journal, 10));
+            firstRecordEnd = journal.size();
+            journal.recordAccepted(newMessage(journal, 10));
         }
         Path file = folder.resolve("journal");
         byte[] whole = Files.readAllBytes(file);
-        for (int cut = whole.length - 1; cut >= firstEnds; cut--) {
+        for (int cut = whole.length - 1; cut >= firstRecordEnd; cut--) {
             Files.write(file, java.util.Arrays.copyOf(whole, cut));
             try (Journal journal = open()) {
                 assertEquals(1, journal.liveMessages().size());
-                journal.recordAccepted(held(journal, 10));
+                journal.recordAccepted(newMessage(journal, 10));
             }
             try (Journal journal = open()) {
                 assertEquals(2, journal.liveMessages().size(), "a record written after an incomplete one must be read");
@@ -127,10 +127,10 @@
     }
 
     @Test
-    void aChangedByteEndsTheReplay() throws Exception {
+    void corruptedRecordEndsTheReplay() throws Exception {
         try (Journal journal = open()) {
-            journal.recordAccepted(held(journal, 10));
-            journal.recordAccepted(held(journal, 10));
+            journal.recordAccepted(newMessage(journal, 10));
+            journal.recordAccepted(newMessage(journal, 10));
         }
         Path file = folder.resolve("journal");
         byte[] bytes = Files.readAllBytes(file);
@@ -142,69 +142,69 @@
     }
 
     @Test
-    void theFolderStaysUnderItsBoundAtEveryMomentAndLosesNothing() throws Exception {
+    void folderNeverExceedsItsLimitAndLosesNoMessage() throws Exception {
         Random random = new Random(5);
         Deque<AcceptedMessage> live = new ArrayDeque<>();
-        int refused = 0;
+        int rejected = 0;
         int compactions = 0;
         try (Journal journal = open()) {
             for (int i = 0; i < 4000; i++) {
-                long before = journal.size();
-                AcceptedMessage h = held(journal, random.nextInt(4000));
+                long sizeBefore = journal.size();
+                AcceptedMessage message = newMessage(journal, random.nextInt(4000));
                 try {
-                    journal.recordAccepted(h);
-                    live.add(h);
-                    journal.recordAttempt(h, attempt("s-" + i));
-                    journal.recordNeverRan(h, 0);
+                    journal.recordAccepted(message);
+                    live.add(message);
+                    journal.recordAttempt(message, newAttempt("s-" + i));
+                    journal.recordNeverRan(message, 0);
                 } catch (IOException full) {
-                    refused++;
+                    rejected++;
                 }
                 if (random.nextInt(100) < 48 || live.size() > 60) {
-                    AcceptedMessage over = live.remove();
-                    journal.recordNotice(over, new AcceptedMessage.Notice(false, 0));
-                    journal.recordCompleted(over);
+                    AcceptedMessage completed = live.remove();
+                    journal.recordNotice(completed, new AcceptedMessage.Notice(false, 0));
+                    journal.recordCompleted(completed);
                 }
-                compactions += journal.size() < before ? 1 : 0;
+                compactions += journal.size() < sizeBefore ? 1 : 0;
                 // A compaction now would write all live records to a second file beside this one.
                 long liveBytes = live.stream().mapToLong(x -> x.journalBytes).sum();
-                assertTrue(journal.size() + liveBytes + 1024 <= DISK, "at step " + i);
+                assertTrue(journal.size() + liveBytes + 1024 <= DISK_BYTES, "at step " + i);
             }
         }
-        assertTrue(refused > 0, "messages are rejected when live records leave no room");
+        assertTrue(rejected > 0, "messages are rejected when live records leave no room");
         assertTrue(compactions > 10);
         try (Journal journal = open()) {
-            assertEquals(live.stream().map(h -> h.id).toList(),
-                    journal.liveMessages().stream().map(h -> h.id).toList());
+            assertEquals(live.stream().map(message -> message.id).toList(),
+                    journal.liveMessages().stream().map(message -> message.id).toList());
         }
     }
 
     @Test
-    void thereIsRoomForEveryLaterRecordOfWhatWasTaken() throws Exception {
+    void acceptedMessagesHaveRoomForAllLaterRecords() throws Exception {
         try (Journal journal = open()) {
-            Deque<AcceptedMessage> taken = new ArrayDeque<>();
+            Deque<AcceptedMessage> accepted = new ArrayDeque<>();
             assertThrows(IOException.class, () -> {
                 while (true) {
-                    AcceptedMessage h = held(journal, 500);
-                    journal.recordAccepted(h);
-                    taken.add(h);
+                    AcceptedMessage message = newMessage(journal, 500);
+                    journal.recordAccepted(message);
+                    accepted.add(message);
                 }
             });
-            for (AcceptedMessage h : taken) {
+            for (AcceptedMessage message : accepted) {
                 for (int i = 0; i < 12; i++) {
-                    journal.recordAttempt(h, attempt("s-5be2a07c5be2a07c"));
-                    journal.recordNeverRan(h, i);
+                    journal.recordAttempt(message, newAttempt("s-5be2a07c5be2a07c"));
+                    journal.recordNeverRan(message, i);
                 }
-                journal.recordNotice(h, new AcceptedMessage.Notice(true, 1));
+                journal.recordNotice(message, new AcceptedMessage.Notice(true, 1));
             }
-            for (AcceptedMessage h : taken) {
-                journal.recordCompleted(h);
+            for (AcceptedMessage message : accepted) {
+                journal.recordCompleted(message);
             }
-            journal.recordAccepted(held(journal, 500));
+            journal.recordAccepted(newMessage(journal, 500));
         }
     }
 
     @Test
-    void anUnfinishedCompactionIsRemoved() throws Exception {
+    void unfinishedCompactionIsDeleted() throws Exception {
         Files.write(folder.resolve("journal.next"), new byte[5000]);
         try (Journal journal = open()) {
             assertTrue(Files.notExists(folder.resolve("journal.next")));
@@ -217,54 +217,54 @@
      * an attempt that may have run as one that never did, or fail.
      */
     @Test
-    void anAttemptThatCouldNotBeRecordedMovesNoOther() throws Exception {
-        String vast = "e".repeat(60_000);
+    void unrecordedAttemptDoesNotShiftOtherIndexes() throws Exception {
+        String hugeId = "e".repeat(60_000);
         try (Journal journal = open()) {
-            AcceptedMessage held = held(journal, 3);
-            AcceptedMessage other = held(journal, 3);
-            journal.recordAccepted(held);
+            AcceptedMessage message = newMessage(journal, 3);
+            AcceptedMessage other = newMessage(journal, 3);
+            journal.recordAccepted(message);
             journal.recordAccepted(other);
-            journal.recordAttempt(other, attempt(vast));
-            journal.recordAttempt(held, attempt("s-1"));
+            journal.recordAttempt(other, newAttempt(hugeId));
+            journal.recordAttempt(message, newAttempt("s-1"));
             assertThrows(IOException.class, () -> {
                 while (true) {
-                    journal.recordAttempt(held, attempt(vast));
+                    journal.recordAttempt(message, newAttempt(hugeId));
                 }
             });
-            int unrecorded = held.attempts.size() - 1;
+            int unrecorded = message.attempts.size() - 1;
             journal.recordCompleted(other);
-            journal.recordNeverRan(held, unrecorded);
-            journal.recordAttempt(held, attempt("s-3"));
+            journal.recordNeverRan(message, unrecorded);
+            journal.recordAttempt(message, newAttempt("s-3"));
         }
-        for (int life = 0; life < 2; life++) {
+        for (int restart = 0; restart < 2; restart++) {
             try (Journal journal = open()) {
-                AcceptedMessage held = journal.liveMessages().iterator().next();
-                AcceptedMessage.Attempt last = held.attempts.get(held.attempts.size() - 1);
+                AcceptedMessage message = journal.liveMessages().iterator().next();
+                AcceptedMessage.Attempt last = message.attempts.get(message.attempts.size() - 1);
                 assertEquals("s-3", last.endpoint);
-                assertTrue(held.attempts.stream().noneMatch(a -> a.neverRan), "every recorded attempt may have run");
+                assertTrue(message.attempts.stream().noneMatch(a -> a.neverRan), "every recorded attempt may have run");
                 journal.handOver();
             }
         }
     }
 
     @Test
-    void idsThatAreOverOutlastLivesAndCompactions() throws Exception {
+    void completedIdsSurviveRestartsAndCompactions() throws Exception {
         try (Journal journal = open()) {
-            AcceptedMessage delivered = held(journal, 3);
-            AcceptedMessage owed = held(journal, 3);
-            AcceptedMessage heard = held(journal, 3);
-            AcceptedMessage untold = held(journal, 3);
-            for (AcceptedMessage h : List.of(delivered, owed, heard, untold)) {
-                journal.recordAccepted(h);
+            AcceptedMessage delivered = newMessage(journal, 3);
+            AcceptedMessage noticePending = newMessage(journal, 3);
+            AcceptedMessage noticeConfirmed = newMessage(journal, 3);
+            AcceptedMessage unacknowledged = newMessage(journal, 3);
+            for (AcceptedMessage message : List.of(delivered, noticePending, noticeConfirmed, unacknowledged)) {
+                journal.recordAccepted(message);
             }
-            journal.recordAttempt(delivered, attempt("s-1"));
+            journal.recordAttempt(delivered, newAttempt("s-1"));
             journal.recordCompleted(delivered);
-            journal.recordNotice(owed, new AcceptedMessage.Notice(true, 500));
-            journal.recordNotice(heard, new AcceptedMessage.Notice(false, 0));
-            journal.recordCompleted(heard);
-            journal.recordCompleted(untold);
+            journal.recordNotice(noticePending, new AcceptedMessage.Notice(true, 500));
+            journal.recordNotice(noticeConfirmed, new AcceptedMessage.Notice(false, 0));
+            journal.recordCompleted(noticeConfirmed);
+            journal.recordCompleted(unacknowledged);
         }
-        for (int life = 0; life < 3; life++) {
+        for (int restart = 0; restart < 3; restart++) {
             try (Journal journal = open()) {
                 assertEquals(Map.of("id-0", true, "id-1", false, "id-2", false), journal.completedIds());
                 assertEquals(Optional.empty(), journal.deliveredBefore("id-3"),
@@ -275,7 +275,7 @@
     }
 
     @Test
-    void idsThatAreOverTakeLittleRoom() throws Exception {
+    void completedIdsAreLimited() throws Exception {
         try (Journal journal = open()) {
             for (int i = 0; i < 6000; i++) {
                 journal.rememberCompleted("9b1f03aa5c7e2d41-" + i, true);
@@ -283,7 +283,7 @@
             assertEquals(Optional.of(true), journal.deliveredBefore("9b1f03aa5c7e2d41-5999"));
             assertEquals(Optional.empty(), journal.deliveredBefore("9b1f03aa5c7e2d41-0"));
             journal.handOver();
-            assertTrue(journal.size() <= DISK / 16, "bytes: " + journal.size());
+            assertTrue(journal.size() <= DISK_BYTES / 16, "bytes: " + journal.size());
         }
     }
 }
--- a/src/test/java/kestreldeal/net/LeaderLockTest.java
+++ b/src/test/java/kestreldeal/net/LeaderLockTest.java
@@ -12,16 +12,16 @@
     private Path folder;
 
     @Test
-    void oneHoldsItUntilItIsReleased() throws Exception {
+    void onlyOneHoldsTheLockUntilItIsReleased() throws Exception {
         LeaderLock first = new LeaderLock(folder);
         LeaderLock second = new LeaderLock(folder);
-        assertTrue(first.take());
-        assertTrue(first.take(), "acquiring it again does no harm");
-        assertFalse(second.take());
+        assertTrue(first.tryAcquire());
+        assertTrue(first.tryAcquire(), "acquiring it again does no harm");
+        assertFalse(second.tryAcquire());
         first.release();
         first.release();
-        assertTrue(second.take());
-        assertFalse(first.take());
+        assertTrue(second.tryAcquire());
+        assertFalse(first.tryAcquire());
         second.release();
     }
 }
--- a/src/test/java/kestreldeal/net/ManualClock.java
+++ b/src/test/java/kestreldeal/net/ManualClock.java
@@ -20,7 +20,7 @@
     }
 
     /** Steps the wall clock only, as when somebody sets it. */
-    void stepWall(long ms) {
+    void stepWallClock(long ms) {
         wallMillis += ms;
     }
 
@@ -31,7 +31,7 @@
     }
 
     /** Starts the monotonic clock again without a change of the boot id. */
-    void rewind(long uptimeMs) {
+    void restartMonotonicClock(long uptimeMs) {
         nanos = TimeUnit.MILLISECONDS.toNanos(uptimeMs);
     }
 
--- a/src/test/java/kestreldeal/net/RelistedEndpointTest.java
+++ b/src/test/java/kestreldeal/net/RelistedEndpointTest.java
@@ -20,15 +20,15 @@
     @TempDir
     private Path folder;
     private StubServer endpoint;
-    private SenderTestEnvironment world;
+    private SenderTestEnvironment environment;
     private Sender sender;
     private InetSocketAddress address;
 
     @BeforeEach
     void open() throws Exception {
         endpoint = new StubServer(StubServer.status(200, ""));
-        world = new SenderTestEnvironment(folder, endpoint);
-        sender = world.sender();
+        environment = new SenderTestEnvironment(folder, endpoint);
+        sender = environment.sender();
         address = sender.start();
         StubServer.await("the sender is ready",
                 () -> SenderTestEnvironment.ask(address, SenderTestEnvironment.HEALTH) == 200);
@@ -37,29 +37,29 @@
     @AfterEach
     void close() throws Exception {
         sender.kill();
-        world.close();
+        environment.close();
         endpoint.close();
     }
 
-    private List<String> called() {
+    private List<String> calledIds() {
         return endpoint.requests.stream().map(r -> r.header("X-Call-Id")).toList();
     }
 
-    private void handIn(String id, long destination) {
+    private void submit(String id, long destination) {
         assertEquals(202, SenderTestEnvironment.ask(address,
                 SenderTestEnvironment.message(id, "order", destination, "")));
     }
 
     @Test
-    void itGetsWhatIsForItsNewDestinationAndNothingElse() throws Exception {
-        handIn("before", 0);
-        StubServer.await("the endpoint is called", () -> called().equals(List.of("before")));
-        world.firstDestination = OTHER_DESTINATION;
-        StubServer.await("the changed list is read", () -> world.agent.requests.stream()
-                .anyMatch(r -> r.line().contains("after=" + world.generation())));
-        handIn("for nobody", 0);
-        handIn("for it", OTHER_DESTINATION);
-        StubServer.await("the endpoint is called again", () -> called().size() == 2);
-        assertEquals(List.of("before", "for it"), called());
+    void endpointGetsOnlyMessagesOfItsNewDestination() throws Exception {
+        submit("before", 0);
+        StubServer.await("the endpoint is called", () -> calledIds().equals(List.of("before")));
+        environment.firstDestination = OTHER_DESTINATION;
+        StubServer.await("the changed list is read", () -> environment.agent.requests.stream()
+                .anyMatch(r -> r.line().contains("after=" + environment.generation())));
+        submit("for nobody", 0);
+        submit("for it", OTHER_DESTINATION);
+        StubServer.await("the endpoint is called again", () -> calledIds().size() == 2);
+        assertEquals(List.of("before", "for it"), calledIds());
     }
 }
--- a/src/test/java/kestreldeal/net/RepeatWindowTest.java
+++ b/src/test/java/kestreldeal/net/RepeatWindowTest.java
@@ -22,22 +22,22 @@
     @TempDir
     private Path folder;
     private StubServer endpoint;
-    private SenderTestEnvironment world;
+    private SenderTestEnvironment environment;
     private Sender sender;
 
-    private void open(StubServer at) throws Exception {
-        endpoint = at;
-        world = new SenderTestEnvironment(folder, at);
-        world.windowMs = WINDOW_MS;
-        world.agent.script(this::agent);
+    private void open(StubServer server) throws Exception {
+        endpoint = server;
+        environment = new SenderTestEnvironment(folder, server);
+        environment.windowMs = WINDOW_MS;
+        environment.agent.script(this::answerAsAgent);
     }
 
     /** Answers no notice, so that the journal keeps the message. */
-    private void agent(StubServer.Message request, Socket socket) throws IOException {
+    private void answerAsAgent(StubServer.Message request, Socket socket) throws IOException {
         if (request.line().startsWith("POST")) {
-            world.notices.add(request.body());
+            environment.notices.add(request.body());
         } else {
-            world.answer(request, socket);
+            environment.answer(request, socket);
         }
     }
 
@@ -46,90 +46,91 @@
         if (sender != null) {
             sender.kill();
         }
-        world.close();
+        environment.close();
         endpoint.close();
     }
 
     /** Writes a journal with a message that has one unfinished attempt; returns its wall-clock time. */
-    private long leave(long agoMs) throws Exception {
-        try (Journal journal = world.journal()) {
-            long wall = System.currentTimeMillis();
-            AcceptedMessage held = AcceptedMessage.withTimeLeft(journal.nextNumber(), "old", "order", "",
+    private long writeJournal(long attemptAgeMs) throws Exception {
+        try (Journal journal = environment.journal()) {
+            long wallMillis = System.currentTimeMillis();
+            AcceptedMessage message = AcceptedMessage.withTimeLeft(journal.nextNumber(), "old", "order", "",
                     Optional.of("key-old"), 0, 20_000, new byte[0], MachineClock.system());
-            journal.recordAccepted(held);
-            journal.recordAttempt(held, AcceptedMessage.Attempt.sentAgo("s-0", agoMs, MachineClock.system()));
-            return wall - agoMs;
+            journal.recordAccepted(message);
+            journal.recordAttempt(message, AcceptedMessage.Attempt.sentAgo("s-0", attemptAgeMs, MachineClock.system()));
+            return wallMillis - attemptAgeMs;
         }
     }
 
     private void start() throws Exception {
-        sender = world.sender();
+        sender = environment.sender();
         sender.start();
     }
 
     /** Waits for the notice of a message that has this number of attempts, none of them written by this process. */
-    private void awaitRefused(int attempts) throws Exception {
-        StubServer.await("the notice", () -> !world.notices.isEmpty());
-        assertTrue(world.notices.get(0).contains("bounced"), world.notices.toString());
-        assertEquals(List.of(attempts), world.journalled().stream().map(held -> held.attempts.size()).toList());
+    private void awaitRejected(int attempts) throws Exception {
+        StubServer.await("the notice", () -> !environment.notices.isEmpty());
+        assertTrue(environment.notices.get(0).contains("bounced"), environment.notices.toString());
+        assertEquals(List.of(attempts),
+                environment.journalled().stream().map(message -> message.attempts.size()).toList());
         assertEquals(List.of(), endpoint.requests);
     }
 
     @Test
-    void itIsRepeatedInsideTheWindow() throws Exception {
+    void attemptIsRepeatedWithinTheWindow() throws Exception {
         open(new StubServer(StubServer.status(200, "")));
-        world.windowMs = 20_000;
-        leave(100);
+        environment.windowMs = 20_000;
+        writeJournal(100);
         start();
         StubServer.await("the repeat", () -> endpoint.requests.size() == 1);
         assertEquals("old", endpoint.requests.get(0).header("X-Call-Id"));
     }
 
     @Test
-    void itIsNotRepeatedPastTheWindow() throws Exception {
+    void attemptIsNotRepeatedAfterTheWindow() throws Exception {
         open(new StubServer(StubServer.status(200, "")));
-        leave(WINDOW_MS + 1);
+        writeJournal(WINDOW_MS + 1);
         start();
-        awaitRefused(1);
+        awaitRejected(1);
     }
 
     /** The agent answers only after the window has passed, and without a list nothing can be sent before that. */
     @Test
-    void itIsNotRepeatedWhereTheRestartTakesLongerThanTheWindow() throws Exception {
+    void attemptIsNotRepeatedIfTheRestartOutlastsTheWindow() throws Exception {
         open(new StubServer(StubServer.status(200, "")));
-        world.known = false;
-        long sentAt = leave(0);
-        world.agent.script((request, socket) -> {
+        environment.known = false;
+        long sentAt = writeJournal(0);
+        environment.agent.script((request, socket) -> {
             StubServer.await("the window's end", () -> System.currentTimeMillis() > sentAt + WINDOW_MS);
-            world.agent.script(this::agent);
+            environment.agent.script(this::answerAsAgent);
             socket.close();
         });
         start();
-        awaitRefused(1);
+        awaitRejected(1);
     }
 
     /** The repeat is decided on within the window, but its connection is established only after the window. */
     @Test
-    void itIsNotWrittenLate() throws Exception {
+    void repeatIsNotWrittenAfterTheWindow() throws Exception {
         open(StubServer.busy(StubServer.status(200, "")));
-        world.dialMs = 20_000;
-        world.windowMs = 2 * WINDOW_MS;
-        long sentAt = leave(0);
+        environment.dialMs = 20_000;
+        environment.windowMs = 2 * WINDOW_MS;
+        long sentAt = writeJournal(0);
         start();
         StubServer.await("the repeat is decided on",
-                () -> world.journalled().stream().anyMatch(held -> held.attempts.size() == 2));
+                () -> environment.journalled().stream().anyMatch(message -> message.attempts.size() == 2));
         StubServer.await("the window's end", () -> System.currentTimeMillis() > sentAt + 2 * WINDOW_MS);
         endpoint.accepts();
-        awaitRefused(2);
+        awaitRejected(2);
     }
 
     /** The attempt seems to have been made in the future, so its age counts as unknown. */
     @Test
-    void itIsNotRepeatedWhereTheWallClockWasSetBack() throws Exception {
+    void attemptWithANegativeAgeIsNotRepeated() throws Exception {
         open(new StubServer(StubServer.status(200, "")));
-        world.windowMs = 20_000;
-        leave(-5000);
+        environment.windowMs = 20_000;
+        writeJournal(-5000);
         start();
-        awaitRefused(1);
+        awaitRejected(1);
     }
 }
--- a/src/test/java/kestreldeal/net/RestartTest.java
+++ b/src/test/java/kestreldeal/net/RestartTest.java
@@ -27,17 +27,17 @@
  * anything else would never end: no connection to an endpoint is established, and no pending notice is confirmed.
  */
 class RestartTest {
-    private static final int EACH = 10;
+    private static final int SENDERS_PER_MODE = 10;
     private static final int ENDPOINTS = 300;
 
-    private enum Mode {
+    private enum AgentMode {
         ANSWERING, SILENT, SLOW
     }
 
     @TempDir
     private Path folder;
     private StubServer endpoint;
-    private final List<Restarted> all = new ArrayList<>();
+    private final List<RestartedSender> senders = new ArrayList<>();
 
     @BeforeEach
     void open() throws Exception {
@@ -46,33 +46,33 @@
 
     @AfterEach
     void close() throws Exception {
-        for (Restarted each : all) {
-            each.close();
+        for (RestartedSender sender : senders) {
+            sender.close();
         }
         endpoint.close();
     }
 
     /** One sender with its agent, and the sender's health at each request to the agent after the first. */
-    private final class Restarted {
-        final Mode mode;
-        final SenderTestEnvironment world;
-        final int held;
+    private final class RestartedSender {
+        final AgentMode mode;
+        final SenderTestEnvironment environment;
+        final int messageCount;
         final CompletableFuture<InetSocketAddress> address = new CompletableFuture<>();
-        final AtomicInteger questions = new AtomicInteger();
-        final List<Integer> healthAtLaterQuestions = new CopyOnWriteArrayList<>();
+        final AtomicInteger agentRequests = new AtomicInteger();
+        final List<Integer> healthAtLaterRequests = new CopyOnWriteArrayList<>();
         private Sender sender;
 
-        Restarted(Mode mode, int number) throws Exception {
+        RestartedSender(AgentMode mode, int number) throws Exception {
             this.mode = mode;
-            world = new SenderTestEnvironment(folder.resolve(mode + "-" + number), endpoint);
-            world.endpoints = ENDPOINTS;
-            world.agent.script(this::agent);
-            held = fill();
+            environment = new SenderTestEnvironment(folder.resolve(mode + "-" + number), endpoint);
+            environment.endpoints = ENDPOINTS;
+            environment.agent.script(this::answerAsAgent);
+            messageCount = fillJournal();
         }
 
         /** Fills the journal with messages that are untried, attempted, or ended by an unconfirmed notice. */
-        private int fill() throws IOException {
-            try (Journal journal = world.journal()) {
+        private int fillJournal() throws IOException {
+            try (Journal journal = environment.journal()) {
                 for (int i = 0; i < ENDPOINTS; i += 10) {
                     journal.recordEndpointHealth("s-" + i,
                             Journal.RecordedHealth.ofAge(0, Relay.EndpointState.DOWN, 0.001, MachineClock.system()));
@@ -96,18 +96,18 @@
             }
         }
 
-        private void agent(StubServer.Message request, Socket socket) throws Exception {
+        private void answerAsAgent(StubServer.Message request, Socket socket) throws Exception {
             if (request.line().startsWith("POST")) {
                 return;
             }
-            if (questions.incrementAndGet() > 1) {
-                healthAtLaterQuestions.add(health());
+            if (agentRequests.incrementAndGet() > 1) {
+                healthAtLaterRequests.add(health());
                 return;
             }
-            if (mode == Mode.ANSWERING) {
-                world.answer(request, socket);
-            } else if (mode == Mode.SLOW) {
-                String list = world.list();
+            if (mode == AgentMode.ANSWERING) {
+                environment.answer(request, socket);
+            } else if (mode == AgentMode.SLOW) {
+                String list = environment.list();
                 StubServer.write(socket, "HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + "\r\n\r\n"
                         + list.substring(0, list.length() - 1));
                 StubServer.await("the sender is ready before the list is complete", () -> health() == 200);
@@ -120,7 +120,7 @@
 
         void start() {
             try {
-                sender = world.sender();
+                sender = environment.sender();
                 address.complete(sender.start());
             } catch (Exception e) {
                 throw new AssertionError(e);
@@ -131,38 +131,39 @@
             if (sender != null) {
                 sender.kill();
             }
-            world.close();
+            environment.close();
         }
     }
 
     @Test
-    void nothingButOneQuestionToTheAgentIsWaitedFor() throws Exception {
-        for (int i = 0; i < EACH; i++) {
-            for (Mode mode : Mode.values()) {
-                all.add(new Restarted(mode, i));
+    void senderWaitsForNothingButOneRequestToItsAgent() throws Exception {
+        for (int i = 0; i < SENDERS_PER_MODE; i++) {
+            for (AgentMode mode : AgentMode.values()) {
+                senders.add(new RestartedSender(mode, i));
             }
         }
-        long begun = System.nanoTime();
-        all.forEach(each -> new Thread(each::start).start());
-        List<Restarted> waiting = new ArrayList<>(all);
-        List<String> times = new ArrayList<>();
+        long startNanos = System.nanoTime();
+        senders.forEach(restarted -> new Thread(restarted::start).start());
+        List<RestartedSender> waiting = new ArrayList<>(senders);
+        List<String> readyTimes = new ArrayList<>();
         StubServer.await("all senders are ready", () -> {
-            waiting.removeIf(each -> {
-                boolean ready = each.address.isDone() && each.health() == 200;
+            waiting.removeIf(restarted -> {
+                boolean ready = restarted.address.isDone() && restarted.health() == 200;
                 if (ready) {
-                    times.add(each.mode + " " + TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - begun));
+                    readyTimes.add(
+                            restarted.mode + " " + TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startNanos));
                 }
                 return ready;
             });
             return waiting.isEmpty();
         });
-        System.out.println("thirty restarts with " + all.get(0).held + " messages in each journal, ready after (ms): "
-                + times);
-        for (Restarted each : all) {
-            assertTrue(each.held > 500, each.held + " messages");
-            StubServer.await("the next request to the agent", () -> !each.healthAtLaterQuestions.isEmpty());
-            assertEquals(200, each.healthAtLaterQuestions.get(0),
-                    each.mode + ": the sender is ready before its next request");
+        System.out.println("thirty restarts with " + senders.get(0).messageCount
+                + " messages in each journal, ready after (ms): " + readyTimes);
+        for (RestartedSender restarted : senders) {
+            assertTrue(restarted.messageCount > 500, restarted.messageCount + " messages");
+            StubServer.await("the next request to the agent", () -> !restarted.healthAtLaterRequests.isEmpty());
+            assertEquals(200, restarted.healthAtLaterRequests.get(0),
+                    restarted.mode + ": the sender is ready before its next request");
         }
     }
 }
--- a/src/test/java/kestreldeal/net/StartupTest.java
+++ b/src/test/java/kestreldeal/net/StartupTest.java
@@ -19,16 +19,16 @@
     @TempDir
     private Path folder;
     private StubServer endpoint;
-    private SenderTestEnvironment world;
+    private SenderTestEnvironment environment;
     private Process process;
 
-    private enum Failing {
+    private enum FailingPart {
         CLIENTS_ADDRESS, OPERATORS_ADDRESS, FOLDER
     }
 
     private void open() throws IOException {
         endpoint = new StubServer(StubServer.status(200, ""));
-        world = new SenderTestEnvironment(folder, endpoint);
+        environment = new SenderTestEnvironment(folder, endpoint);
     }
 
     @AfterEach
@@ -36,11 +36,11 @@
         if (process != null) {
             process.destroyForcibly().waitFor();
         }
-        world.close();
+        environment.close();
         endpoint.close();
     }
 
-    private static ServerSocket taken() throws IOException {
+    private static ServerSocket occupiedPort() throws IOException {
         return new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
     }
 
@@ -48,9 +48,9 @@
         return "127.0.0.1:" + socket.getLocalPort();
     }
 
-    private boolean hasSaid(String text) {
+    private boolean hasLogged(String text) {
         try {
-            return Files.readString(world.log()).contains(text);
+            return Files.readString(environment.log()).contains(text);
         } catch (IOException e) {
             throw new AssertionError(e);
         }
@@ -58,36 +58,36 @@
 
     private void awaitAlive(String what, BooleanSupplier condition) throws Exception {
         StubServer.await(what, () -> !process.isAlive() || condition.getAsBoolean());
-        assertTrue(process.isAlive(), "the process ended: " + Files.readString(world.log()));
+        assertTrue(process.isAlive(), "the process ended: " + Files.readString(environment.log()));
     }
 
     @ParameterizedTest
-    @EnumSource(Failing.class)
-    void whatFailsForAMomentIsTriedAgain(Failing failing) throws Exception {
+    @EnumSource(FailingPart.class)
+    void temporaryFailureIsRetried(FailingPart failing) throws Exception {
         open();
-        Path journal = world.state().resolve("journal");
-        try (ServerSocket clients = taken(); ServerSocket operators = taken()) {
-            world.listen = hostPort(clients);
-            world.operators = hostPort(operators);
-            if (failing != Failing.CLIENTS_ADDRESS) {
+        Path journal = environment.state().resolve("journal");
+        try (ServerSocket clients = occupiedPort(); ServerSocket operators = occupiedPort()) {
+            environment.listen = hostPort(clients);
+            environment.operators = hostPort(operators);
+            if (failing != FailingPart.CLIENTS_ADDRESS) {
                 clients.close();
             }
-            if (failing != Failing.OPERATORS_ADDRESS) {
+            if (failing != FailingPart.OPERATORS_ADDRESS) {
                 operators.close();
             }
-            if (failing == Failing.FOLDER) {
+            if (failing == FailingPart.FOLDER) {
                 Files.createDirectory(journal);
             }
-            process = world.process(256);
-            awaitAlive("a failure is logged", () -> hasSaid("can't "));
+            process = environment.process(256);
+            awaitAlive("a failure is logged", () -> hasLogged("can't "));
         }
-        if (failing == Failing.FOLDER) {
+        if (failing == FailingPart.FOLDER) {
             Files.delete(journal);
         }
-        InetSocketAddress clients = Config.parseAddress(world.listen);
+        InetSocketAddress clients = Config.parseAddress(environment.listen);
         awaitAlive("the sender is ready",
                 () -> SenderTestEnvironment.ask(clients, SenderTestEnvironment.HEALTH) == 200);
-        InetSocketAddress operators = Config.parseAddress(world.operators);
+        InetSocketAddress operators = Config.parseAddress(environment.operators);
         awaitAlive("operators are answered",
                 () -> SenderTestEnvironment.operatorsAnswer(operators, "readyz").equals("YES\n"));
     }
--- a/src/test/java/kestreldeal/net/WallClockTest.java
+++ b/src/test/java/kestreldeal/net/WallClockTest.java
@@ -21,13 +21,13 @@
  * none of them, neither within a process nor across a restart.
  */
 class WallClockTest {
-    private static final long DISK = 200_000;
+    private static final long DISK_BYTES = 200_000;
 
     @TempDir
     private Path folder;
     private final ManualClock clock = new ManualClock();
     private StubServer endpoint;
-    private SenderTestEnvironment world;
+    private SenderTestEnvironment environment;
     private Sender sender;
 
     @AfterEach
@@ -35,35 +35,35 @@
         if (sender != null) {
             sender.kill();
         }
-        if (world != null) {
-            world.close();
+        if (environment != null) {
+            environment.close();
             endpoint.close();
         }
     }
 
     private Journal journal() throws IOException {
-        return new Journal(folder, DISK, 12, clock, FileChannel::open);
+        return new Journal(folder, DISK_BYTES, 12, clock, FileChannel::open);
     }
 
-    private void assertSpans(AcceptedMessage held, Journal.RecordedHealth health, long passedMs) {
-        assertEquals(24_000 - passedMs, held.timeLeftMs(clock));
-        assertFalse(held.mayHaveExpired(clock));
-        assertEquals(passedMs, held.attempts.get(0).ageMs(clock));
+    private void assertSpans(AcceptedMessage message, Journal.RecordedHealth health, long passedMs) {
+        assertEquals(24_000 - passedMs, message.timeLeftMs(clock));
+        assertFalse(message.mayHaveExpired(clock));
+        assertEquals(passedMs, message.attempts.get(0).ageMs(clock));
         assertEquals(passedMs, health.ageMs(clock));
     }
 
     @ParameterizedTest
     @ValueSource(longs = {3_600_000, 5000, -5000, -3_600_000})
-    void aStepMovesNoSpan(long stepMs) throws Exception {
+    void stepOfTheWallClockChangesNoTimeSpan(long stepMs) throws Exception {
         try (Journal journal = journal()) {
-            AcceptedMessage held = AcceptedMessage.withTimeLeft(journal.nextNumber(), "id", "order", "",
+            AcceptedMessage message = AcceptedMessage.withTimeLeft(journal.nextNumber(), "id", "order", "",
                     Optional.of("key"), 7, 24_000, new byte[1], clock);
-            journal.recordAccepted(held);
-            journal.recordAttempt(held, AcceptedMessage.Attempt.sentAgo("e", 0, clock));
+            journal.recordAccepted(message);
+            journal.recordAttempt(message, AcceptedMessage.Attempt.sentAgo("e", 0, clock));
             journal.recordEndpointHealth("e", Journal.RecordedHealth.ofAge(0, Relay.EndpointState.DOWN, 0.5, clock));
             clock.advance(6000);
-            clock.stepWall(stepMs);
-            assertSpans(held, journal.endpointHealth().get("e"), 6000);
+            clock.stepWallClock(stepMs);
+            assertSpans(message, journal.endpointHealth().get("e"), 6000);
         }
         clock.advance(4000);
         try (Journal journal = journal()) {
@@ -76,14 +76,14 @@
      * any deduplication window, and a slow start begins again.
      */
     @Test
-    void anotherBootIsCarefulWithRepeatsAndGenerousWithTrying() throws Exception {
-        leave();
+    void rebootGivesAFullDeadlineButAllowsNoRepeat() throws Exception {
+        writeJournal();
         clock.reboot(5_000);
-        for (int life = 0; life < 2; life++) {
+        for (int restart = 0; restart < 2; restart++) {
             try (Journal journal = journal()) {
-                AcceptedMessage held = journal.liveMessages().iterator().next();
-                assertTrue(held.timeLeftMs(clock) > 24_000, "left: " + held.timeLeftMs(clock));
-                assertTrue(held.attempts.get(0).ageMs(clock) > TimeUnit.DAYS.toMillis(1));
+                AcceptedMessage message = journal.liveMessages().iterator().next();
+                assertTrue(message.timeLeftMs(clock) > 24_000, "left: " + message.timeLeftMs(clock));
+                assertTrue(message.attempts.get(0).ageMs(clock) > TimeUnit.DAYS.toMillis(1));
                 assertEquals(0, journal.endpointHealth().get("e").ageMs(clock));
                 journal.handOver();
             }
@@ -92,28 +92,28 @@
 
     /** A monotonic clock that has gone back under the same boot id, as on a copy of the machine. */
     @Test
-    void aClockThatIsBehindTheJournalIsOfAnotherBoot() throws Exception {
-        leave();
-        clock.rewind(5_000);
+    void clockBehindTheJournalCountsAsAnotherBoot() throws Exception {
+        writeJournal();
+        clock.restartMonotonicClock(5_000);
         try (Journal journal = journal()) {
-            AcceptedMessage held = journal.liveMessages().iterator().next();
-            assertTrue(held.timeLeftMs(clock) > 24_000, "left: " + held.timeLeftMs(clock));
-            assertTrue(held.attempts.get(0).ageMs(clock) > TimeUnit.DAYS.toMillis(1));
+            AcceptedMessage message = journal.liveMessages().iterator().next();
+            assertTrue(message.timeLeftMs(clock) > 24_000, "left: " + message.timeLeftMs(clock));
+            assertTrue(message.attempts.get(0).ageMs(clock) > TimeUnit.DAYS.toMillis(1));
         }
     }
 
-    private void leave() throws IOException {
+    private void writeJournal() throws IOException {
         try (Journal journal = journal()) {
-            AcceptedMessage held = AcceptedMessage.withTimeLeft(journal.nextNumber(), "id", "order", "",
+            AcceptedMessage message = AcceptedMessage.withTimeLeft(journal.nextNumber(), "id", "order", "",
                     Optional.of("key"), 7, 24_000, new byte[1], clock);
-            journal.recordAccepted(held);
-            journal.recordAttempt(held, AcceptedMessage.Attempt.sentAgo("e", 0, clock));
+            journal.recordAccepted(message);
+            journal.recordAttempt(message, AcceptedMessage.Attempt.sentAgo("e", 0, clock));
             journal.recordEndpointHealth("e", Journal.RecordedHealth.ofAge(0, Relay.EndpointState.WARMING, 0.5, clock));
         }
     }
 
     /** The machine's clocks, with the wall clock off by the given time. */
-    private record Stepped(long stepMs) implements MachineClock {
+    private record SteppedWallClock(long stepMs) implements MachineClock {
         @Override
         public long nanos() {
             return System.nanoTime();
@@ -132,14 +132,14 @@
 
     @ParameterizedTest
     @ValueSource(longs = {3_600_000, -3_600_000})
-    void whatIsHeldIsTriedInTheNextLifeWhateverTheWallClockSays(long stepMs) throws Exception {
+    void restoredMessageIsTriedWhateverTheWallClockSays(long stepMs) throws Exception {
         endpoint = new StubServer(StubServer.status(200, ""));
-        world = new SenderTestEnvironment(folder, endpoint);
-        try (Journal journal = world.journal()) {
+        environment = new SenderTestEnvironment(folder, endpoint);
+        try (Journal journal = environment.journal()) {
             journal.recordAccepted(AcceptedMessage.withTimeLeft(journal.nextNumber(), "untried", "once", "",
                     Optional.empty(), 0, 20_000, new byte[0], MachineClock.system()));
         }
-        sender = world.sender(new Stepped(stepMs));
+        sender = environment.sender(new SteppedWallClock(stepMs));
         sender.start();
         StubServer.await("the call to the endpoint", () -> endpoint.requests.size() == 1);
         assertEquals("untried", endpoint.requests.get(0).header("X-Call-Id"));
