--- a/src/main/java/kestreldeal/net/AcceptedMessage.java
+++ b/src/main/java/kestreldeal/net/AcceptedMessage.java
@@ -6,8 +6,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A message that this sender has accepted, with everything that the journal records of it. After a restart this decides
- * whether the message may be sent again, and how.
+ * A message that this sender has accepted, with everything that the journal records of it. After a restart, whether and
+ * how the message may be sent again is decided from this.
  */
 final class AcceptedMessage {
     /** How long a client waits for an answer, by the protocol, before it closes the connection. */
--- a/src/main/java/kestreldeal/net/Config.java
+++ b/src/main/java/kestreldeal/net/Config.java
@@ -31,7 +31,7 @@
               int maxSockets, long diskBytes, Relay.Settings settings, List<String> classNames,
               List<String> tenantNames, List<String> kindNames, List<String> zoneNames, int maxPendingMessages,
               double connectTimeoutMs, Path file) {
-    /** Field of the list of endpoints as of when the file was written; {@link Discovery} reads it. */
+    /** Name of the field with the endpoints that were known when the file was written; {@link Discovery} reads it. */
     static final String KNOWN_ENDPOINTS_FIELD = "known";
     /** Upper limit, since the journal is read into memory as a whole at the start, and files count as memory. */
     private static final double MAX_DISK_MB = 12;
--- a/src/main/java/kestreldeal/net/Journal.java
+++ b/src/main/java/kestreldeal/net/Journal.java
@@ -23,17 +23,19 @@
  * Append-only journal of the messages that this sender has accepted, in a file that outlives its process. Each record
  * has a length and a checksum, and is written to the operating system's page cache before the step that it describes is
  * taken. That survives any end of the process, SIGKILL included, so nothing is forced to disk (fsync). Times are
- * those of the machine's monotonic clock; a record in front of them names the boot that they belong to.
+ * those of the machine's monotonic clock; a record ahead of them names the boot in which they were taken.
  *
  * <p>The folder never exceeds its size limit: before an append would leave no room for a compacted copy beside the
- * file, the live records are written to a new file, which then replaces the old one. New messages are rejected while
- * the live records, with the later records that they may still need, fill half of the limit.
+ * file, the live records (those that a restart would still need) are written to a new file, which then replaces the old
+ * one. New messages are rejected while the live records, with the records that their messages may still need, fill half
+ * of the limit.
  *
  * <p>Writes may fail for a while. Steps that can still be avoided (accepting a message, starting an attempt) are then
  * refused. Records of events that have already happened are kept in memory and written as soon as possible; until
  * then no message is accepted.
  */
 final class Journal implements AutoCloseable {
+    /** Types of records, by their numbers in the file. */
     private static final int ACCEPTED = 1;
     private static final int ATTEMPT = 2;
     private static final int NEVER_RAN = 3;
@@ -46,7 +48,7 @@
     /** Bytes reserved for the later records of a live message: for each attempt, and for its completion. */
     private static final int ATTEMPT_RESERVE_BYTES = 128;
     private static final int COMPLETION_RESERVE_BYTES = 64;
-    /** Limits on the ids of completed messages that are kept: their number, and their part of the folder's limit. */
+    /** Limits on the ids kept of completed messages: their number, and the folder's limit divided by this for bytes. */
     private static final int MAX_COMPLETED_IDS = 4096;
     private static final int COMPLETED_IDS_DIVISOR = 16;
     /**
@@ -59,7 +61,7 @@
     private static final long MAX_RETRY_DELAY_MS = 320;
     /** Bytes of unwritten records kept in memory; beyond that they are dropped and a compaction is written instead. */
     private static final int MAX_UNWRITTEN_BYTES = 1 << 18;
-    /** Time left for a message of another boot: longer than any class's deadline, to which its users limit it. */
+    /** Time left given to a message of another boot: longer than any class's deadline, to which the sender caps it. */
     private static final long OTHER_BOOT_TIME_LEFT_NANOS = TimeUnit.DAYS.toNanos(1);
 
     private final JournalFile file;
@@ -70,7 +72,7 @@
     /** Ids of the most recently completed messages, oldest first, and whether each was delivered. */
     private final Map<String, Boolean> completedIds = new LinkedHashMap<>();
     private long completedIdsBytes;
-    /** The decision module's last state of each endpoint that is not in service. */
+    /** Last recorded health of each endpoint that is not in service. */
     private final Map<String, RecordedHealth> endpointHealth = new TreeMap<>();
     private long liveBytes;
     private long nextNumber;
@@ -136,7 +138,7 @@
         }
     }
 
-    /** The messages that are not completed or have a notice pending, in the order in which they were accepted. */
+    /** The messages without a final result, or with a notice not yet confirmed, in the order of their acceptance. */
     Collection<AcceptedMessage> liveMessages() {
         return new ArrayList<>(liveMessages.values());
     }
@@ -524,41 +526,41 @@
 
     // ---- reading ----
 
-    private void applyRecord(DataInputStream in, int length) throws IOException {
+    private void applyRecord(DataInputStream in, int frameLength) throws IOException {
         int type = in.readByte();
-        long number = in.readLong();
+        long numberOrTime = in.readLong();
         if (type == BOOT) {
             // A time later than this clock's is not of this boot, even if the boot id is the same.
             String bootId = in.readUTF();
-            boolean sameBoot = !bootId.isEmpty() && bootId.equals(clock.bootId()) && number <= clock.nanos();
+            boolean sameBoot = !bootId.isEmpty() && bootId.equals(clock.bootId()) && numberOrTime <= clock.nanos();
             timeBase = sameBoot ? TimeBase.THIS_BOOT : TimeBase.OTHER_BOOT;
             return;
         }
         if (type == ENDPOINT_HEALTH) {
             String endpoint = in.readUTF();
             Relay.EndpointState state = Relay.EndpointState.values()[in.readByte()];
-            storeEndpointHealth(endpoint, restoredHealth(state, number, in.readDouble()), length);
+            storeEndpointHealth(endpoint, restoredHealth(state, numberOrTime, in.readDouble()), frameLength);
             return;
         }
         if (type == COMPLETED_ID) {
             rememberCompleted(in.readUTF(), in.readBoolean());
             return;
         }
-        nextNumber = Math.max(nextNumber, number + 1);
+        nextNumber = Math.max(nextNumber, numberOrTime + 1);
         if (type == ACCEPTED) {
             String id = in.readUTF();
             String messageClass = in.readUTF();
             String tenant = in.readUTF();
             boolean keyed = in.readBoolean();
             String key = in.readUTF();
-            AcceptedMessage message = new AcceptedMessage(number, id, messageClass, tenant,
+            AcceptedMessage message = new AcceptedMessage(numberOrTime, id, messageClass, tenant,
                     keyed ? Optional.of(key) : Optional.empty(), in.readLong(), restoredDeadlineNanos(in.readLong()),
                     in.readNBytes(in.readInt()));
-            liveMessages.put(number, message);
-            addRecordBytes(message, length);
+            liveMessages.put(numberOrTime, message);
+            addRecordBytes(message, frameLength);
             return;
         }
-        AcceptedMessage message = liveMessages.get(number);
+        AcceptedMessage message = liveMessages.get(numberOrTime);
         if (message == null) {
             return;
         }
@@ -575,40 +577,40 @@
                 rememberCompleted(message.id, false);
             }
             case COMPLETED -> {
-                liveMessages.remove(number);
+                liveMessages.remove(numberOrTime);
                 liveBytes -= message.journalBytes;
                 rememberIfAttempted(message);
                 return;
             }
             default -> throw new IOException("unknown type of journal record: " + type);
         }
-        addRecordBytes(message, length);
+        addRecordBytes(message, frameLength);
     }
 
     /** A message of another boot gets a new deadline: retrying for too long does less harm than giving it up. */
-    private long restoredDeadlineNanos(long recorded) {
+    private long restoredDeadlineNanos(long recordedTime) {
         return switch (timeBase) {
-            case THIS_BOOT -> recorded;
+            case THIS_BOOT -> recordedTime;
             case OTHER_BOOT -> clock.nanos() + OTHER_BOOT_TIME_LEFT_NANOS;
-            case WALL_CLOCK -> clock.nanos() + TimeUnit.MILLISECONDS.toNanos(recorded - clock.wallMillis());
+            case WALL_CLOCK -> clock.nanos() + TimeUnit.MILLISECONDS.toNanos(recordedTime - clock.wallMillis());
         };
     }
 
     /** An attempt of another boot counts as older than any deduplication window, so that it is not repeated. */
-    private AcceptedMessage.Attempt restoredAttempt(String endpoint, long recorded) {
+    private AcceptedMessage.Attempt restoredAttempt(String endpoint, long recordedTime) {
         return switch (timeBase) {
-            case THIS_BOOT -> AcceptedMessage.Attempt.sentAt(endpoint, recorded, clock);
+            case THIS_BOOT -> AcceptedMessage.Attempt.sentAt(endpoint, recordedTime, clock);
             case OTHER_BOOT -> AcceptedMessage.Attempt.ofUnknownAge(endpoint, clock);
-            case WALL_CLOCK -> AcceptedMessage.Attempt.sentAgo(endpoint, clock.wallMillis() - recorded, clock);
+            case WALL_CLOCK -> AcceptedMessage.Attempt.sentAgo(endpoint, clock.wallMillis() - recordedTime, clock);
         };
     }
 
     /** The health of an endpoint from another boot counts as just begun, so that a slow start begins again. */
-    private RecordedHealth restoredHealth(Relay.EndpointState state, long recorded, double sustainedPerMs) {
+    private RecordedHealth restoredHealth(Relay.EndpointState state, long recordedTime, double sustainedPerMs) {
         return switch (timeBase) {
-            case THIS_BOOT -> new RecordedHealth(state, recorded, sustainedPerMs);
+            case THIS_BOOT -> new RecordedHealth(state, recordedTime, sustainedPerMs);
             case OTHER_BOOT -> RecordedHealth.ofAge(0, state, sustainedPerMs, clock);
-            case WALL_CLOCK -> RecordedHealth.ofAge(clock.wallMillis() - recorded, state, sustainedPerMs, clock);
+            case WALL_CLOCK -> RecordedHealth.ofAge(clock.wallMillis() - recordedTime, state, sustainedPerMs, clock);
         };
     }
 
--- a/src/main/java/kestreldeal/net/JournalFile.java
+++ b/src/main/java/kestreldeal/net/JournalFile.java
@@ -49,9 +49,9 @@
     }
 
     /** Sets where to append: after the complete records at the start of the bytes that were read. */
-    void setAppendPosition(long completeBytes, long readBytes) {
+    void setAppendPosition(long completeBytes, long fileBytes) {
         size = completeBytes;
-        tornEnd = readBytes;
+        tornEnd = fileBytes;
     }
 
     /** Whether the file has not been closed by this process. */
@@ -84,7 +84,7 @@
         tornEnd = size;
     }
 
-    /** Appends a record. If this throws, no later reader may see it: the next append removes what was written of it. */
+    /** Appends a record. If this throws, whatever was written of the record is removed before the next append. */
     void append(byte[] record) throws IOException {
         removeTornBytes();
         try {
--- a/src/main/java/kestreldeal/net/JournalFrames.java
+++ b/src/main/java/kestreldeal/net/JournalFrames.java
@@ -13,7 +13,7 @@
 final class JournalFrames {
     /** Bytes of a frame's header: the record's length (4) and its checksum (8). */
     private static final int HEADER_BYTES = 12;
-    /** Maximum length of a record in bytes; a larger value is not a length that was written here, or is damaged. */
+    /** Maximum length of a record in bytes; a larger one is taken for damage. */
     private static final int MAX_RECORD_BYTES = 1 << 20;
 
     private JournalFrames() {
--- a/src/main/java/kestreldeal/net/ProcessHandover.java
+++ b/src/main/java/kestreldeal/net/ProcessHandover.java
@@ -99,7 +99,7 @@
     private boolean registered;
     private boolean closed;
     /** Why this process could not become the leader when it last tried, to log each reason once in a row. */
-    private String lastObstacle = "";
+    private String lastFailureReason = "";
     /** Clients' answers that wait for the successor's status, by the number of the forwarded message. */
     private final Map<Long, Consumer<HttpResponseStatus>> pendingAnswers = new HashMap<>();
     private long lastForwardNumber;
@@ -129,8 +129,8 @@
     /** Logs why this process can't lead yet; since it retries, a repeated reason is not logged again. */
     private void logCannotLead(IOException e) {
         String reason = String.valueOf(e.getMessage());
-        if (!reason.equals(lastObstacle)) {
-            lastObstacle = reason;
+        if (!reason.equals(lastFailureReason)) {
+            lastFailureReason = reason;
             Log.write("can't become the leader yet, will retry: " + reason);
         }
     }
--- a/src/main/java/kestreldeal/net/SighupHandler.java
+++ b/src/main/java/kestreldeal/net/SighupHandler.java
@@ -28,14 +28,14 @@
         try {
             Class<?> signal = Class.forName("sun.misc.Signal");
             Class<?> handler = Class.forName("sun.misc.SignalHandler");
-            MethodHandle task = MethodHandles.lookup()
+            MethodHandle runDispatch = MethodHandles.lookup()
                     .findVirtual(Runnable.class, "run", MethodType.methodType(void.class)).bindTo(dispatch);
             Object proxy = MethodHandleProxies.asInterfaceInstance(handler,
-                    MethodHandles.dropArguments(task, 0, signal));
+                    MethodHandles.dropArguments(runDispatch, 0, signal));
             Object previousHandler = signal.getMethod("handle", signal, handler)
                     .invoke(null, signal.getConstructor(String.class).newInstance("HUP"), proxy);
             if (previousHandler == handler.getField("SIG_IGN").get(null)) {
-                Log.write("SIGHUP was ignored when this process was started and can't be handled:"
+                Log.write("SIGHUP was ignored when this process was started, and the JVM keeps ignoring it:"
                         + " a change of the configuration needs a restart");
             }
         } catch (ReflectiveOperationException | IllegalArgumentException e) {
--- a/src/test/java/kestreldeal/net/AcceptedMessageTest.java
+++ b/src/test/java/kestreldeal/net/AcceptedMessageTest.java
@@ -38,7 +38,7 @@
     }
 
     @Test
-    void aFirstAttemptHasNoWindow() {
+    void firstAttemptIsNotBoundToAWindow() {
         addAttempt(1000);
         assertTrue(isInDedupWindow(0, 60_000, 5000));
     }
--- a/src/test/java/kestreldeal/net/ConfigTest.java
+++ b/src/test/java/kestreldeal/net/ConfigTest.java
@@ -42,7 +42,8 @@
     @Test
     void errorOfAnInvalidValueNamesItsSettingInOneLine() {
         Map<String, String> invalidByValid = Map.of("\"workers\":10", "\"workers\":0",
-                "\"fleet_size\":3", "\"fleet_size\":\"many\"", "\"most_tries\":12", "\"most_tries\":\"NaN\"", "\"max_open\":30", "\"max_open\":-1",
+                "\"fleet_size\":3", "\"fleet_size\":\"many\"",
+                "\"most_tries\":12", "\"most_tries\":\"NaN\"", "\"max_open\":30", "\"max_open\":-1",
                 "\"aim_ms\":2000", "\"aim_ms\":-5", "\"sockets\":256", "\"sockets\":\"few\"",
                 "\"disk_mb\":3", "\"disk_mb\":[1,2]", "\"batch_by_kind\":[5,1]", "\"batch_by_kind\":[5,\"x\"]");
         invalidByValid.forEach((valid, invalid) -> {
--- a/src/test/java/kestreldeal/net/JournalFailureTest.java
+++ b/src/test/java/kestreldeal/net/JournalFailureTest.java
@@ -72,7 +72,7 @@
         }
     }
 
-    /** Even if the write reported an error after it had written the whole record: the message was rejected. */
+    /** A write may report an error after it wrote the whole record; the message was rejected, so it must not return. */
     @Test
     void recordOfAFailedWriteIsNotRestored() throws Exception {
         try (Journal journal = openWithFailingFiles()) {
@@ -108,8 +108,8 @@
     }
 
     /**
-     * What follows a damaged record has to be overwritten on opening: a new record of the same length as the damaged
-     * one would make the old records after it readable again.
+     * Whatever follows a damaged record has to be overwritten before the next append: a new record of the same length
+     * as the damaged one would make the old records after it readable again.
      */
     @Test
     void recordsAfterADamagedOneAreNeverRestored() throws Exception {
@@ -141,8 +141,8 @@
             AcceptedMessage delivered = accept(journal);
             AcceptedMessage noticePending = accept(journal);
             AcceptedMessage notRun = accept(journal);
-            for (AcceptedMessage held : List.of(delivered, noticePending, notRun)) {
-                journal.recordAttempt(held, AcceptedMessage.Attempt.sentAgo("e", 0, clock));
+            for (AcceptedMessage message : List.of(delivered, noticePending, notRun)) {
+                journal.recordAttempt(message, AcceptedMessage.Attempt.sentAgo("e", 0, clock));
             }
             files.fail(true);
             journal.recordCompleted(delivered);
@@ -155,11 +155,11 @@
         }
         try (Journal journal = reopen()) {
             assertEquals(List.of("id-1", "id-2", "id-3"),
-                    journal.liveMessages().stream().map(held -> held.id).toList());
+                    journal.liveMessages().stream().map(message -> message.id).toList());
             assertEquals(Optional.of(true), journal.deliveredBefore("id-0"));
-            List<AcceptedMessage> held = List.copyOf(journal.liveMessages());
-            assertEquals(Optional.of(new AcceptedMessage.Notice(true, 500)), held.get(0).pendingNotice);
-            assertTrue(held.get(1).attempts.get(0).neverRan);
+            List<AcceptedMessage> messages = List.copyOf(journal.liveMessages());
+            assertEquals(Optional.of(new AcceptedMessage.Notice(true, 500)), messages.get(0).pendingNotice);
+            assertTrue(messages.get(1).attempts.get(0).neverRan);
             assertEquals(Relay.EndpointState.DOWN, journal.endpointHealth().get("e").state());
         }
     }
