--- a/src/main/java/kestreldeal/net/ClientServer.java
+++ b/src/main/java/kestreldeal/net/ClientServer.java
@@ -180,7 +180,8 @@
                 .childOption(ChannelOption.TCP_NODELAY, true)
                 // Reads until the socket is empty, so that a close right after a request is noticed with it.
                 .childOption(ChannelOption.RECVBUF_ALLOCATOR,
-                        new AdaptiveRecvByteBufAllocator().respectMaybeMoreData(false).maxMessagesPerRead(MAX_READS_PER_TURN))
+                        new AdaptiveRecvByteBufAllocator().respectMaybeMoreData(false)
+                                .maxMessagesPerRead(MAX_READS_PER_TURN))
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
@@ -240,7 +241,8 @@
 
     /** The number of connections on which a part of a request has arrived. */
     long partialRequests() {
-        return connectionsByState.values().stream().flatMap(Set::stream).filter(connection -> connection.requestStarted).count();
+        return connectionsByState.values().stream().flatMap(Set::stream)
+                .filter(connection -> connection.requestStarted).count();
     }
 
     /** The number of open client connections. */
@@ -266,7 +268,8 @@
 
     /** Connections that may be closed to make room for others, in the order in which to close them. */
     private Stream<ClientConnection> evictionCandidates() {
-        return connectionsByState.entrySet().stream().filter(e -> e.getKey() != State.IN_REQUEST).flatMap(e -> e.getValue().stream());
+        return connectionsByState.entrySet().stream().filter(e -> e.getKey() != State.IN_REQUEST)
+                .flatMap(e -> e.getValue().stream());
     }
 
     /** Handles failures to accept a connection. */
@@ -312,7 +315,8 @@
                 case NEW, IN_REQUEST -> REQUEST_TIMEOUT_MS;
                 case IDLE -> closing ? Long.MAX_VALUE : evacuating ? EVACUATION_IDLE_TIMEOUT_MS : IDLE_TIMEOUT_MS;
             };
-            connections.stream().takeWhile(c -> TimeUnit.NANOSECONDS.toMillis(nowNanos - c.stateEnteredNanos) >= limitMs).toList()
+            connections.stream()
+                    .takeWhile(c -> TimeUnit.NANOSECONDS.toMillis(nowNanos - c.stateEnteredNanos) >= limitMs).toList()
                     .forEach(ClientConnection::timeOut);
         });
     }
@@ -615,7 +619,8 @@
             if (request.decoderResult().isFailure()) {
                 respondAndClose(HttpResponseStatus.BAD_REQUEST, "not HTTP");
             } else if (path.equals("/healthz")) {
-                respond(request, handler.ready() && !evacuating ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE, "");
+                respond(request, handler.ready() && !evacuating ? HttpResponseStatus.OK
+                        : HttpResponseStatus.SERVICE_UNAVAILABLE, "");
             } else if (!handler.knowsClass(path.split("/", 3).length > 1 ? path.split("/", 3)[1] : "")) {
                 respond(request, HttpResponseStatus.NOT_FOUND, "no such path");
             } else if (!request.method().equals(HttpMethod.POST)) {
--- a/src/main/java/kestreldeal/net/Metrics.java
+++ b/src/main/java/kestreldeal/net/Metrics.java
@@ -29,7 +29,8 @@
     private final List<String> classes;
     private final Map<Completion, Map<String, Long>> completions = new LinkedHashMap<>();
     private final Map<RejectionReason, Long> rejections = new EnumMap<>(RejectionReason.class);
-    private final Map<SendGuard.SuppressionReason, Long> suppressedCalls = new EnumMap<>(SendGuard.SuppressionReason.class);
+    private final Map<SendGuard.SuppressionReason, Long> suppressedCalls =
+            new EnumMap<>(SendGuard.SuppressionReason.class);
     private final Map<ClientServer.CloseReason, Long> clientCloses = new EnumMap<>(ClientServer.CloseReason.class);
     private long messagesWritten;
 
@@ -73,7 +74,8 @@
         StringBuilder text = new StringBuilder();
         completions.forEach((completion, counts) -> {
             for (String messageClass : classes) {
-                appendValue(text, completion.name().toLowerCase(Locale.ROOT) + "_total{lane=\"" + messageClass + "\"}", counts.getOrDefault(messageClass, 0L));
+                appendValue(text, completion.name().toLowerCase(Locale.ROOT) + "_total{lane=\"" + messageClass + "\"}",
+                        counts.getOrDefault(messageClass, 0L));
             }
         });
         appendValue(text, "upstream_requests_total", messagesWritten);
@@ -82,16 +84,21 @@
         appendValue(text, "members_unavailable", unavailable);
         appendValue(text, "journal_write_failures_total", journalFailures);
         appendValue(text, "journal_behind", journalBehind ? 1 : 0);
-        appendByReason(text, "refusals_total", Metrics.RejectionReason.values(), reason -> rejections.getOrDefault(reason, 0L));
-        appendByReason(text, "calls_held_back_total", SendGuard.SuppressionReason.values(), reason -> suppressedCalls.getOrDefault(reason, 0L));
-        appendByReason(text, "client_closes_total", ClientServer.CloseReason.values(), reason -> clientCloses.getOrDefault(reason, 0L));
+        appendByReason(text, "refusals_total", Metrics.RejectionReason.values(),
+                reason -> rejections.getOrDefault(reason, 0L));
+        appendByReason(text, "calls_held_back_total", SendGuard.SuppressionReason.values(),
+                reason -> suppressedCalls.getOrDefault(reason, 0L));
+        appendByReason(text, "client_closes_total", ClientServer.CloseReason.values(),
+                reason -> clientCloses.getOrDefault(reason, 0L));
         appendByReason(text, "invariant_breaches_total", Invariants.Rule.values(), invariants::breachCount);
         return text.toString();
     }
 
-    private static <R extends Enum<R>> void appendByReason(StringBuilder text, String name, R[] reasons, ToLongFunction<R> count) {
+    private static <R extends Enum<R>> void appendByReason(StringBuilder text, String name, R[] reasons,
+            ToLongFunction<R> count) {
         for (R reason : reasons) {
-            appendValue(text, name + "{reason=\"" + reason.name().toLowerCase(Locale.ROOT) + "\"}", count.applyAsLong(reason));
+            appendValue(text, name + "{reason=\"" + reason.name().toLowerCase(Locale.ROOT) + "\"}",
+                    count.applyAsLong(reason));
         }
     }
 
--- a/src/main/java/kestreldeal/net/RetryingListener.java
+++ b/src/main/java/kestreldeal/net/RetryingListener.java
@@ -10,8 +10,8 @@
 
 /**
  * Listens at an address, retrying until the bind succeeds: another process may still use the address, and the machine
- * may be short of sockets for a moment. Neither must end a sender. All methods except {@link #boundAddress} must be called on
- * the event loop.
+ * may be short of sockets for a moment. Neither must end a sender. All methods except {@link #boundAddress} must be
+ * called on the event loop.
  */
 final class RetryingListener {
     private static final long RETRY_INTERVAL_MS = 50;
--- a/src/main/java/kestreldeal/net/Sender.java
+++ b/src/main/java/kestreldeal/net/Sender.java
@@ -62,7 +62,8 @@
     private static final int BYTES_PER_ENDPOINT = 1160;
     /** Limit on the endpoints that are known at once; more could exhaust the heap. */
     private static final int MAX_ENDPOINTS =
-            (int) Math.min(Integer.MAX_VALUE, Runtime.getRuntime().maxMemory() * ENDPOINT_HEAP_SHARE / BYTES_PER_ENDPOINT);
+            (int) Math.min(Integer.MAX_VALUE,
+                    Runtime.getRuntime().maxMemory() * ENDPOINT_HEAP_SHARE / BYTES_PER_ENDPOINT);
 
     private final MachineClock machineClock;
     private final Config config;
@@ -135,8 +136,8 @@
     }
 
     /**
-     * Runs a sender until a signal stops it; returns the exit code of the process. With {@code links} false no other
-     * process can take over while this one runs.
+     * Runs a sender until a signal stops it; returns the exit code of the process. With {@code handoverAllowed} false
+     * no other process can take over while this one runs.
      */
     public static int serve(Map<String, String> environment, boolean handoverAllowed) {
         try {
@@ -204,7 +205,8 @@
         handover.start();
         discovery.start(config.file());
         operatorListener.ifPresent(RetryingListener::start);
-        loop.scheduleWithFixedDelay(this::checkOverdue, OVERDUE_CHECK_INTERVAL_MS, OVERDUE_CHECK_INTERVAL_MS, TimeUnit.MILLISECONDS);
+        loop.scheduleWithFixedDelay(this::checkOverdue, OVERDUE_CHECK_INTERVAL_MS, OVERDUE_CHECK_INTERVAL_MS,
+                TimeUnit.MILLISECONDS);
     }
 
     /** Reports each message without a final result past its deadline: every accepted message must finish in time. */
@@ -213,7 +215,8 @@
             if (message.told && !message.overdue && message.leftMs(machineClock) < -OVERDUE_GRACE_MS) {
                 message.overdue = true;
                 invariants.reportBreach(Invariants.Rule.END_IN_TIME, message.id, message.attempts.size()
-                        + " attempts, no final result " + (long) -message.leftMs(machineClock) + " ms after the deadline");
+                        + " attempts, no final result " + (long) -message.leftMs(machineClock)
+                        + " ms after the deadline");
             }
         }
     }
@@ -265,7 +268,8 @@
         receivedState.ifPresent(this::restoreHandoverState);
         Map<AttemptId, Long> callsBefore = new HashMap<>();
         receivedState.filter(state -> handover.hasPredecessor()).ifPresent(state ->
-                state.out().forEach(attempt -> callsBefore.put(new AttemptId(attempt.message(), attempt.attempt()), attempt.call())));
+                state.out().forEach(attempt ->
+                        callsBefore.put(new AttemptId(attempt.message(), attempt.attempt()), attempt.call())));
         receivedState = Optional.empty();
         journal.health().forEach((id, health) -> {
             double nowMs = openTurn();
@@ -281,7 +285,8 @@
                 continue;
             }
             if (messageClass < 0) {
-                Log.write("message class " + message.messageClass + " is no longer configured; a restored message fails");
+                Log.write("message class " + message.messageClass
+                        + " is no longer configured; a restored message fails");
                 completeWithNotice(message, new AcceptedMessage.Notice(false, 0));
                 continue;
             }
@@ -293,17 +298,20 @@
                 OptionalLong callId = callsBefore.containsKey(attemptId) ? OptionalLong.of(callsBefore.get(attemptId))
                         : OptionalLong.empty();
                 callId.ifPresent(id -> predecessorAttempts.put(attemptId, message));
-                earlierAttempts.add(new Relay.EarlierAttempt(endpointNumber(attempt.endpoint), sentAtMs, !attempt.neverRan, callId));
+                earlierAttempts.add(new Relay.EarlierAttempt(endpointNumber(attempt.endpoint), sentAtMs,
+                        !attempt.neverRan, callId));
             }
             openMessages.put(message.number, message);
             openMessagesById.put(message.id, message);
             message.told = true;
             restored++;
             trace.step("resumed", message.id, (long) message.leftMs(machineClock), message.attempts.size());
-            relay.messageRestored(nowMs, toRelayMessage(message, messageClass, message.leftMs(machineClock)), earlierAttempts);
+            relay.messageRestored(nowMs, toRelayMessage(message, messageClass, message.leftMs(machineClock)),
+                    earlierAttempts);
         }
-        messages.stream().filter(message -> !message.over && !openMessages.containsKey(message.number)).forEach(message ->
-                invariants.reportBreach(Invariants.Rule.HELD_TAKEN_UP, message.id, "not restored from the journal"));
+        messages.stream().filter(message -> !message.over && !openMessages.containsKey(message.number))
+                .forEach(message -> invariants.reportBreach(Invariants.Rule.HELD_TAKEN_UP, message.id,
+                        "not restored from the journal"));
         Log.write(config.name() + " is ready; restored " + restored + " messages from its journal");
     }
 
@@ -372,9 +380,11 @@
         int attemptNumber = message.attempts.size();
         Optional<Invariants.Rule> breach = sendGuard.breach(message, registry.destination(endpoint).orElse(-1));
         if (breach.isPresent()) {
-            invariants.reportBreach(breach.get(), message.id, "an attempt at " + registry.id(endpoint) + " was prevented");
+            invariants.reportBreach(breach.get(), message.id,
+                    "an attempt at " + registry.id(endpoint) + " was prevented");
             message.attempts.add(AcceptedMessage.Attempt.neverMade(registry.id(endpoint), machineClock));
-            loop.execute(() -> attemptCompleted(message, attemptNumber, Relay.Outcome.NOT_SENT, false, 0, Relay.LoadReport.NONE, 0));
+            loop.execute(() -> attemptCompleted(message, attemptNumber, Relay.Outcome.NOT_SENT, false, 0,
+                    Relay.LoadReport.NONE, 0));
             return;
         }
         AcceptedMessage.Attempt attempt = AcceptedMessage.Attempt.sentAgo(registry.id(endpoint), 0, machineClock);
@@ -382,12 +392,14 @@
             journal.attempt(message, attempt);
         } catch (IOException e) {
             // Without a record in the journal the message could run twice after a restart, so the attempt is not made.
-            loop.execute(() -> attemptCompleted(message, attemptNumber, Relay.Outcome.NOT_SENT, false, 0, Relay.LoadReport.NONE, 0));
+            loop.execute(() -> attemptCompleted(message, attemptNumber, Relay.Outcome.NOT_SENT, false, 0,
+                    Relay.LoadReport.NONE, 0));
             return;
         }
         trace.step("attempt", message.id, attemptNumber, attempt.endpoint);
         callsInFlight.put(new AttemptId(messageNumber, attemptNumber),
-                endpointClient.call(message, attemptNumber, endpoint, timeoutMs, startNanos + (long) (turnTimeMs * 1e6)));
+                endpointClient.call(message, attemptNumber, endpoint, timeoutMs,
+                        startNanos + (long) (turnTimeMs * 1e6)));
     }
 
     @Override
@@ -461,8 +473,8 @@
             callsInFlight.remove(new AttemptId(call.held.number, call.attempt));
             double durationMs = (System.nanoTime() - call.startedNanos) / 1e6;
             if (handedOver) {
-                handover.tellEnd(new ProcessHandover.InFlightResult(call.held.number, call.attempt, outcome, messageOver,
-                        retryAfterMs, report, durationMs));
+                handover.tellEnd(new ProcessHandover.InFlightResult(call.held.number, call.attempt, outcome,
+                        messageOver, retryAfterMs, report, durationMs));
                 return;
             }
             attemptCompleted(call.held, call.attempt, outcome, messageOver, retryAfterMs, report, durationMs);
@@ -505,8 +517,8 @@
         runEvent(() -> relay.retryAfterReceived(openTurn(), endpoint, retryAfterMs + nowMs() - turnTimeMs));
     }
 
-    private void attemptCompleted(AcceptedMessage message, int attempt, Relay.Outcome outcome, boolean messageOver, double retryAfterMs,
-            Relay.LoadReport report, double durationMs) {
+    private void attemptCompleted(AcceptedMessage message, int attempt, Relay.Outcome outcome, boolean messageOver,
+            double retryAfterMs, Relay.LoadReport report, double durationMs) {
         trace.step("ended", message.id, attempt, outcome, (long) durationMs, (long) retryAfterMs);
         if (!message.over && (messageOver || outcome == Relay.Outcome.DELIVERED)) {
             finishMessage(message);
@@ -518,8 +530,8 @@
             journal.neverRan(message, attempt);
         }
         boolean finished = message.over;
-        runEvent(() -> relay.attemptCompleted(openTurn(), new Relay.AttemptResult(message.number, attempt, outcome, durationMs,
-                finished, retryAfterMs, report)));
+        runEvent(() -> relay.attemptCompleted(openTurn(), new Relay.AttemptResult(message.number, attempt, outcome,
+                durationMs, finished, retryAfterMs, report)));
     }
 
     private void finishMessage(AcceptedMessage message) {
@@ -678,7 +690,8 @@
 
         @Override
         public void requestLeftUnanswered(ClientServer.CloseReason reason) {
-            invariants.reportBreach(Invariants.Rule.REQUEST_ANSWERED, "-", "a request got no answer; closed by " + reason);
+            invariants.reportBreach(Invariants.Rule.REQUEST_ANSWERED, "-",
+                    "a request got no answer; closed by " + reason);
         }
 
         @Override
@@ -701,13 +714,14 @@
             if (!ready || openMessages.size() >= config.maxOpen()) {
                 return reject(submission, ready ? Metrics.RejectionReason.NO_ROOM : Metrics.RejectionReason.NOT_READY);
             }
-            double classDeadlineMs = config.settings().classes().get(config.classes().indexOf(submission.messageClass()))
-                    .deadlineMs();
+            double classDeadlineMs = config.settings().classes()
+                    .get(config.classes().indexOf(submission.messageClass())).deadlineMs();
             if (submission.budgetMs() < AcceptedMessage.unreadMs(classDeadlineMs)) {
                 // The deadline may have passed already, and a result would be too late; a rejection does no harm.
                 return reject(submission, Metrics.RejectionReason.TOO_LITTLE_TIME);
             }
-            AcceptedMessage message = AcceptedMessage.taken(journal.nextNumber(), submission, classDeadlineMs, machineClock);
+            AcceptedMessage message = AcceptedMessage.taken(journal.nextNumber(), submission, classDeadlineMs,
+                    machineClock);
             try {
                 journal.taken(message);
             } catch (Journal.JournalFullException e) {
@@ -741,7 +755,8 @@
                 return;
             }
             int messageClass = config.classes().indexOf(message.messageClass);
-            runEvent(() -> relay.messageAccepted(openTurn(), toRelayMessage(message, messageClass, message.leftMs(machineClock))));
+            runEvent(() -> relay.messageAccepted(openTurn(),
+                    toRelayMessage(message, messageClass, message.leftMs(machineClock))));
         }
     }
 
@@ -789,7 +804,8 @@
             callsInFlight.forEach((id, call) ->
                     inFlight.add(new ProcessHandover.InFlightAttempt(id.messageNumber(), id.attempt(), call.post())));
             return new ProcessHandover.HandoverState(journal.over(), inFlight,
-                    learnedState.endpoints().stream().map(endpoint -> registry.id(endpoint.endpoint())).toList(), learnedState);
+                    learnedState.endpoints().stream().map(endpoint -> registry.id(endpoint.endpoint())).toList(),
+                    learnedState);
         }
 
         @Override
@@ -805,9 +821,10 @@
             if (previousAnswer.isPresent()) {
                 return previousAnswer.get();
             }
-            Optional<AcceptedMessage> accepted = submissionService.knowsDestination(submission.destination()) ? submissionService.accept(submission)
-                    : Optional.empty();
-            accepted.ifPresentOrElse(message -> submissionService.responseWritten(message, true), () -> submissionService.submissionRejected(submission.messageClass()));
+            Optional<AcceptedMessage> accepted = submissionService.knowsDestination(submission.destination())
+                    ? submissionService.accept(submission) : Optional.empty();
+            accepted.ifPresentOrElse(message -> submissionService.responseWritten(message, true),
+                    () -> submissionService.submissionRejected(submission.messageClass()));
             return accepted.isPresent() ? HttpResponseStatus.ACCEPTED : HttpResponseStatus.SERVICE_UNAVAILABLE;
         }
 
@@ -815,8 +832,8 @@
         public void ended(ProcessHandover.InFlightResult result) {
             AcceptedMessage message = predecessorAttempts.remove(new AttemptId(result.message(), result.attempt()));
             if (message != null) {
-                attemptCompleted(message, result.attempt(), result.outcome(), result.gone(), result.waitMs(), result.report(),
-                        result.tookMs());
+                attemptCompleted(message, result.attempt(), result.outcome(), result.gone(), result.waitMs(),
+                        result.report(), result.tookMs());
             }
         }
 
@@ -901,7 +918,8 @@
                 && (!handedOver || callsInFlight.isEmpty());
         if (idle || System.nanoTime() - drainStartNanos >= TimeUnit.MILLISECONDS.toNanos(drainTimeoutMs)) {
             Log.write(config.name() + " is stopping; " + (handedOver ? callsInFlight.size() + " attempts are in flight"
-                    : "its journal keeps " + openMessages.size() + " messages and " + noticeClient.owed() + " notices"));
+                    : "its journal keeps " + openMessages.size() + " messages and " + noticeClient.owed()
+                            + " notices"));
             clientServer.shutDown();
             awaitClientsClosed(System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(CLIENT_CLOSE_TIMEOUT_MS));
             return;
@@ -917,7 +935,7 @@
         }
     }
 
-    /** Releases everything at once, as if the process were killed; for tests. */
+    /** Releases everything at once, as if the process were killed, the journal before the event loop; for tests. */
     void kill() {
         loop.submit(() -> {
             handover.close();
--- a/src/test/java/kestreldeal/net/AcceptingSubmissionHandler.java
+++ b/src/test/java/kestreldeal/net/AcceptingSubmissionHandler.java
@@ -41,6 +41,6 @@
     }
 
     @Override
-    public void responseWritten(AcceptedMessage held, boolean heard) {
+    public void responseWritten(AcceptedMessage message, boolean success) {
     }
 }
--- a/src/test/java/kestreldeal/net/ClientServerTest.java
+++ b/src/test/java/kestreldeal/net/ClientServerTest.java
@@ -237,7 +237,8 @@
     }
 
     /** Closes all connections, and blocks the event loop after it has read its sockets once more. */
-    private static void shutDownAndBlock(EventLoop loop, ClientServer server, CountDownLatch blocked, CountDownLatch release) {
+    private static void shutDownAndBlock(EventLoop loop, ClientServer server, CountDownLatch blocked,
+            CountDownLatch release) {
         loop.execute(() -> {
             server.shutDown();
             loop.schedule(() -> {
--- a/src/test/java/kestreldeal/net/FileDescriptorsTest.java
+++ b/src/test/java/kestreldeal/net/FileDescriptorsTest.java
@@ -154,7 +154,8 @@
         String log = Files.readString(environment.logFile());
         assertFalse(log.contains("journal:"), log);
         assertFalse(log.contains("journal can't"), log);
-        System.out.println("at most " + maxOpenDescriptors + " of " + descriptorLimit + " file descriptors were in use");
+        System.out.println("at most " + maxOpenDescriptors + " of " + descriptorLimit
+                + " file descriptors were in use");
     }
 
     @Test
--- a/src/test/java/kestreldeal/net/SenderTest.java
+++ b/src/test/java/kestreldeal/net/SenderTest.java
@@ -116,7 +116,8 @@
         String[] lifecycle = lifecycles.split(" ");
         List<String> entries = new ArrayList<>(List.of(entryJson(0, lifecycle[0]), entryJson(1, lifecycle[1])));
         for (int i = 0; i < extraEndpoints; i++) {
-            entries.add(entryJson(0, "SERVING").replace("s-0", "other-" + i).replace("\"cell\":7", "\"cell\":" + (100 + i)));
+            entries.add(entryJson(0, "SERVING").replace("s-0", "other-" + i)
+                    .replace("\"cell\":7", "\"cell\":" + (100 + i)));
         }
         String list = "{\"generation\":" + generation() + ",\"reset\":true,\"instances\":["
                 + String.join(",", entries) + "]}";
@@ -143,8 +144,8 @@
                   "fleet_size":%d,"limits":{"most_tries":12,"second_copies":%b,"cancel":%b,"max_open":%d,
                    "dial_timeout_ms":%d,"keepalive_ms":15000},
                   "rules":{"start_capacity":0.2,"warm_after_ms":12000,"fall_multiple":2,"fall_ms":1500}}}
-                """.formatted(listenAddress, agent.hostPort(), listInConfig ? listJson() : "null", classes, maxBatchSize,
-                        fleetSize, hedging, cancellation, MAX_OPEN, dialTimeoutMs));
+                """.formatted(listenAddress, agent.hostPort(), listInConfig ? listJson() : "null", classes,
+                        maxBatchSize, fleetSize, hedging, cancellation, MAX_OPEN, dialTimeoutMs));
         return Config.read(environment());
     }
 
@@ -193,7 +194,8 @@
     }
 
     private static String submission(String id, String messageClass, String body) {
-        return "POST /" + messageClass + " HTTP/1.1\r\nHost: x\r\nX-Call-Id: " + id + "\r\nX-Call-Class: " + messageClass
+        return "POST /" + messageClass + " HTTP/1.1\r\nHost: x\r\nX-Call-Id: " + id
+                + "\r\nX-Call-Class: " + messageClass
                 + "\r\nX-Caller: acme\r\nX-Budget-Ms: 24000\r\nIdempotency-Key: key-" + id
                 + "\r\nX-Envelope: dest=7\r\nContent-Length: " + body.length() + "\r\n\r\n" + body;
     }
@@ -233,7 +235,8 @@
     }
 
     /** Writes a journal as a previous process would leave it: one message with one attempt in flight, or none. */
-    private AcceptedMessage writeJournalWithOneMessage(String messageClass, long attemptAgoMs, long leftMs, boolean withNotice) throws Exception {
+    private AcceptedMessage writeJournalWithOneMessage(String messageClass, long attemptAgoMs, long leftMs,
+            boolean withNotice) throws Exception {
         try (Journal journal = new Journal(folder.resolve("state"), 3_000_000, 12)) {
             AcceptedMessage message = AcceptedMessage.withTimeLeft(journal.nextNumber(), "old", messageClass, "acme",
                     Optional.of("key-old"), 7,
@@ -408,7 +411,8 @@
         predecessor = sender;
         listenAddress = address.getHostString() + ":" + address.getPort();
         start();
-        StubServer.await("the second process can take over", () -> unchecked(() -> operatorCommand("readyz").equals("YES\n")));
+        StubServer.await("the second process can take over",
+                () -> unchecked(() -> operatorCommand("readyz").equals("YES\n")));
     }
 
     /** Stops the first process and waits until the second one serves; the thread returned ends with the first. */
@@ -449,12 +453,14 @@
         StubServer.await("the result is handed on", () -> unchecked(() -> metric("pending") == 0));
         long reportedNanos = System.nanoTime();
         scriptEndpoints(StubServer.status(200, ""));
-        StubServer.await("the next process accepts clients", () -> unchecked(() -> operatorCommand("readyz").equals("YES\n")));
+        StubServer.await("the next process accepts clients",
+                () -> unchecked(() -> operatorCommand("readyz").equals("YES\n")));
         awaitReady();
         submit("two", "order");
         awaitEmptyJournal();
         assertEquals(2, receivedCalls().size());
-        assertTrue(receivedCalls().stream().anyMatch(c -> c.receivedNanos() - reportedNanos >= 1_500_000_000L), "sent during the wait");
+        assertTrue(receivedCalls().stream().anyMatch(c -> c.receivedNanos() - reportedNanos >= 1_500_000_000L),
+                "sent during the wait");
         end.join();
     }
 
@@ -567,7 +573,8 @@
     private void startFollowerAgain() throws Exception {
         sender = new Sender(config(), handoverAllowed, Sender.DRAIN_ACCEPT_MS, Sender.DRAIN_TIMEOUT_MS);
         sender.start();
-        StubServer.await("the new process can take over", () -> unchecked(() -> operatorCommand("readyz").equals("YES\n")));
+        StubServer.await("the new process can take over",
+                () -> unchecked(() -> operatorCommand("readyz").equals("YES\n")));
     }
 
     @Test
@@ -660,12 +667,14 @@
         StubServer.await("both messages are delivered", () -> receivedCalls().size() == 3);
         long first = receivedCalls().stream().mapToLong(StubServer.Message::receivedNanos).min().orElseThrow();
         for (StubServer.Message later : receivedCalls()) {
-            assertTrue(later.receivedNanos() == first || later.receivedNanos() - first >= 600_000_000, "sent during the wait");
+            assertTrue(later.receivedNanos() == first || later.receivedNanos() - first >= 600_000_000,
+                    "sent during the wait");
         }
     }
 
     /** Delays connections to the first endpoint, and has one message sent to each of the two endpoints. */
-    private void startWithDelayedConnect(StubServer.Script firstScript, StubServer.Script otherScript) throws Exception {
+    private void startWithDelayedConnect(StubServer.Script firstScript, StubServer.Script otherScript)
+            throws Exception {
         dialTimeoutMs = 20_000;
         endpoints.get(0).close();
         endpoints.set(0, StubServer.withFullAcceptQueue(firstScript));
@@ -688,7 +697,8 @@
         awaitEmptyJournal();
         assertEquals(3, receivedCalls().size());
         long reportedNanos = endpoints.get(1).requests.get(0).receivedNanos();
-        assertEquals(2, receivedCalls().stream().filter(c -> c.receivedNanos() - reportedNanos >= 2_000_000_000L).count());
+        assertEquals(2, receivedCalls().stream()
+                .filter(c -> c.receivedNanos() - reportedNanos >= 2_000_000_000L).count());
     }
 
     @Test
@@ -703,7 +713,8 @@
         long reportedNanos = System.nanoTime();
         awaitEmptyJournal();
         assertEquals(2, receivedCalls().size());
-        assertEquals(1, receivedCalls().stream().filter(c -> c.receivedNanos() - reportedNanos >= 1_900_000_000L).count());
+        assertEquals(1, receivedCalls().stream()
+                .filter(c -> c.receivedNanos() - reportedNanos >= 1_900_000_000L).count());
     }
 
     /** If calls can't be cancelled, the first attempt may still be connecting when the hedged one has delivered. */
@@ -853,11 +864,13 @@
     @Test
     void endpointWithoutAnAddressGetsNoNewCall() throws Exception {
         start();
-        String malformed = listJson().replace(endpoints.get(0).hostPort(), "").replace("\"reset\":true", "\"reset\":false")
+        String malformed = listJson().replace(endpoints.get(0).hostPort(), "")
+                .replace("\"reset\":true", "\"reset\":false")
                 .replace("\"generation\":" + generation(), "\"generation\":7");
         agent.setScript((request, socket) -> {
             if (!request.line().contains("after=7&")) {
-                StubServer.write(socket, "HTTP/1.1 200 OK\r\nContent-Length: " + malformed.length() + "\r\n\r\n" + malformed);
+                StubServer.write(socket,
+                        "HTTP/1.1 200 OK\r\nContent-Length: " + malformed.length() + "\r\n\r\n" + malformed);
             }
         });
         lifecycles = "SERVING DRAINING";
@@ -908,7 +921,8 @@
         writeJournalWithBacklog(5, Map.of());
         scriptEndpoints(StubServer.silent());
         start();
-        StubServer.await("all calls", () -> receivedCalls().stream().map(c -> c.header("X-Call-Id")).distinct().count() == 5);
+        StubServer.await("all calls",
+                () -> receivedCalls().stream().map(c -> c.header("X-Call-Id")).distinct().count() == 5);
         assertEquals(0, endedConnections(), "no call waited for the result of another");
     }
 
@@ -1426,7 +1440,7 @@
         assertFalse(second.isAlive());
     }
 
-    /** Starts the program as a process; {@code by} is an optional command that gets the program's as arguments. */
+    /** Starts the program as a process; {@code wrapper} is an optional command that runs it. */
     private Process startProcess(String... wrapper) throws Exception {
         config();
         List<String> command = new ArrayList<>(List.of(wrapper));
--- a/src/test/java/kestreldeal/net/SenderTestEnvironment.java
+++ b/src/test/java/kestreldeal/net/SenderTestEnvironment.java
@@ -85,7 +85,8 @@
         List<String> entries = new ArrayList<>();
         for (int i = 0; i < endpointCount; i++) {
             entries.add("{\"instanceId\":\"s-" + i + "\",\"hostPort\":\"" + endpoint.hostPort()
-                    + "\",\"zone\":\"a\",\"machineType\":\"m\",\"cell\":" + (i == 0 ? firstDestination : i) + ",\"lifecycle\":\""
+                    + "\",\"zone\":\"a\",\"machineType\":\"m\",\"cell\":" + (i == 0 ? firstDestination : i)
+                    + ",\"lifecycle\":\""
                     + (i == 0 ? firstLifecycle : "SERVING") + "\",\"weight\":1.0,\"startedAtMs\":0}");
         }
         return "{\"generation\":" + generation() + ",\"reset\":true,\"instances\":[" + String.join(",", entries) + "]}";
@@ -104,7 +105,8 @@
                   "fleet_size":1,"limits":{"most_tries":%d,"second_copies":false,"cancel":true,
                    "dial_timeout_ms":%d,"keepalive_ms":15000},
                   "rules":{"start_capacity":0.2,"warm_after_ms":12000,"fall_multiple":2,"fall_ms":1500}}}
-                """.formatted(listenAddress, operatorAddress, agent.hostPort(), socketLimit, listInConfig ? endpointListJson() : "null", windowMs, slots, MAX_ATTEMPTS, dialTimeoutMs));
+                """.formatted(listenAddress, operatorAddress, agent.hostPort(), socketLimit,
+                        listInConfig ? endpointListJson() : "null", windowMs, slots, MAX_ATTEMPTS, dialTimeoutMs));
         return Map.of("GW_CONFIG", file.toString(), "GW_STATE", stateFolder().toString());
     }
 
@@ -118,8 +120,9 @@
     }
 
     /** Starts the program as a process with a limit on file descriptors; its output goes to the log file. */
-    Process startProcess(int descriptors) throws IOException {
-        ProcessBuilder builder = new ProcessBuilder("sh", "-c", "ulimit -n " + descriptors + " && exec \"$0\" \"$@\"",
+    Process startProcess(int descriptorLimit) throws IOException {
+        ProcessBuilder builder = new ProcessBuilder("sh", "-c",
+                "ulimit -n " + descriptorLimit + " && exec \"$0\" \"$@\"",
                 Path.of(System.getProperty("java.home"), "bin/java").toString(), "-cp",
                 System.getProperty("java.class.path"), "kestreldeal.Main", "serve", "--alone");
         builder.environment().putAll(environment());
@@ -157,9 +160,9 @@
     }
 
     /** The answer to an operator's command, or an empty string if the connection is refused. */
-    static String askOperator(InetSocketAddress address, String call) {
+    static String askOperator(InetSocketAddress address, String command) {
         try (Socket socket = new Socket(address.getAddress(), address.getPort())) {
-            StubServer.write(socket, call + "\n");
+            StubServer.write(socket, command + "\n");
             return new String(socket.getInputStream().readAllBytes(), StandardCharsets.US_ASCII);
         } catch (IOException refused) {
             return "";
--- a/src/test/java/kestreldeal/net/StubServer.java
+++ b/src/test/java/kestreldeal/net/StubServer.java
@@ -101,8 +101,8 @@
             while (true) {
                 Socket socket = server.accept();
                 sockets.add(socket);
-                int number = acceptedConnections.getAndIncrement();
-                startDaemon(() -> serve(socket, number));
+                int connection = acceptedConnections.getAndIncrement();
+                startDaemon(() -> serve(socket, connection));
             }
         } catch (IOException closed) {
             // The server was closed at the end of the test.
