--- a/src/test/java/kestreldeal/net/ClientServerTest.java
+++ b/src/test/java/kestreldeal/net/ClientServerTest.java
@@ -75,8 +75,8 @@
             RecordingHandler handler = new RecordingHandler();
             ClientServer server = new ClientServer(loop, MAX_CLIENTS, handler);
             InetSocketAddress address = listen(server);
-            CountDownLatch written = new CountDownLatch(1);
-            blockLoop(loop, written);
+            CountDownLatch releaseLoop = new CountDownLatch(1);
+            blockLoop(loop, releaseLoop);
             for (int i = 0; i < 5; i++) {
                 sockets.add(new Socket(address.getAddress(), address.getPort()));
                 submit(sockets.get(i), "id-" + i);
@@ -84,7 +84,7 @@
                     sockets.get(i).close();
                 }
             }
-            written.countDown();
+            releaseLoop.countDown();
             StubServer.Message answer = StubServer.read(new BufferedInputStream(sockets.get(4).getInputStream()), 0);
             assertEquals("HTTP/1.1 503 Service Unavailable", answer.line());
             assertEquals(List.of("id-4"), handler.submittedIds);
@@ -120,12 +120,12 @@
             EventLoop loop = group.next();
             ClientServer server = new ClientServer(loop, MAX_CLIENTS, new AcceptingSubmissionHandler());
             InetSocketAddress address = listen(server);
-            CountDownLatch connected = new CountDownLatch(1);
-            blockLoop(loop, connected);
+            CountDownLatch releaseLoop = new CountDownLatch(1);
+            blockLoop(loop, releaseLoop);
             for (int i = 0; i < 200; i++) {
                 sockets.add(new Socket(address.getAddress(), address.getPort()));
             }
-            connected.countDown();
+            releaseLoop.countDown();
             Socket last = sockets.get(199);
             StubServer.write(last, "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n");
             assertEquals("HTTP/1.1 200 OK", StubServer.read(new BufferedInputStream(last.getInputStream()), 0).line());
@@ -193,8 +193,8 @@
             flood.connect(address);
             other.connect(address);
             assertEquals("HTTP/1.1 200 OK", exchange(other, HEALTH).line());
-            CountDownLatch written = new CountDownLatch(1);
-            blockLoop(loop, written);
+            CountDownLatch releaseLoop = new CountDownLatch(1);
+            blockLoop(loop, releaseLoop);
             for (int i = 0; i < 300; i++) {
                 submit(flood, "flood-" + i);
             }
@@ -204,7 +204,7 @@
                 firstSubmission.countDown();
                 awaitUnchecked(otherSubmitted);
             };
-            written.countDown();
+            releaseLoop.countDown();
             firstSubmission.await();
             submit(other, "other");
             otherSubmitted.countDown();
@@ -259,12 +259,12 @@
             ClientServer server = new ClientServer(loop, MAX_CLIENTS, handler);
             idle.connect(listen(server));
             assertEquals("HTTP/1.1 200 OK", exchange(idle, HEALTH).line());
-            CountDownLatch written = new CountDownLatch(1);
+            CountDownLatch releaseLoop = new CountDownLatch(1);
             CountDownLatch blocked = new CountDownLatch(1);
-            blockLoop(loop, written);
+            blockLoop(loop, releaseLoop);
             shutDownAndBlock(loop, server, blocked, release);
             submit(idle, "crossing");
-            written.countDown();
+            releaseLoop.countDown();
             blocked.await();
             for (int i = 0; i < 5; i++) {
                 // If the connection is reset, one of the first two writes fails.
@@ -323,13 +323,13 @@
                 socket.connect(address);
                 assertEquals("HTTP/1.1 200 OK", exchange(socket, HEALTH).line());
             }
-            CountDownLatch written = new CountDownLatch(1);
-            blockLoop(loop, written);
+            CountDownLatch releaseLoop = new CountDownLatch(1);
+            blockLoop(loop, releaseLoop);
             // Both are read in one turn; handling the first one shuts the server down before the second is handled.
             handler.onReady = server::shutDown;
             StubServer.write(first, HEALTH);
             StubServer.write(second, HEALTH);
-            written.countDown();
+            releaseLoop.countDown();
             List<String> answers = new ArrayList<>();
             for (Socket socket : List.of(first, second)) {
                 socket.setSoTimeout(30_000);
--- a/src/test/java/kestreldeal/net/FileDescriptorsTest.java
+++ b/src/test/java/kestreldeal/net/FileDescriptorsTest.java
@@ -79,7 +79,7 @@
         });
     }
 
-    /** Keeps opening idle connections up to the number of the crowd, and replaces each one that the sender closes. */
+    /** Opens idle connections and keeps their number up: each one that the sender closes is replaced. */
     private void startIdleClients() throws InterruptedException {
         idleClientThread = new Thread(() -> {
             try {
--- a/src/test/java/kestreldeal/net/OperatorServerTest.java
+++ b/src/test/java/kestreldeal/net/OperatorServerTest.java
@@ -95,8 +95,8 @@
 
     @Test
     void unknownCommandsAreAnsweredNo() throws Exception {
-        for (String noise : List.of("\n", "reboot\n", "GET / HTTP/1.1\r\n\r\n", "x".repeat(5000), "\0\u0001\n")) {
-            assertTrue(command(noise).startsWith("NO"), noise);
+        for (String text : List.of("\n", "reboot\n", "GET / HTTP/1.1\r\n\r\n", "x".repeat(5000), "\0\u0001\n")) {
+            assertTrue(command(text).startsWith("NO"), text);
         }
     }
 
@@ -112,14 +112,14 @@
 
     @Test
     void operatorMayShutDownOutputBeforeTheAnswer() throws Exception {
-        Socket whole = connect();
-        StubServer.write(whole, "readyz\n");
-        whole.shutdownOutput();
-        assertEquals("YES\n", readToEnd(whole));
-        Socket half = connect();
-        StubServer.write(half, "ready");
-        half.shutdownOutput();
-        assertTrue(readToEnd(half).startsWith("NO"));
+        Socket complete = connect();
+        StubServer.write(complete, "readyz\n");
+        complete.shutdownOutput();
+        assertEquals("YES\n", readToEnd(complete));
+        Socket incomplete = connect();
+        StubServer.write(incomplete, "ready");
+        incomplete.shutdownOutput();
+        assertTrue(readToEnd(incomplete).startsWith("NO"));
     }
 
     @Test
--- a/src/test/java/kestreldeal/net/SenderTest.java
+++ b/src/test/java/kestreldeal/net/SenderTest.java
@@ -159,15 +159,15 @@
     }
 
     /** Starts a sender and waits until it is ready, if a list is available and no other process leads. */
-    private void start(long closingMs) throws Exception {
-        startWithoutWaiting(closingMs);
+    private void start(long drainTimeoutMs) throws Exception {
+        startWithoutWaiting(drainTimeoutMs);
         if ((listInConfig || agentResponds) && predecessor == null) {
             awaitReady();
         }
     }
 
-    private void startWithoutWaiting(long closingMs) throws Exception {
-        sender = new Sender(config(), handoverAllowed, Sender.DRAIN_ACCEPT_MS, closingMs);
+    private void startWithoutWaiting(long drainTimeoutMs) throws Exception {
+        sender = new Sender(config(), handoverAllowed, Sender.DRAIN_ACCEPT_MS, drainTimeoutMs);
         address = sender.start();
     }
 
@@ -377,10 +377,10 @@
         StubServer.await("ready", () -> unchecked(() -> operatorCommand("readyz").equals("YES\n")));
         scriptEndpoints(StubServer.silent());
         submit("one", "order");
-        Thread end = new Thread(sender::drain);
-        end.start();
+        Thread drain = new Thread(sender::drain);
+        drain.start();
         StubServer.await("the sender stops", () -> unchecked(() -> operatorCommand("readyz").startsWith("NO")));
-        end.join();
+        drain.join();
     }
 
     /** A request read just before the process exits would be accepted and never answered. */
@@ -390,17 +390,17 @@
         start(700);
         submit("one", "order");
         Socket idle = connect();
-        Socket inPart = connect();
+        Socket partial = connect();
         String health = "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n";
         assertEquals("HTTP/1.1 200 OK", exchange(idle, health).line());
-        assertEquals("HTTP/1.1 200 OK", exchange(inPart, health).line());
-        StubServer.write(inPart, "POST /order HTTP/1.1\r\n");
+        assertEquals("HTTP/1.1 200 OK", exchange(partial, health).line());
+        StubServer.write(partial, "POST /order HTTP/1.1\r\n");
         sender.drain();
         idle.setSoTimeout(30_000);
         assertEquals(-1, idle.getInputStream().read());
-        inPart.setSoTimeout(30_000);
+        partial.setSoTimeout(30_000);
         assertEquals("HTTP/1.1 503 Service Unavailable",
-                StubServer.read(new BufferedInputStream(inPart.getInputStream()), 0).line());
+                StubServer.read(new BufferedInputStream(partial.getInputStream()), 0).line());
         assertEquals(1, journalMessages().size());
     }
 
@@ -417,9 +417,9 @@
 
     /** Stops the first process and waits until the second one serves; the thread returned ends with the first. */
     private Thread replaceLeader() throws Exception {
-        Thread end = new Thread(predecessor::drain);
-        end.setDaemon(true);
-        end.start();
+        Thread drain = new Thread(predecessor::drain);
+        drain.setDaemon(true);
+        drain.start();
         StubServer.await("the second process accepts clients", () -> unchecked(() -> {
             try (Socket socket = new Socket(address.getAddress(), address.getPort())) {
                 exchange(socket, submission("one", "order", "hello"));
@@ -429,7 +429,7 @@
             }
             return metric("pending") + metric("completed_total{lane=\"order\"}") > 0;
         }));
-        return end;
+        return drain;
     }
 
     /**
@@ -443,9 +443,9 @@
         submit("early", "order");
         StubServer.await("the call", () -> receivedCalls().size() == 1);
         startFollower();
-        Thread end = new Thread(predecessor::drain);
-        end.setDaemon(true);
-        end.start();
+        Thread drain = new Thread(predecessor::drain);
+        drain.setDaemon(true);
+        drain.start();
         StubServer.await("the next process leads", () -> unchecked(() -> metric("pending") == 1));
         for (StubServer endpoint : endpoints) {
             endpoint.writeToAll("HTTP/1.1 200 OK\r\nRetry-After: 2\r\nContent-Length: 0\r\n\r\n");
@@ -461,7 +461,7 @@
         assertEquals(2, receivedCalls().size());
         assertTrue(receivedCalls().stream().anyMatch(c -> c.receivedNanos() - reportedNanos >= 1_500_000_000L),
                 "sent during the wait");
-        end.join();
+        drain.join();
     }
 
     private void killPredecessor() {
@@ -479,20 +479,20 @@
     void nextProcessTakesOverWithCallsInFlight() throws Exception {
         scriptEndpoints(StubServer.silent());
         start(60_000);
-        Socket kept = connect();
-        assertEquals("202", exchange(kept, submission("one", "order", "hello")).line().split(" ")[1]);
+        Socket client = connect();
+        assertEquals("202", exchange(client, submission("one", "order", "hello")).line().split(" ")[1]);
         submit("two", "once");
         StubServer.await("both calls", () -> receivedCalls().size() == 2);
         startFollower();
         assertEquals(2, journalMessages().size(), "a follower changes nothing");
-        Thread end = replaceLeader();
+        Thread drain = replaceLeader();
         assertEquals(2, metric("pending"), "pending messages go to the next process");
-        assertEquals("202", exchange(kept, submission("three", "once", "hello")).line().split(" ")[1],
+        assertEquals("202", exchange(client, submission("three", "once", "hello")).line().split(" ")[1],
                 "a request on a connection of the old process is forwarded");
         StubServer.await("the forwarded message is sent", () -> receivedCalls().size() == 3);
         answerCallsInFlight();
         awaitEmptyJournal();
-        end.join();
+        drain.join();
         assertEquals(3, receivedCalls().size(), "no message was sent twice");
         assertTrue(notices.isEmpty(), notices.toString());
         assertEquals(1, metric("completed_total{lane=\"order\"}"));
@@ -507,13 +507,13 @@
         submit("one", "order");
         StubServer.await("the call", () -> receivedCalls().size() == 1);
         startFollower();
-        Thread end = replaceLeader();
+        Thread drain = replaceLeader();
         scriptEndpoints(StubServer.status(200, ""));
         for (StubServer endpoint : endpoints) {
             endpoint.writeToAll("HTTP/1.1 500 x\r\nContent-Length: 0\r\n\r\n");
         }
         awaitEmptyJournal();
-        end.join();
+        drain.join();
         assertEquals(2, receivedCalls().size());
     }
 
@@ -564,10 +564,10 @@
         submit("two", "order");
         assertEquals(2, journalMessages().size(), "the first process continues");
         startFollowerAgain();
-        Thread end = replaceLeader();
+        Thread drain = replaceLeader();
         answerCallsInFlight();
         awaitEmptyJournal();
-        end.join();
+        drain.join();
     }
 
     private void startFollowerAgain() throws Exception {
@@ -666,8 +666,8 @@
         submit("two", "order");
         StubServer.await("both messages are delivered", () -> receivedCalls().size() == 3);
         long first = receivedCalls().stream().mapToLong(StubServer.Message::receivedNanos).min().orElseThrow();
-        for (StubServer.Message later : receivedCalls()) {
-            assertTrue(later.receivedNanos() == first || later.receivedNanos() - first >= 600_000_000,
+        for (StubServer.Message call : receivedCalls()) {
+            assertTrue(call.receivedNanos() == first || call.receivedNanos() - first >= 600_000_000,
                     "sent during the wait");
         }
     }
@@ -757,12 +757,12 @@
             String generation = generation();
             StubServer.await("the list is read", () -> agent.requests.stream()
                     .anyMatch(r -> r.line().contains("after=" + generation)));
-            int before = endpoints.get(round).requests.size();
+            int requestsBefore = endpoints.get(round).requests.size();
             for (int i = 0; i < 4; i++) {
                 submit("m" + round + i, "order");
                 awaitEmptyJournal();
             }
-            assertEquals(before, endpoints.get(round).requests.size());
+            assertEquals(requestsBefore, endpoints.get(round).requests.size());
         }
         assertEquals(8, receivedCalls().size());
     }
@@ -772,18 +772,18 @@
     void largeFleetAndListOfAThousandEndpointsAreServed() throws Exception {
         fleetSize = 1024;
         extraEndpoints = 1022;
-        for (boolean spread : List.of(false, true)) {
-            if (spread) {
+        for (boolean listFromAgent : List.of(false, true)) {
+            if (listFromAgent) {
                 sender.kill();
             }
-            indentedList = spread;
-            listInConfig = !spread;
+            indentedList = listFromAgent;
+            listInConfig = !listFromAgent;
             start();
             awaitReady();
             StubServer.await("the full list", () -> unchecked(() -> metric("members") == 1024));
             Socket client = connect();
             for (int i = 0; i < 300; i++) {
-                String message = submission((spread ? "b-" : "a-") + i, "order", "hello");
+                String message = submission((listFromAgent ? "b-" : "a-") + i, "order", "hello");
                 int cell = 100 + i * 3;
                 StubServer.await("the message is accepted", () -> unchecked(() ->
                         exchange(client, message.replace("dest=7", "dest=" + cell)).line().contains(" 202 ")));
@@ -809,15 +809,15 @@
     /** A process must respect the agent's list from its start; the list in the configuration may be outdated. */
     @Test
     void firstProcessAsksTheAgentBeforeUsingTheConfiguredList() throws Exception {
-        CountDownLatch go = new CountDownLatch(1);
+        CountDownLatch mayAnswer = new CountDownLatch(1);
         agent.setScript((request, socket) -> {
-            go.await();
+            mayAnswer.await();
             answerAsAgent(request, socket);
         });
         startWithoutWaiting(Sender.DRAIN_TIMEOUT_MS);
         assertEquals("503", exchange(connect(), submission("early", "order", "hello")).line().split(" ")[1]);
         lifecycles = "DRAINING DRAINING";
-        go.countDown();
+        mayAnswer.countDown();
         awaitReady();
         submit("one", "order");
         assertEquals(2, metric("members_unavailable"));
@@ -841,7 +841,7 @@
 
     @Test
     void truncatedChangeIsRequestedAgain() throws Exception {
-        String before = generation();
+        String previousGeneration = generation();
         agent.setScript((request, socket) -> {
             if (request.line().contains("after=")) {
                 lifecycles = "DRAINING SERVING";
@@ -856,7 +856,8 @@
         });
         start();
         StubServer.await("the change is applied", () -> unchecked(() -> metric("members_unavailable") == 1));
-        List<String> watches = agentRequests().lines().filter(line -> line.contains("after=" + before + "&")).toList();
+        List<String> watches = agentRequests().lines()
+                .filter(line -> line.contains("after=" + previousGeneration + "&")).toList();
         assertEquals(2, watches.size(), watches.toString());
     }
 
@@ -1070,10 +1071,10 @@
         sender.reload(environment());
         Files.writeString(folder.resolve("config.json"), "{}");
         sender.reload(environment());
-        String before = generation();
+        String previousGeneration = generation();
         lifecycles = "SERVING DRAINING";
-        StubServer.await("the old agent is still asked", () -> !before.equals(generation()) && agent.requests.stream()
-                .anyMatch(r -> r.line().contains("after=" + generation())));
+        StubServer.await("the old agent is still asked", () -> !previousGeneration.equals(generation())
+                && agent.requests.stream().anyMatch(r -> r.line().contains("after=" + generation())));
         submit("one", "order");
         awaitEmptyJournal();
     }
@@ -1170,12 +1171,13 @@
     void requestWithAnAmbiguousLengthIsRejectedWithWhatItHides() throws Exception {
         start();
         String hidden = submission("hidden", "order", "hello");
-        for (String coding : List.of("chunked", "xchunked", "gzip, chunked", "identity")) {
+        for (String transferEncoding : List.of("chunked", "xchunked", "gzip, chunked", "identity")) {
             Socket client = connect();
             StubServer.write(client, submission("outer", "order", "0\r\n\r\n" + hidden).replace("Host: x\r\n",
-                    "Host: x\r\nTransfer-Encoding: " + coding + "\r\n"));
+                    "Host: x\r\nTransfer-Encoding: " + transferEncoding + "\r\n"));
             String answers = readUntilClosed(client);
-            assertTrue(answers.startsWith("HTTP/1.1 400 ") && !answers.contains("202"), coding + ": " + answers);
+            assertTrue(answers.startsWith("HTTP/1.1 400 ") && !answers.contains("202"),
+                    transferEncoding + ": " + answers);
         }
         assertTrue(journalMessages().isEmpty() && receivedCalls().isEmpty());
     }
@@ -1183,39 +1185,39 @@
     @Test
     void connectionsWithoutACompleteRequestAreClosedSoon() throws Exception {
         start();
-        String whole = submission("half", "order", "hello");
+        String request = submission("half", "order", "hello");
         Socket silent = connect();
-        Socket half = connect();
-        StubServer.write(half, whole.substring(0, whole.length() - 2));
-        Socket later = connect();
-        exchange(later, "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n");
-        StubServer.write(later, whole.substring(0, 30));
-        Socket behind = connect();
-        assertEquals("HTTP/1.1 200 OK", exchange(behind, "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n"
-                + whole.substring(0, 30)).line());
-        Socket endless = connect();
-        StubServer.write(endless, "GET /healthz HTTP/1.1\r\n" + "X-More: more\r\n".repeat(2000));
-        Socket once = connect();
-        assertEquals("HTTP/1.1 200 OK", exchange(once, "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n").line());
-        assertEquals("", readUntilClosed(once), "a connection with one request is not kept forever");
+        Socket partialFirst = connect();
+        StubServer.write(partialFirst, request.substring(0, request.length() - 2));
+        Socket partialSecond = connect();
+        exchange(partialSecond, "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n");
+        StubServer.write(partialSecond, request.substring(0, 30));
+        Socket partialPipelined = connect();
+        assertEquals("HTTP/1.1 200 OK", exchange(partialPipelined, "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n"
+                + request.substring(0, 30)).line());
+        Socket endlessHeaders = connect();
+        StubServer.write(endlessHeaders, "GET /healthz HTTP/1.1\r\n" + "X-More: more\r\n".repeat(2000));
+        Socket singleRequest = connect();
+        assertEquals("HTTP/1.1 200 OK", exchange(singleRequest, "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n").line());
+        assertEquals("", readUntilClosed(singleRequest), "a connection with one request is not kept forever");
         assertEquals("", readUntilClosed(silent));
-        assertTrue(readUntilClosed(half).startsWith("HTTP/1.1 408 "));
-        assertTrue(readUntilClosed(later).startsWith("HTTP/1.1 408 "));
-        assertTrue(readUntilClosed(behind).startsWith("HTTP/1.1 408 "));
-        assertFalse(readUntilClosed(endless).contains("200"));
+        assertTrue(readUntilClosed(partialFirst).startsWith("HTTP/1.1 408 "));
+        assertTrue(readUntilClosed(partialSecond).startsWith("HTTP/1.1 408 "));
+        assertTrue(readUntilClosed(partialPipelined).startsWith("HTTP/1.1 408 "));
+        assertFalse(readUntilClosed(endlessHeaders).contains("200"));
         assertTrue(journalMessages().isEmpty());
     }
 
     @Test
     void hundredsOfSilentClientsKeepNobodyOut() throws Exception {
         start();
-        Socket usual = connect();
-        assertEquals("202", exchange(usual, submission("one", "order", "hello")).line().split(" ")[1]);
+        Socket activeClient = connect();
+        assertEquals("202", exchange(activeClient, submission("one", "order", "hello")).line().split(" ")[1]);
         for (int i = 0; i < 300; i++) {
             connect();
         }
         submit("two", "order");
-        assertEquals("202", exchange(usual, submission("three", "order", "hello")).line().split(" ")[1],
+        assertEquals("202", exchange(activeClient, submission("three", "order", "hello")).line().split(" ")[1],
                 "a client that sent a request before keeps its connection");
     }
 
@@ -1236,10 +1238,10 @@
     void budgetIsLimitedByItsClassAndReducedByTheTimeUnread() throws Exception {
         scriptEndpoints(StubServer.silent());
         start();
-        long before = System.nanoTime();
+        long startNanos = System.nanoTime();
         assertEquals("202", exchange(connect(), withBudget("one", Long.MAX_VALUE)).line().split(" ")[1]);
         double leftMs = journalMessages().get(0).leftMs(MachineClock.system());
-        double passedMs = (System.nanoTime() - before) / 1e6;
+        double passedMs = (System.nanoTime() - startNanos) / 1e6;
         assertTrue(leftMs <= 23_300 && leftMs >= 23_300 - 1 - passedMs, leftMs + " ms");
     }
 
@@ -1251,7 +1253,7 @@
         assertEquals("503", exchange(connect(), withBudget("late", 399)).line().split(" ")[1]);
         assertTrue(journalMessages().isEmpty());
         assertEquals("202", exchange(connect(), withBudget("early", 400)).line().split(" ")[1]);
-        assertEquals(List.of("early"), journalMessages().stream().map(held -> held.id).toList());
+        assertEquals(List.of("early"), journalMessages().stream().map(message -> message.id).toList());
     }
 
     private static String withBudget(String id, long budgetMs) {
@@ -1290,15 +1292,15 @@
     @Test
     void bodiesMayHave64KibAndAnyBytes() throws Exception {
         start();
-        StringBuilder any = new StringBuilder();
+        StringBuilder body = new StringBuilder();
         for (int i = 0; i < 64 * 1024; i++) {
-            any.append((char) (i % 256));
+            body.append((char) (i % 256));
         }
-        assertEquals("202", exchange(connect(), submission("big", "order", any.toString())).line().split(" ")[1]);
+        assertEquals("202", exchange(connect(), submission("big", "order", body.toString())).line().split(" ")[1]);
         awaitEmptyJournal();
-        assertEquals(any.toString(), receivedCalls().get(0).body());
-        String long413 = submission("long", "order", any + "x");
-        assertEquals("413", exchange(connect(), long413).line().split(" ")[1]);
+        assertEquals(body.toString(), receivedCalls().get(0).body());
+        String tooLong = submission("long", "order", body + "x");
+        assertEquals("413", exchange(connect(), tooLong).line().split(" ")[1]);
         assertEquals(1, receivedCalls().size());
     }
 
@@ -1339,8 +1341,8 @@
     void incompleteRequestOfADisconnectedClientIsIgnored() throws Exception {
         start();
         Socket disconnected = connect();
-        String whole = submission("gone", "order", "hello");
-        StubServer.write(disconnected, whole.substring(0, whole.length() - 2));
+        String request = submission("gone", "order", "hello");
+        StubServer.write(disconnected, request.substring(0, request.length() - 2));
         disconnected.close();
         submit("one", "order");
         awaitEmptyJournal();
@@ -1353,8 +1355,8 @@
     void drainAcceptsThenClosesAndWaitsForCallsInFlight() throws Exception {
         scriptEndpoints(StubServer.silent());
         start(60_000);
-        Socket kept = connect();
-        assertEquals("202", exchange(kept, submission("one", "once", "hello")).line().split(" ")[1]);
+        Socket client = connect();
+        assertEquals("202", exchange(client, submission("one", "once", "hello")).line().split(" ")[1]);
         StubServer.await("the call", () -> receivedCalls().size() == 1);
         Thread drain = new Thread(sender::drain);
         drain.start();
@@ -1366,10 +1368,10 @@
                 return true;
             }
         });
-        StubServer.Message last = exchange(kept, submission("two", "order", "hello"));
-        assertEquals("202", last.line().split(" ")[1], "a request on a kept connection is still answered");
-        assertEquals("close", last.header("Connection"));
-        assertEquals(-1, kept.getInputStream().read());
+        StubServer.Message lastResponse = exchange(client, submission("two", "order", "hello"));
+        assertEquals("202", lastResponse.line().split(" ")[1], "a request on a kept connection is still answered");
+        assertEquals("close", lastResponse.header("Connection"));
+        assertEquals(-1, client.getInputStream().read());
         assertTrue(drain.isAlive(), "calls in flight are waited for");
         StubServer.await("both calls", () -> receivedCalls().size() == 2);
         for (StubServer endpoint : endpoints) {
@@ -1450,16 +1452,17 @@
         builder.environment().putAll(environment());
         Path log = Files.createTempFile(folder, "log", "");
         Process process = builder.redirectErrorStream(true).redirectOutput(log.toFile()).start();
-        String ready = " listens at 127.0.0.1:";
+        String readyText = " listens at 127.0.0.1:";
         StubServer.await("the process is ready", () -> {
             try {
                 String text = Files.readString(log);
-                int at = text.indexOf(ready);
-                if (at < 0 || text.indexOf('\n', at) < 0) {
+                int position = text.indexOf(readyText);
+                if (position < 0 || text.indexOf('\n', position) < 0) {
                     return false;
                 }
                 address = new InetSocketAddress("127.0.0.1",
-                        Integer.parseInt(text.substring(at + ready.length(), text.indexOf('\n', at)).trim()));
+                        Integer.parseInt(text.substring(position + readyText.length(), text.indexOf('\n', position))
+                                .trim()));
                 return true;
             } catch (IOException e) {
                 throw new AssertionError(e);
