--- a/src/main/java/kestreldeal/net/ClientServer.java
+++ b/src/main/java/kestreldeal/net/ClientServer.java
@@ -360,7 +360,7 @@
         private final ClientConnection connection;
         private final Deque<ByteBuf> backlog = new ArrayDeque<>();
         private int backlogBytes;
-        /** Whether decoding can't continue with the bytes that the decoder has buffered itself. */
+        /** Whether the decoder needs more bytes than it has been given so far. */
         private boolean needsInput = true;
 
         SequentialRequestDecoder(ClientConnection connection) {
--- a/src/test/java/kestreldeal/net/SenderTest.java
+++ b/src/test/java/kestreldeal/net/SenderTest.java
@@ -685,7 +685,10 @@
         StubServer.await("the call to the other endpoint", () -> endpoints.get(1).requests.size() == 1);
     }
 
-    /** A connect took 0.35 s, and meanwhile the destination asked to back off for 0.62 s. */
+    /**
+     * A call that is still connecting must respect a Retry-After received meanwhile: a connect took 0.35 s, during which
+     * the destination asked to back off for 0.62 s.
+     */
     @Test
     void retryAfterIsRespectedByACallThatConnectsLate() throws Exception {
         StubServer.Script accepted = StubServer.status(200, "");
@@ -1392,7 +1395,7 @@
         assertEquals(1, journalMessages().get(0).attempts.size());
     }
 
-    /** An outdated list was used for longer than a draining endpoint allows. */
+    /** A restarted process sent calls by an outdated list for longer than a draining endpoint allows. */
     @Test
     void restartedProcessAsksTheAgentBeforeUsingAnOldList() throws Exception {
         scriptEndpoints(StubServer.silent());
