--- a/src/test/java/kestreldeal/net/SenderTest.java
+++ b/src/test/java/kestreldeal/net/SenderTest.java
@@ -686,8 +686,8 @@
     }
 
     /**
-     * A call that is still connecting must respect a Retry-After received meanwhile: a connect took 0.35 s, during which
-     * the destination asked to back off for 0.62 s.
+     * A call that is still connecting must respect a Retry-After received meanwhile: a connect took 0.35 s, during
+     * which the destination asked to back off for 0.62 s.
      */
     @Test
     void retryAfterIsRespectedByACallThatConnectsLate() throws Exception {
