--- a/src/main/java/kestreldeal/DeliveryScheduler.java
+++ b/src/main/java/kestreldeal/DeliveryScheduler.java
@@ -992,7 +992,7 @@
             }
         }
 
-        /** One of its endpoints has delivered: if that may end an outage, all that are up get a slow start. */
+        /** One of its endpoints has delivered: if that may end an outage, all that are up slow-start. */
         void endpointDelivered(boolean mayEndOutage) {
             evidence.recordDelivery(clock);
             if (mayEndOutage) {
