--- a/src/main/java/kestreldeal/net/AgentClient.java
+++ b/src/main/java/kestreldeal/net/AgentClient.java
@@ -37,7 +37,7 @@
     /** Time limit from the first to the last byte of a body: a list has to be applied within 6 s of the request. */
     static final long BODY_TIMEOUT_MS = 5000;
     /** Max bytes of one read, after which other tasks of the event loop run. */
-    private static final int PIECE_BYTES = 32 * 1024;
+    private static final int MAX_READ_BYTES = 32 * 1024;
 
     /** Receives the response to one request, on the event loop's thread. */
     interface ResponseHandler {
@@ -48,73 +48,73 @@
         Optional<String> bodyChunk(ByteBuf content);
 
         /** Called once for each request: empty after a complete response, else what went wrong. */
-        void responseEnded(Optional<String> fault);
+        void responseEnded(Optional<String> error);
     }
 
     private final EventLoop loop;
     private final InetSocketAddress address;
-    private final long silentMs;
-    private final long bodyMs;
+    private final long stallCheckMs;
+    private final long bodyTimeoutMs;
     private final Connector connector;
     private Channel channel;
-    private Request current;
+    private PendingRequest current;
 
-    private final class Request {
-        private final ResponseHandler asker;
+    private final class PendingRequest {
+        private final ResponseHandler handler;
         private Future<?> timer;
         private boolean keepAlive;
-        private boolean begun;
+        private boolean responseStarted;
         private long firstByteNanos;
-        private long bytes;
-        private long bytesAtLook;
+        private long bodyBytes;
+        private long bodyBytesAtCheck;
 
-        Request(ResponseHandler asker) {
-            this.asker = asker;
+        PendingRequest(ResponseHandler handler) {
+            this.handler = handler;
         }
 
-        void head(HttpResponse answer) {
-            begun = true;
-            keepAlive = HttpUtil.isKeepAlive(answer);
-            asker.responseStarted(answer.status().code());
+        void headReceived(HttpResponse response) {
+            responseStarted = true;
+            keepAlive = HttpUtil.isKeepAlive(response);
+            handler.responseStarted(response.status().code());
         }
 
-        void piece(ByteBuf content) {
-            if (bytes == 0) {
+        void chunkReceived(ByteBuf content) {
+            if (bodyBytes == 0) {
                 firstByteNanos = System.nanoTime();
-                lookAfter(silentMs);
+                scheduleProgressCheck(stallCheckMs);
             }
-            bytes += content.readableBytes();
-            asker.bodyChunk(content).ifPresent(this::fail);
+            bodyBytes += content.readableBytes();
+            handler.bodyChunk(content).ifPresent(this::fail);
         }
 
-        private void lookAfter(long delayMs) {
+        private void scheduleProgressCheck(long delayMs) {
             timer.cancel(false);
-            timer = loop.schedule(this::look, delayMs, TimeUnit.MILLISECONDS);
+            timer = loop.schedule(this::checkProgress, delayMs, TimeUnit.MILLISECONDS);
         }
 
-        private void look() {
-            long leftMs = bodyMs - TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - firstByteNanos);
-            if (bytes - bytesAtLook < MIN_PROGRESS_BYTES) {
-                fail("response stalled after " + bytes + " bytes");
+        private void checkProgress() {
+            long leftMs = bodyTimeoutMs - TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - firstByteNanos);
+            if (bodyBytes - bodyBytesAtCheck < MIN_PROGRESS_BYTES) {
+                fail("response stalled after " + bodyBytes + " bytes");
             } else if (leftMs <= 0) {
-                fail("response body incomplete after " + bodyMs + " ms, with " + bytes + " bytes received");
+                fail("response body incomplete after " + bodyTimeoutMs + " ms, with " + bodyBytes + " bytes received");
             } else {
-                bytesAtLook = bytes;
-                lookAfter(Math.min(silentMs, leftMs));
+                bodyBytesAtCheck = bodyBytes;
+                scheduleProgressCheck(Math.min(stallCheckMs, leftMs));
             }
         }
 
-        void fail(String fault) {
+        void fail(String error) {
             disconnect();
-            end(Optional.of(fault));
+            end(Optional.of(error));
         }
 
         /** Ends the request, unless it has ended already. */
-        void end(Optional<String> fault) {
+        void end(Optional<String> error) {
             if (current == this) {
                 current = null;
                 timer.cancel(false);
-                asker.responseEnded(fault);
+                handler.responseEnded(error);
             }
         }
     }
@@ -124,36 +124,37 @@
     }
 
     /** Creates a client with its own limits for response bodies: for stalls, and for the whole body. */
-    AgentClient(EventLoop loop, InetSocketAddress address, long silentMs, long bodyMs) {
+    AgentClient(EventLoop loop, InetSocketAddress address, long stallCheckMs, long bodyTimeoutMs) {
         this.loop = loop;
         this.address = address;
-        this.silentMs = silentMs;
-        this.bodyMs = bodyMs;
-        this.connector = new Connector(loop, CONNECT_TIMEOUT_MS, fresh -> {
-            fresh.config().setOption(ChannelOption.RECVBUF_ALLOCATOR,
-                    new FixedRecvByteBufAllocator(PIECE_BYTES).maxMessagesPerRead(1));
-            fresh.pipeline().addLast(new HttpClientCodec(), new Answers());
+        this.stallCheckMs = stallCheckMs;
+        this.bodyTimeoutMs = bodyTimeoutMs;
+        this.connector = new Connector(loop, CONNECT_TIMEOUT_MS, newChannel -> {
+            newChannel.config().setOption(ChannelOption.RECVBUF_ALLOCATOR,
+                    new FixedRecvByteBufAllocator(MAX_READ_BYTES).maxMessagesPerRead(1));
+            newChannel.pipeline().addLast(new HttpClientCodec(), new ResponseReader());
         });
     }
 
     /** Sends a request. The response body has to begin within the limit; then the limits for bodies apply. */
-    void send(FullHttpRequest request, long limitMs, ResponseHandler asker) {
+    void send(FullHttpRequest request, long responseTimeoutMs, ResponseHandler handler) {
         request.headers().set(HttpHeaderNames.HOST, EndpointClient.hostPort(address))
                 .set(HttpHeaderNames.CONTENT_LENGTH, request.content().readableBytes());
-        Request mine = new Request(asker);
-        current = mine;
-        mine.timer = loop.schedule(() -> mine.fail("no response in time"), limitMs, TimeUnit.MILLISECONDS);
+        PendingRequest pending = new PendingRequest(handler);
+        current = pending;
+        pending.timer = loop.schedule(() -> pending.fail("no response in time"), responseTimeoutMs,
+                TimeUnit.MILLISECONDS);
         if (channel != null && channel.isActive()) {
             channel.writeAndFlush(request);
             return;
         }
-        connector.connect(address, fresh -> {
-            if (current != mine || fresh.isEmpty()) {
+        connector.connect(address, newChannel -> {
+            if (current != pending || newChannel.isEmpty()) {
                 request.release();
-                fresh.ifPresent(Channel::close);
-                mine.end(Optional.of("connect to the agent failed"));
+                newChannel.ifPresent(Channel::close);
+                pending.end(Optional.of("connect to the agent failed"));
             } else {
-                channel = fresh.get();
+                channel = newChannel.get();
                 channel.writeAndFlush(request);
             }
         });
@@ -175,23 +176,23 @@
         disconnect();
     }
 
-    private final class Answers extends SimpleChannelInboundHandler<HttpObject> {
+    private final class ResponseReader extends SimpleChannelInboundHandler<HttpObject> {
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, HttpObject part) {
             if (ctx.channel() != channel || current == null) {
                 ctx.close();
                 return;
             }
-            Request request = current;
+            PendingRequest request = current;
             if (part.decoderResult().isFailure()) {
                 request.fail("response is not valid HTTP");
                 return;
             }
             if (part instanceof HttpResponse head) {
-                request.head(head);
+                request.headReceived(head);
             }
             if (part instanceof HttpContent content && content.content().isReadable()) {
-                request.piece(content.content());
+                request.chunkReceived(content.content());
             }
             if (part instanceof LastHttpContent && request == current) {
                 if (!request.keepAlive) {
@@ -206,8 +207,8 @@
             if (ctx.channel() == channel) {
                 channel = null;
                 if (current != null) {
-                    current.end(Optional.of(current.begun
-                            ? "connection closed during the response, after " + current.bytes + " bytes"
+                    current.end(Optional.of(current.responseStarted
+                            ? "connection closed during the response, after " + current.bodyBytes + " bytes"
                             : "connection closed before a response"));
                 }
             }
--- a/src/main/java/kestreldeal/net/Connector.java
+++ b/src/main/java/kestreldeal/net/Connector.java
@@ -28,85 +28,89 @@
  * side; such a connect is retried a few times with exponential backoff.
  */
 final class Connector {
-    private static final int MOST_ATTEMPTS = 6;
-    private static final long FIRST_PAUSE_MS = 5;
+    private static final int MAX_CONNECT_ATTEMPTS = 6;
+    private static final long INITIAL_RETRY_DELAY_MS = 5;
     /** An ambiguous failure may be local if it comes within this time: no packet can have been answered yet. */
-    private static final long AT_ONCE_NANOS = TimeUnit.MILLISECONDS.toNanos(20);
+    private static final long MAX_LOCAL_FAILURE_NANOS = TimeUnit.MILLISECONDS.toNanos(20);
     /** Beginnings of the system's messages for local failures; any other message may mean the remote side. */
-    private static final List<String> MACHINE_WORDS = List.of("network is unreachable", "no buffer space available",
-            "cannot allocate memory", "too many open files", "resource temporarily unavailable", "network is down");
+    private static final List<String> LOCAL_FAILURE_MESSAGES = List.of(
+            "network is unreachable", "no buffer space available", "cannot allocate memory", "too many open files",
+            "resource temporarily unavailable", "network is down");
 
     /** Which side a failed connect is attributed to. */
-    private enum Fault {
-        MACHINE, OTHER_SIDE, EITHER
+    private enum FailureSide {
+        LOCAL, REMOTE, AMBIGUOUS
     }
 
     private final EventLoop loop;
     private final Bootstrap bootstrap;
 
-    Connector(EventLoop loop, double limitMs, Consumer<Channel> init) {
-        this(loop, limitMs, init, NioSocketChannel::new);
+    Connector(EventLoop loop, double timeoutMs, Consumer<Channel> initializer) {
+        this(loop, timeoutMs, initializer, NioSocketChannel::new);
     }
 
     /** Creates a connector with its own channel factory, which may throw. */
-    Connector(EventLoop loop, double limitMs, Consumer<Channel> init, ChannelFactory<NioSocketChannel> channels) {
+    Connector(EventLoop loop, double timeoutMs, Consumer<Channel> initializer,
+            ChannelFactory<NioSocketChannel> channelFactory) {
         this.loop = loop;
-        this.bootstrap = new Bootstrap().group(loop).channelFactory(channels)
+        this.bootstrap = new Bootstrap().group(loop).channelFactory(channelFactory)
                 .option(ChannelOption.TCP_NODELAY, true)
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.ceil(limitMs))
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.ceil(timeoutMs))
                 .handler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
-                        init.accept(channel);
+                        initializer.accept(channel);
                     }
                 });
     }
 
     /** Connects, and passes the open channel to the callback, or an empty value after any failure. */
-    void connect(InetSocketAddress address, Consumer<Optional<Channel>> then) {
-        connect(address, then, () -> then.accept(Optional.empty()));
+    void connect(InetSocketAddress address, Consumer<Optional<Channel>> callback) {
+        connect(address, callback, () -> callback.accept(Optional.empty()));
     }
 
     /** Like the above, but runs {@code onLocalFailure} instead if the last failure was local to this machine. */
-    void connect(InetSocketAddress address, Consumer<Optional<Channel>> then, Runnable notTried) {
-        connect(address, then, notTried, 1);
+    void connect(InetSocketAddress address, Consumer<Optional<Channel>> callback, Runnable onLocalFailure) {
+        connect(address, callback, onLocalFailure, 1);
     }
 
-    private void connect(InetSocketAddress address, Consumer<Optional<Channel>> then, Runnable notTried, int attempt) {
-        long begun = System.nanoTime();
+    private void connect(InetSocketAddress address, Consumer<Optional<Channel>> callback, Runnable onLocalFailure,
+            int attempt) {
+        long startNanos = System.nanoTime();
         ChannelFuture connecting = bootstrap.connect(address);
         connecting.addListener(f -> {
-            Runnable tell = () -> {
-                Fault fault = f.isSuccess() ? Fault.OTHER_SIDE : fault(f.cause(), System.nanoTime() - begun);
+            Runnable handleResult = () -> {
+                FailureSide side = f.isSuccess() ? FailureSide.REMOTE
+                        : classify(f.cause(), System.nanoTime() - startNanos);
                 if (f.isSuccess()) {
-                    then.accept(Optional.of(connecting.channel()));
-                } else if (fault != Fault.OTHER_SIDE && attempt < MOST_ATTEMPTS) {
-                    loop.schedule(() -> connect(address, then, notTried, attempt + 1), FIRST_PAUSE_MS << attempt - 1,
-                            TimeUnit.MILLISECONDS);
-                } else if (fault == Fault.MACHINE) {
-                    notTried.run();
+                    callback.accept(Optional.of(connecting.channel()));
+                } else if (side != FailureSide.REMOTE && attempt < MAX_CONNECT_ATTEMPTS) {
+                    loop.schedule(() -> connect(address, callback, onLocalFailure, attempt + 1),
+                            INITIAL_RETRY_DELAY_MS << attempt - 1, TimeUnit.MILLISECONDS);
+                } else if (side == FailureSide.LOCAL) {
+                    onLocalFailure.run();
                 } else {
-                    then.accept(Optional.empty());
+                    callback.accept(Optional.empty());
                 }
             };
             if (loop.inEventLoop()) {
-                tell.run();
+                handleResult.run();
             } else {
-                loop.execute(tell);
+                loop.execute(handleResult);
             }
         });
     }
 
-    private static Fault fault(Throwable cause, long tookNanos) {
+    private static FailureSide classify(Throwable cause, long durationNanos) {
         // Netty wraps the system's exception in one of its own that adds the address.
         Throwable root = cause.getCause() instanceof SocketException ? cause.getCause() : cause;
         if (root instanceof ChannelException || root instanceof BindException) {
-            return Fault.MACHINE;
+            return FailureSide.LOCAL;
         }
         if (root instanceof NoRouteToHostException) {
-            return tookNanos < AT_ONCE_NANOS ? Fault.EITHER : Fault.OTHER_SIDE;
+            return durationNanos < MAX_LOCAL_FAILURE_NANOS ? FailureSide.AMBIGUOUS : FailureSide.REMOTE;
         }
-        String words = String.valueOf(root.getMessage()).toLowerCase(Locale.ROOT);
-        return MACHINE_WORDS.stream().anyMatch(words::startsWith) ? Fault.MACHINE : Fault.OTHER_SIDE;
+        String message = String.valueOf(root.getMessage()).toLowerCase(Locale.ROOT);
+        return LOCAL_FAILURE_MESSAGES.stream().anyMatch(message::startsWith) ? FailureSide.LOCAL : FailureSide.REMOTE;
     }
 }
--- a/src/main/java/kestreldeal/net/Discovery.java
+++ b/src/main/java/kestreldeal/net/Discovery.java
@@ -52,7 +52,7 @@
         void entriesRead(List<Entry> entries);
 
         /** The list has been read to its end; a full list names all endpoints that exist. */
-        void updateCompleted(boolean whole);
+        void updateCompleted(boolean fullList);
 
         /** The first request to the agent has been answered or has failed. */
         void firstRequestEnded();
@@ -60,64 +60,64 @@
 
     private final EventLoop loop;
     private AgentClient agent;
-    private final UpdateListener lists;
+    private final UpdateListener listener;
     private long generation = -1;
-    private boolean silent;
-    private boolean asked;
+    private boolean unresponsive;
+    private boolean firstRequestEnded;
     /** The scheduled retry, if any. */
-    private Optional<Future<?>> pause = Optional.empty();
+    private Optional<Future<?>> retryTimer = Optional.empty();
 
-    Discovery(EventLoop loop, AgentClient agent, UpdateListener lists) {
+    Discovery(EventLoop loop, AgentClient agent, UpdateListener listener) {
         this.loop = loop;
         this.agent = agent;
-        this.lists = lists;
+        this.listener = listener;
     }
 
     /** Reads the list in the configuration, if there is one, and starts to request the list from the agent. */
     void start(Path configuration) {
-        lists.updateStarted();
+        listener.updateStarted();
         try {
-            if (EndpointListParser.readFile(configuration, Config.KNOWN, this::named)) {
-                lists.updateCompleted(true);
+            if (EndpointListParser.readFile(configuration, Config.KNOWN, this::entriesRead)) {
+                listener.updateCompleted(true);
             }
         } catch (IOException e) {
             Log.write("the endpoint list in the configuration can't be read: " + e.getMessage());
         }
-        ask("/v1/servers", 0);
+        request("/v1/servers", 0);
     }
 
     /**
      * Switches to another agent and drops the request to the old one. Each agent numbers its generations on its own, so
      * the first request is for the full list.
      */
-    void switchAgent(AgentClient other) {
+    void switchAgent(AgentClient newAgent) {
         agent.close();
-        pause.ifPresent(p -> p.cancel(false));
-        agent = other;
+        retryTimer.ifPresent(p -> p.cancel(false));
+        agent = newAgent;
         generation = -1;
-        watch();
+        requestNext();
     }
 
-    private void ask(String path, long waitMs) {
+    private void request(String path, long waitMs) {
         agent.send(new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, path), waitMs + RESPONSE_TIMEOUT_MS,
-                new Answer());
+                new ListResponse());
     }
 
-    private void answered(Optional<String> fault) {
-        boolean read = fault.isEmpty();
-        if (silent == read) {
-            silent = !read;
+    private void requestEnded(Optional<String> error) {
+        boolean succeeded = error.isEmpty();
+        if (unresponsive == succeeded) {
+            unresponsive = !succeeded;
             Log.write("endpoint discovery: "
-                    + fault.map(f -> f + "; the last endpoint list stays in force").orElse("the agent responds again"));
+                    + error.map(f -> f + "; the last endpoint list stays in force").orElse("the agent responds again"));
         }
-        if (!asked) {
-            asked = true;
-            lists.firstRequestEnded();
+        if (!firstRequestEnded) {
+            firstRequestEnded = true;
+            listener.firstRequestEnded();
         }
-        if (read) {
-            watch();
+        if (succeeded) {
+            requestNext();
         } else {
-            pause = Optional.of(loop.schedule(this::watch, RETRY_DELAY_MS, TimeUnit.MILLISECONDS));
+            retryTimer = Optional.of(loop.schedule(this::requestNext, RETRY_DELAY_MS, TimeUnit.MILLISECONDS));
         }
     }
 
@@ -125,12 +125,12 @@
      * Requests the changes since the last generation, or the full list until this agent has sent one: a generation from
      * elsewhere may be numbered differently.
      */
-    private void watch() {
+    private void requestNext() {
         if (generation < 0) {
-            ask("/v1/servers", 0);
+            request("/v1/servers", 0);
         } else {
-            long waitMs = silent ? RECOVERY_POLL_WAIT_MS : LONG_POLL_WAIT_MS;
-            ask("/v1/servers?after=" + generation + "&wait_ms=" + waitMs, waitMs);
+            long waitMs = unresponsive ? RECOVERY_POLL_WAIT_MS : LONG_POLL_WAIT_MS;
+            request("/v1/servers?after=" + generation + "&wait_ms=" + waitMs, waitMs);
         }
     }
 
@@ -138,49 +138,50 @@
      * Reads one response as it arrives. Its generation is applied only at its end, so a list that breaks off is
      * requested again.
      */
-    private final class Answer implements AgentClient.ResponseHandler {
+    private final class ListResponse implements AgentClient.ResponseHandler {
         private int status;
-        private Optional<EndpointListParser> reader = Optional.empty();
+        private Optional<EndpointListParser> parser = Optional.empty();
 
         @Override
-        public void responseStarted(int code) {
-            status = code;
-            if (code == 200) {
-                reader = Optional.of(new EndpointListParser(Discovery.this::named));
-                lists.updateStarted();
+        public void responseStarted(int statusCode) {
+            status = statusCode;
+            if (statusCode == 200) {
+                parser = Optional.of(new EndpointListParser(Discovery.this::entriesRead));
+                listener.updateStarted();
             }
         }
 
         @Override
         public Optional<String> bodyChunk(ByteBuf content) {
-            return reader.flatMap(list -> fault(() -> list.feed(content)));
+            return parser.flatMap(list -> errorOf(() -> list.feed(content)));
         }
 
         @Override
-        public void responseEnded(Optional<String> broken) {
-            answered(broken.or(() -> reader.isEmpty() ? Optional.of("HTTP status " + status) : read(reader.get())));
+        public void responseEnded(Optional<String> error) {
+            requestEnded(error.or(
+                    () -> parser.isEmpty() ? Optional.of("HTTP status " + status) : finish(parser.get())));
         }
 
-        private Optional<String> read(EndpointListParser list) {
-            return fault(list::end).or(() -> {
-                if (!list.isComplete()) {
+        private Optional<String> finish(EndpointListParser complete) {
+            return errorOf(complete::end).or(() -> {
+                if (!complete.isComplete()) {
                     return Optional.of("response is not an endpoint list");
                 }
-                generation = list.generation();
-                lists.updateCompleted(list.isFullList());
+                generation = complete.generation();
+                listener.updateCompleted(complete.isFullList());
                 return Optional.empty();
             });
         }
     }
 
-    private interface Reading {
-        void go() throws IOException;
+    private interface ReadStep {
+        void run() throws IOException;
     }
 
     /** Runs a step of reading and returns what is wrong with the response, if anything. */
-    private static Optional<String> fault(Reading reading) {
+    private static Optional<String> errorOf(ReadStep step) {
         try {
-            reading.go();
+            step.run();
             return Optional.empty();
         } catch (StreamConstraintsException e) {
             return Optional.of("response exceeds a size limit: " + e.getOriginalMessage());
@@ -189,11 +190,12 @@
         }
     }
 
-    private void named(List<Entry> entries) {
-        List<String> lost = entries.stream().filter(e -> e.address().isEmpty()).map(Entry::id).toList();
-        if (!lost.isEmpty()) {
-            Log.write("the endpoint list has no valid address for " + lost + "; these endpoints get no new messages");
+    private void entriesRead(List<Entry> entries) {
+        List<String> withoutAddress = entries.stream().filter(e -> e.address().isEmpty()).map(Entry::id).toList();
+        if (!withoutAddress.isEmpty()) {
+            Log.write("the endpoint list has no valid address for " + withoutAddress
+                    + "; these endpoints get no new messages");
         }
-        lists.entriesRead(entries);
+        listener.entriesRead(entries);
     }
 }
--- a/src/main/java/kestreldeal/net/EndpointClient.java
+++ b/src/main/java/kestreldeal/net/EndpointClient.java
@@ -47,36 +47,37 @@
 
 /**
  * Sends attempts to endpoints as HTTP/1.1 requests and reports their results. All attempts of one turn to one endpoint
- * share a {@link Post}, up to the batch size of the endpoint. Connections are kept open for reuse; the most recently
+ * share a {@link Call}, up to the batch size of the endpoint. Connections are kept open for reuse; the most recently
  * used idle one is taken first. Each attempt gets exactly one result, which is never reported from within
  * {@link #startAttempt} or {@link #cancel}.
  */
 final class EndpointClient {
     /** Idle connections are closed after this share of the endpoint's keep-alive timeout. */
-    private static final double IDLE_SHARE = 0.8;
-    private static final long SWEEP_MS = 500;
+    private static final double IDLE_LIMIT_SHARE = 0.8;
+    private static final long IDLE_SWEEP_INTERVAL_MS = 500;
     /** The protocol's limit for the body of a request and of a response. */
-    private static final int LONGEST_BODY = 64 * 1024;
+    private static final int MAX_BODY_BYTES = 64 * 1024;
     /** Time limit from the first to the last byte of a response; one that takes longer counts as malformed. */
-    private static final long ANSWER_MS = 1000;
+    private static final long RESPONSE_READ_TIMEOUT_MS = 1000;
     /**
      * Delay before a connection is reused. Unexpected bytes that follow a response arrive in this time, and are not
      * taken for the response to the next call.
      */
-    private static final long REST_MS = 10;
+    private static final long REUSE_DELAY_MS = 10;
     /** A line in the response to a batch: a message id and the result for that message. */
-    private static final Pattern END_LINE = Pattern.compile("([!-~]+) (accepted|fault|deferred|expired|no_more)");
+    private static final Pattern BATCH_RESULT_LINE =
+            Pattern.compile("([!-~]+) (accepted|fault|deferred|expired|no_more)");
     /** Upper bound of a Retry-After wait: a corrupted value must not block a destination for good. */
-    private static final double LONGEST_WAIT_MS = TimeUnit.DAYS.toMillis(1);
+    private static final double MAX_RETRY_AFTER_MS = TimeUnit.DAYS.toMillis(1);
     /** How long the connection of an abandoned call is still read, for a response that is already on its way. */
-    private static final long CROSSING_MS = 100;
+    private static final long LATE_RESPONSE_MS = 100;
     /**
      * Max time between the last read of the sockets and the write of a call. A Retry-After wait must be observed within
      * 100 ms of being sent, so a call must not be written while such a response is still unread.
      */
-    private static final long READ_MS = 50;
+    private static final long MAX_READ_AGE_MS = 50;
     /** Shared by all endpoints without idle connections; always empty. */
-    private static final Deque<Connection> NONE = new ArrayDeque<>(0);
+    private static final Deque<Connection> NO_CONNECTIONS = new ArrayDeque<>(0);
 
     /** Receives the results of attempts, and decides at the last moment whether an attempt may be written. */
     interface CallListener {
@@ -84,14 +85,15 @@
          * Reports the only result of an attempt. {@code messageFinished}: the endpoint reported the message as expired,
          * so that it needs no further attempt, whatever the outcome.
          */
-        void completed(OutboundAttempt call, Outcome outcome, boolean gone, double waitMs, LoadReport report);
+        void completed(OutboundAttempt attempt, Outcome outcome, boolean messageFinished, double retryAfterMs,
+                LoadReport report);
 
         /** A call has been written completely; it carries this number of messages. */
         default void callWritten(int messages) {
         }
 
         /** Whether an attempt may still be written: a turn and a connect may have passed since it was decided. */
-        default boolean sendAllowed(OutboundAttempt call) {
+        default boolean sendAllowed(OutboundAttempt attempt) {
             return true;
         }
 
@@ -99,54 +101,57 @@
          * A response carries a Retry-After wait. It is reported as soon as its header line is read, and applies even if
          * the rest of the response is malformed or its attempts have completed already.
          */
-        default void retryAfterReceived(long endpoint, double waitMs) {
+        default void retryAfterReceived(long endpoint, double retryAfterMs) {
         }
     }
 
     private final EventLoop loop;
     private final MachineClock clock;
-    private final CallListener ends;
+    private final CallListener listener;
     private final Connector connector;
-    private final long idleNanos;
-    private final int mostIdle;
+    private final long maxIdleNanos;
+    private final int maxIdleConnections;
     private final LongObjectMap<Peer> peers = new LongObjectHashMap<>();
     /** The few peers that have idle connections, so that the sweep need not visit all listed endpoints. */
-    private final Set<Peer> resting = new LinkedHashSet<>();
-    private final IdleConnectionPolicy trust = new IdleConnectionPolicy();
-    private int idle;
-    private long posts;
-
-    EndpointClient(EventLoop loop, double dialMs, double keepAliveMs, int mostIdle, CallListener ends) {
-        this(loop, dialMs, keepAliveMs, mostIdle, ends, NioSocketChannel::new, MachineClock.system());
+    private final Set<Peer> peersWithIdleConnections = new LinkedHashSet<>();
+    private final IdleConnectionPolicy idlePolicy = new IdleConnectionPolicy();
+    private int idleConnectionCount;
+    private long lastCallId;
+
+    EndpointClient(EventLoop loop, double connectTimeoutMs, double keepAliveMs, int maxIdleConnections,
+            CallListener listener) {
+        this(loop, connectTimeoutMs, keepAliveMs, maxIdleConnections, listener, NioSocketChannel::new,
+                MachineClock.system());
     }
 
     /** Creates a client with its own channel factory, which may throw, and its own clock. */
-    EndpointClient(EventLoop loop, double dialMs, double keepAliveMs, int mostIdle, CallListener ends,
-            ChannelFactory<NioSocketChannel> channels, MachineClock clock) {
+    EndpointClient(EventLoop loop, double connectTimeoutMs, double keepAliveMs, int maxIdleConnections,
+            CallListener listener, ChannelFactory<NioSocketChannel> channelFactory, MachineClock clock) {
         this.loop = loop;
         this.clock = clock;
-        this.ends = ends;
-        this.idleNanos = (long) (keepAliveMs * IDLE_SHARE * 1e6);
-        this.mostIdle = mostIdle;
-        this.connector = new Connector(loop, dialMs, channel -> {
+        this.listener = listener;
+        this.maxIdleNanos = (long) (keepAliveMs * IDLE_LIMIT_SHARE * 1e6);
+        this.maxIdleConnections = maxIdleConnections;
+        this.connector = new Connector(loop, connectTimeoutMs, channel -> {
             Connection connection = new Connection(channel);
-            channel.pipeline().addLast(new HeadLines(connection), connection.answers, new HttpRequestEncoder(),
+            channel.pipeline().addLast(new ResponseHeadReader(connection), connection.decoder, new HttpRequestEncoder(),
                     connection);
-        }, channels);
-        loop.scheduleWithFixedDelay(this::sweep, SWEEP_MS, SWEEP_MS, TimeUnit.MILLISECONDS);
+        }, channelFactory);
+        loop.scheduleWithFixedDelay(this::closeExpiredConnections, IDLE_SWEEP_INTERVAL_MS, IDLE_SWEEP_INTERVAL_MS,
+                TimeUnit.MILLISECONDS);
     }
 
     /**
      * Sets the address of an endpoint, and the max number of messages in one call to it. Idle connections are closed if
      * the address changed or the endpoint no longer serves.
      */
-    void updateEndpoint(long endpoint, InetSocketAddress address, boolean serving, int batch) {
+    void updateEndpoint(long endpoint, InetSocketAddress address, boolean serving, int maxBatchSize) {
         Peer peer = peers.computeIfAbsent(endpoint, Peer::new);
         if (!serving || !address.equals(peer.address)) {
             closeIdleConnections(endpoint);
         }
         peer.address = address;
-        peer.batch = batch;
+        peer.maxBatchSize = maxBatchSize;
     }
 
     /** Removes an endpoint: closes its idle connections now, and those of calls in flight when these complete. */
@@ -167,20 +172,21 @@
      * decision, not from this method call: after a long turn an attempt whose timeout ends at the deadline of its
      * message would otherwise complete after the deadline, and the notice of the final result would be late.
      */
-    OutboundAttempt startAttempt(AcceptedMessage held, int attempt, long endpoint, double timeoutMs,
+    OutboundAttempt startAttempt(AcceptedMessage message, int attemptNumber, long endpoint, double timeoutMs,
             long decidedNanos) {
-        double leftMs = Math.max(0, timeoutMs - (System.nanoTime() - decidedNanos) / 1e6);
-        Post post = peers.get(endpoint).postFor(held);
-        OutboundAttempt call = new OutboundAttempt(held, attempt, post, leftMs);
-        call.timer = loop.schedule(call::timedOut, (long) Math.ceil(leftMs * 1000), TimeUnit.MICROSECONDS);
-        post.add(call);
-        return call;
+        double timeLeftMs = Math.max(0, timeoutMs - (System.nanoTime() - decidedNanos) / 1e6);
+        Call call = peers.get(endpoint).callFor(message);
+        OutboundAttempt attempt = new OutboundAttempt(message, attemptNumber, call, timeLeftMs);
+        attempt.timeoutTimer = loop.schedule(attempt::timedOut, (long) Math.ceil(timeLeftMs * 1000),
+                TimeUnit.MICROSECONDS);
+        call.add(attempt);
+        return attempt;
     }
 
     /** Cancels an attempt, and closes its connection unless other attempts of the same call are in flight on it. */
-    void cancel(OutboundAttempt call) {
-        call.end(Outcome.CANCELLED);
-        call.post.closeIfOver();
+    void cancel(OutboundAttempt attempt) {
+        attempt.complete(Outcome.CANCELLED);
+        attempt.call.abandonIfCompleted();
     }
 
     void closeIdleConnections(long endpoint) {
@@ -192,11 +198,11 @@
 
     /** Closes all idle connections; used when another process takes over the calls to endpoints. */
     void closeAllIdleConnections() {
-        List.copyOf(resting).forEach(Peer::closeIdle);
+        List.copyOf(peersWithIdleConnections).forEach(Peer::closeIdle);
     }
 
     int idleConnectionCount() {
-        return idle;
+        return idleConnectionCount;
     }
 
     /**
@@ -204,22 +210,22 @@
      * the endpoint writes it, not from when the loop reads it. The loop runs a timer only after it has read the
      * sockets; if that read took long, more may have arrived meanwhile, and the task is delayed once more.
      */
-    private void afterRead(Runnable then) {
-        long asked = System.nanoTime();
+    private void afterPendingReads(Runnable task) {
+        long requestedNanos = System.nanoTime();
         loop.schedule(() -> {
-            if (System.nanoTime() - asked > TimeUnit.MILLISECONDS.toNanos(READ_MS)) {
-                afterRead(then);
+            if (System.nanoTime() - requestedNanos > TimeUnit.MILLISECONDS.toNanos(MAX_READ_AGE_MS)) {
+                afterPendingReads(task);
             } else {
-                then.run();
+                task.run();
             }
         }, 0, TimeUnit.NANOSECONDS);
     }
 
     /** Closes connections that the endpoint would soon close itself, since a call written just then is lost. */
-    private void sweep() {
-        for (Peer peer : List.copyOf(resting)) {
-            List<Connection> old = peer.idle.stream().filter(c -> c.idledNanos() > idleNanos).toList();
-            old.forEach(Connection::close);
+    private void closeExpiredConnections() {
+        for (Peer peer : List.copyOf(peersWithIdleConnections)) {
+            List<Connection> expired = peer.idleConnections.stream().filter(c -> c.idleNanos() > maxIdleNanos).toList();
+            expired.forEach(Connection::close);
         }
     }
 
@@ -227,61 +233,61 @@
     private final class Peer {
         final long endpoint;
         InetSocketAddress address;
-        int batch = 1;
+        int maxBatchSize = 1;
         /** Allocated with the first idle connection: most endpoints of a long list never have one. */
-        private Deque<Connection> idle = NONE;
+        private Deque<Connection> idleConnections = NO_CONNECTIONS;
         /** The call of the current turn to which attempts may still be added; null if there is none. */
-        private Post next;
+        private Call openCall;
 
         Peer(long endpoint) {
             this.endpoint = endpoint;
         }
 
         /** Returns a call that has room for the message. It starts after the turn, with the attempts of that turn. */
-        Post postFor(AcceptedMessage held) {
-            if (next == null || !next.takes(held)) {
-                Post post = new Post(this);
-                next = post;
+        Call callFor(AcceptedMessage message) {
+            if (openCall == null || !openCall.canAdd(message)) {
+                Call call = new Call(this);
+                openCall = call;
                 loop.execute(() -> {
-                    if (next == post) {
-                        next = null;
+                    if (openCall == call) {
+                        openCall = null;
                     }
-                    afterRead(post::start);
+                    afterPendingReads(call::start);
                 });
             }
-            return next;
+            return openCall;
         }
 
-        void keep(Connection connection) {
-            if (idle == NONE) {
-                idle = new ArrayDeque<>(2);
+        void addIdle(Connection connection) {
+            if (idleConnections == NO_CONNECTIONS) {
+                idleConnections = new ArrayDeque<>(2);
             }
-            idle.addLast(connection);
-            resting.add(this);
-            EndpointClient.this.idle++;
+            idleConnections.addLast(connection);
+            peersWithIdleConnections.add(this);
+            EndpointClient.this.idleConnectionCount++;
         }
 
         /** Removes a connection from the idle ones, if it is one of them. */
-        void drop(Connection connection) {
-            if (idle.removeLastOccurrence(connection)) {
-                EndpointClient.this.idle--;
-                if (idle.isEmpty()) {
-                    resting.remove(this);
-                    idle = NONE;
+        void removeIdle(Connection connection) {
+            if (idleConnections.removeLastOccurrence(connection)) {
+                EndpointClient.this.idleConnectionCount--;
+                if (idleConnections.isEmpty()) {
+                    peersWithIdleConnections.remove(this);
+                    idleConnections = NO_CONNECTIONS;
                 }
             }
         }
 
         void closeIdle() {
-            new ArrayList<>(idle).forEach(Connection::close);
+            new ArrayList<>(idleConnections).forEach(Connection::close);
         }
 
-        Connection newestIdle() {
-            while (!idle.isEmpty()) {
-                Connection newest = idle.peekLast();
-                drop(newest);
-                if (newest.isOpen() && newest.idledNanos() <= idleNanos
-                        && trust.trusts(nowMs(), newest.idledMs())) {
+        Connection takeNewestIdle() {
+            while (!idleConnections.isEmpty()) {
+                Connection newest = idleConnections.peekLast();
+                removeIdle(newest);
+                if (newest.isOpen() && newest.idleNanos() <= maxIdleNanos
+                        && idlePolicy.mayReuse(nowMs(), newest.idleMs())) {
                     return newest;
                 }
                 newest.close();
@@ -295,209 +301,211 @@
         final AcceptedMessage message;
         final int attemptNumber;
         final long startedNanos = System.nanoTime();
-        private final Post post;
+        private final Call call;
         private final double timeoutMs;
-        private Future<?> timer;
-        private boolean done;
+        private Future<?> timeoutTimer;
+        private boolean completed;
 
-        private OutboundAttempt(AcceptedMessage held, int attempt, Post post, double timeoutMs) {
-            this.message = held;
-            this.attemptNumber = attempt;
-            this.post = post;
+        private OutboundAttempt(AcceptedMessage message, int attemptNumber, Call call, double timeoutMs) {
+            this.message = message;
+            this.attemptNumber = attemptNumber;
+            this.call = call;
             this.timeoutMs = timeoutMs;
         }
 
         /** The id of the call that carries this attempt; attempts in the same call have the same id. */
         long callId() {
-            return post.number;
+            return call.id;
         }
 
         long endpoint() {
-            return post.peer.endpoint;
+            return call.peer.endpoint;
         }
 
         private void timedOut() {
-            end(post.mayArrive() ? Outcome.TIMED_OUT : Outcome.UNREACHABLE);
-            post.closeIfOver();
+            complete(call.mayArrive() ? Outcome.TIMED_OUT : Outcome.UNREACHABLE);
+            call.abandonIfCompleted();
         }
 
-        private void end(Outcome outcome) {
-            end(outcome, false, 0);
+        private void complete(Outcome outcome) {
+            complete(outcome, false, 0);
         }
 
-        private void end(Outcome outcome, boolean gone, double waitMs) {
-            if (done) {
+        private void complete(Outcome outcome, boolean messageFinished, double retryAfterMs) {
+            if (completed) {
                 return;
             }
-            done = true;
-            timer.cancel(false);
+            completed = true;
+            timeoutTimer.cancel(false);
             // Deferred: the result may be found while the decision module is running, and must not call back into it.
-            loop.execute(() -> ends.completed(this, outcome, gone, waitMs, post.report));
+            loop.execute(() -> listener.completed(this, outcome, messageFinished, retryAfterMs, call.report));
         }
 
         /** Completes the attempt by the status code of the response, as the protocol's table says. */
-        private void answered(int code, double waitMs, boolean noSlot) {
-            Outcome outcome = switch (code) {
+        private void completeFromStatus(int statusCode, double retryAfterMs, boolean noSlot) {
+            Outcome outcome = switch (statusCode) {
                 case 200 -> Outcome.DELIVERED;
                 case 429 -> Outcome.FULL;
                 case 503 -> noSlot ? Outcome.NOT_SENT : Outcome.FULL;
                 case 504, 410 -> Outcome.NOT_SENT;
                 default -> Outcome.ERROR;
             };
-            end(outcome, code == 410, code == 429 ? waitMs : 0);
+            complete(outcome, statusCode == 410, statusCode == 429 ? retryAfterMs : 0);
         }
 
         /** Completes one of several attempts by its line in the batch response; a wait comes with any result. */
-        private void answered(String word, double waitMs) {
-            switch (word) {
-                case "accepted" -> end(Outcome.DELIVERED, false, waitMs);
-                case "fault" -> end(Outcome.ERROR, false, waitMs);
-                case "deferred" -> end(Outcome.FULL, false, waitMs);
-                case "expired" -> end(Outcome.NOT_SENT, true, waitMs);
-                case "no_more" -> end(Outcome.NOT_SENT, false, waitMs);
-                default -> throw new IllegalArgumentException("unknown batch result: " + word);
+        private void completeFromBatchLine(String result, double retryAfterMs) {
+            switch (result) {
+                case "accepted" -> complete(Outcome.DELIVERED, false, retryAfterMs);
+                case "fault" -> complete(Outcome.ERROR, false, retryAfterMs);
+                case "deferred" -> complete(Outcome.FULL, false, retryAfterMs);
+                case "expired" -> complete(Outcome.NOT_SENT, true, retryAfterMs);
+                case "no_more" -> complete(Outcome.NOT_SENT, false, retryAfterMs);
+                default -> throw new IllegalArgumentException("unknown batch result: " + result);
             }
         }
     }
 
     /** A call: one HTTP request on one connection, in one slot, with the attempts of one turn to one endpoint. */
-    private final class Post {
-        final long number = ++posts;
+    private final class Call {
+        final long id = ++lastCallId;
         /** The ids and keys that a batch body can hold, where fields are separated by blanks. */
-        private static final Pattern WORD = Pattern.compile("[!-~]+");
+        private static final Pattern TOKEN = Pattern.compile("[!-~]+");
         /** Stands for a missing key in a batch body. */
         private static final String NO_KEY = "-";
 
         private final Peer peer;
-        private final List<OutboundAttempt> calls = new ArrayList<>();
-        private int bytes;
+        private final List<OutboundAttempt> attempts = new ArrayList<>();
+        private int batchBodyBytes;
         private Connection connection;
         /** Whether it was written as a batch, that is, with more than one message. */
-        private boolean several;
-        private boolean written;
+        private boolean isBatch;
+        private boolean writeStarted;
         /** The last byte has been written: from here on the endpoint may have processed the messages. */
-        private boolean flushed;
+        private boolean fullyWritten;
         private LoadReport report = LoadReport.NONE;
         /** The Retry-After wait of the response, or 0. */
-        private double waitMs;
+        private double retryAfterMs;
 
-        Post(Peer peer) {
+        Call(Peer peer) {
             this.peer = peer;
         }
 
-        private void add(OutboundAttempt call) {
-            calls.add(call);
-            bytes += frame(call.message).length;
+        private void add(OutboundAttempt attempt) {
+            attempts.add(attempt);
+            batchBodyBytes += encodeBatchItem(attempt.message).length;
         }
 
         /** Whether a message can be added: the batch has room, and all its messages can be written in a batch body. */
-        boolean takes(AcceptedMessage held) {
-            return calls.size() < peer.batch && bytes + frame(held).length <= LONGEST_BODY && isWord(held)
-                    && calls.stream().allMatch(c -> isWord(c.message) && !c.message.id.equals(held.id));
+        boolean canAdd(AcceptedMessage message) {
+            return attempts.size() < peer.maxBatchSize
+                    && batchBodyBytes + encodeBatchItem(message).length <= MAX_BODY_BYTES && fitsBatchFormat(message)
+                    && attempts.stream().allMatch(a -> fitsBatchFormat(a.message) && !a.message.id.equals(message.id));
         }
 
-        private boolean isWord(AcceptedMessage held) {
-            return WORD.matcher(held.id).matches()
-                    && held.key.filter(k -> !WORD.matcher(k).matches() || k.equals(NO_KEY)).isEmpty();
+        private boolean fitsBatchFormat(AcceptedMessage message) {
+            return TOKEN.matcher(message.id).matches()
+                    && message.key.filter(k -> !TOKEN.matcher(k).matches() || k.equals(NO_KEY)).isEmpty();
         }
 
-        private List<OutboundAttempt> waiting() {
-            return calls.stream().filter(c -> !c.done).toList();
+        private List<OutboundAttempt> attemptsInFlight() {
+            return attempts.stream().filter(a -> !a.completed).toList();
         }
 
         private void start() {
-            if (waiting().isEmpty()) {
+            if (attemptsInFlight().isEmpty()) {
                 return;
             }
-            Connection kept = peer.newestIdle();
-            if (kept != null) {
-                write(kept);
+            Connection idleConnection = peer.takeNewestIdle();
+            if (idleConnection != null) {
+                writeOn(idleConnection);
             } else {
-                InetSocketAddress dialled = peer.address;
+                InetSocketAddress address = peer.address;
                 // A local failure, such as no free file descriptor, says nothing about the endpoint's health.
-                connector.connect(dialled, channel -> connected(channel, dialled),
-                        () -> endAll(Outcome.NOT_SENT));
+                connector.connect(address, channel -> connected(channel, address),
+                        () -> completeAll(Outcome.NOT_SENT));
             }
         }
 
-        private void connected(Optional<Channel> channel, InetSocketAddress dialled) {
+        private void connected(Optional<Channel> channel, InetSocketAddress address) {
             if (channel.isEmpty()) {
-                endAll(Outcome.UNREACHABLE);
+                completeAll(Outcome.UNREACHABLE);
                 return;
             }
-            Connection fresh = channel.get().pipeline().get(Connection.class);
-            fresh.connected(peer, dialled);
-            afterRead(() -> write(fresh));
+            Connection newConnection = channel.get().pipeline().get(Connection.class);
+            newConnection.connected(peer, address);
+            afterPendingReads(() -> writeOn(newConnection));
         }
 
-        private void write(Connection on) {
-            if (!on.address.equals(peer.address)) {
+        private void writeOn(Connection target) {
+            if (!target.address.equals(peer.address)) {
                 // The endpoint moved during the connect: another endpoint may listen at the old address now.
-                endAll(Outcome.NOT_SENT);
-                on.close();
+                completeAll(Outcome.NOT_SENT);
+                target.close();
                 return;
             }
-            waiting().stream().filter(c -> !ends.sendAllowed(c)).forEach(c -> c.end(Outcome.NOT_SENT));
-            if (waiting().isEmpty()) {
-                on.rest();
+            attemptsInFlight().stream().filter(a -> !listener.sendAllowed(a))
+                    .forEach(a -> a.complete(Outcome.NOT_SENT));
+            if (attemptsInFlight().isEmpty()) {
+                target.scheduleReuse();
                 return;
             }
             FullHttpRequest request;
             try {
-                request = request(waiting());
+                request = buildRequest(attemptsInFlight());
             } catch (IllegalArgumentException e) {
                 // A value is not valid in a header. No byte was written, and the attempts still need a result.
                 Log.write("a request to an endpoint can't be built: " + e.getMessage());
-                endAll(Outcome.UNREACHABLE);
-                on.close();
+                completeAll(Outcome.UNREACHABLE);
+                target.close();
                 return;
             }
-            connection = on;
-            written = true;
-            on.begin(this);
-            int messages = waiting().size();
-            on.channel.writeAndFlush(request).addListener(f -> {
-                flushed |= f.isSuccess();
+            connection = target;
+            writeStarted = true;
+            target.beginCall(this);
+            int messages = attemptsInFlight().size();
+            target.channel.writeAndFlush(request).addListener(f -> {
+                fullyWritten |= f.isSuccess();
                 if (f.isSuccess()) {
-                    ends.callWritten(messages);
+                    listener.callWritten(messages);
                 } else {
-                    lost();
-                    closeIfOver();
+                    connectionLost();
+                    abandonIfCompleted();
                 }
             });
         }
 
-        private FullHttpRequest request(List<OutboundAttempt> sent) {
-            several = sent.size() > 1;
-            AcceptedMessage first = sent.get(0).message;
-            byte[] body = several ? frames(sent) : first.body;
+        private FullHttpRequest buildRequest(List<OutboundAttempt> batch) {
+            isBatch = batch.size() > 1;
+            AcceptedMessage first = batch.get(0).message;
+            byte[] body = isBatch ? encodeBatch(batch) : first.body;
             FullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.POST,
-                    several ? "/v1/messages:batch" : "/v1/messages", Unpooled.wrappedBuffer(body));
-            double waitsMs = sent.stream().mapToDouble(c -> c.timeoutMs).max().orElseThrow();
+                    isBatch ? "/v1/messages:batch" : "/v1/messages", Unpooled.wrappedBuffer(body));
+            double budgetMs = batch.stream().mapToDouble(a -> a.timeoutMs).max().orElseThrow();
             request.headers()
                     .set(HttpHeaderNames.HOST, hostPort(peer.address))
-                    .set("X-Budget-Ms", Math.max(1, (long) waitsMs))
+                    .set("X-Budget-Ms", Math.max(1, (long) budgetMs))
                     .set(HttpHeaderNames.CONTENT_LENGTH, body.length);
-            if (!several) {
+            if (!isBatch) {
                 request.headers().set("X-Call-Id", first.id);
                 first.key.ifPresent(key -> request.headers().set("Idempotency-Key", key));
             }
             return request;
         }
 
-        private byte[] frames(List<OutboundAttempt> sent) {
-            ByteArrayOutputStream body = new ByteArrayOutputStream(bytes);
-            sent.forEach(c -> body.writeBytes(frame(c.message)));
+        private byte[] encodeBatch(List<OutboundAttempt> batch) {
+            ByteArrayOutputStream body = new ByteArrayOutputStream(batchBodyBytes);
+            batch.forEach(a -> body.writeBytes(encodeBatchItem(a.message)));
             return body.toByteArray();
         }
 
-        private byte[] frame(AcceptedMessage held) {
-            ByteArrayOutputStream frame = new ByteArrayOutputStream(held.body.length + 128);
-            frame.writeBytes((held.id + " " + held.key.orElse(NO_KEY) + " " + held.body.length + "\r\n")
+        private byte[] encodeBatchItem(AcceptedMessage message) {
+            ByteArrayOutputStream item = new ByteArrayOutputStream(message.body.length + 128);
+            item.writeBytes((message.id + " " + message.key.orElse(NO_KEY) + " " + message.body.length + "\r\n")
                     .getBytes(StandardCharsets.ISO_8859_1));
-            frame.writeBytes(held.body);
-            frame.writeBytes(new byte[] {'\r', '\n'});
-            return frame.toByteArray();
+            item.writeBytes(message.body);
+            item.writeBytes(new byte[] {'\r', '\n'});
+            return item.toByteArray();
         }
 
         /**
@@ -505,47 +513,47 @@
          * open while other attempts of the call are in flight.
          */
         private boolean mayArrive() {
-            return flushed || written && waiting().size() > 1;
+            return fullyWritten || writeStarted && attemptsInFlight().size() > 1;
         }
 
         /** The connection closed. The messages may have been processed only if the last byte was written. */
-        private void lost() {
-            endAll(flushed ? Outcome.BROKEN : Outcome.UNREACHABLE);
+        private void connectionLost() {
+            completeAll(fullyWritten ? Outcome.BROKEN : Outcome.UNREACHABLE);
         }
 
-        private void endAll(Outcome outcome) {
-            calls.forEach(c -> c.end(outcome));
+        private void completeAll(Outcome outcome) {
+            attempts.forEach(a -> a.complete(outcome));
         }
 
         /** Abandons the call if all attempts are completed; a connection that carries another call by now is kept. */
-        private void closeIfOver() {
-            if (connection != null && connection.post == this && waiting().isEmpty()) {
-                connection.giveUp();
+        private void abandonIfCompleted() {
+            if (connection != null && connection.call == this && attemptsInFlight().isEmpty()) {
+                connection.abandon();
             }
         }
 
         /** Status 200 completes a single attempt at once, whatever follows; a batch needs the whole response. */
-        private void firstLine(int code) {
-            if (code == 200 && !several) {
-                endAll(Outcome.DELIVERED);
+        private void statusCodeReceived(int statusCode) {
+            if (statusCode == 200 && !isBatch) {
+                completeAll(Outcome.DELIVERED);
             }
         }
 
         /** The response is malformed, so the messages may have been processed. Attempts that are completed stay so. */
-        private void spoilt() {
-            endAll(Outcome.BROKEN);
+        private void responseMalformed() {
+            completeAll(Outcome.BROKEN);
         }
 
-        private void answered(HttpResponse response, String body) {
-            int code = response.status().code();
-            if (several && code == 200) {
-                answered(body);
-            } else if (several && (code == 400 || code == 413)) {
+        private void responseReceived(HttpResponse response, String body) {
+            int statusCode = response.status().code();
+            if (isBatch && statusCode == 200) {
+                batchResponseReceived(body);
+            } else if (isBatch && (statusCode == 400 || statusCode == 413)) {
                 // The endpoint could not parse the batch, or it was too large: no message was processed.
-                endAll(Outcome.NOT_SENT);
+                completeAll(Outcome.NOT_SENT);
             } else {
                 boolean noSlot = response.headers().contains("X-No-Slot");
-                calls.forEach(c -> c.answered(code, waitMs, noSlot));
+                attempts.forEach(a -> a.completeFromStatus(statusCode, retryAfterMs, noSlot));
             }
         }
 
@@ -554,58 +562,59 @@
          * response counts as malformed if a line can't be parsed or is missing, and also if the deadline of one of the
          * messages has passed: such a response has said "accepted" for messages that had not been delivered.
          */
-        private void answered(String body) {
-            if (calls.stream().anyMatch(c -> c.message.isTimeUp(clock))) {
-                Log.write("ignored the response to a batch of " + calls.size()
+        private void batchResponseReceived(String body) {
+            if (attempts.stream().anyMatch(a -> a.message.isTimeUp(clock))) {
+                Log.write("ignored the response to a batch of " + attempts.size()
                         + " messages: it arrived after the deadline of one of them");
-                spoilt();
+                responseMalformed();
                 return;
             }
-            Map<String, String> words = new HashMap<>();
+            Map<String, String> results = new HashMap<>();
             for (String line : body.split("\r?\n")) {
-                Matcher end = END_LINE.matcher(line);
-                if (!end.matches() || words.put(end.group(1), end.group(2)) != null) {
-                    spoilt();
+                Matcher result = BATCH_RESULT_LINE.matcher(line);
+                if (!result.matches() || results.put(result.group(1), result.group(2)) != null) {
+                    responseMalformed();
                     return;
                 }
             }
-            if (calls.stream().anyMatch(c -> !c.done && !words.containsKey(c.message.id))) {
-                spoilt();
+            if (attempts.stream().anyMatch(a -> !a.completed && !results.containsKey(a.message.id))) {
+                responseMalformed();
                 return;
             }
-            calls.stream().filter(c -> !c.done).forEach(c -> c.answered(words.get(c.message.id), waitMs));
+            attempts.stream().filter(a -> !a.completed)
+                    .forEach(a -> a.completeFromBatchLine(results.get(a.message.id), retryAfterMs));
         }
     }
 
     /** Parses a Retry-After value in seconds, integer or decimal; 0 if it can't be parsed or is not positive. */
-    private static double waitMs(String seconds) {
+    private static double parseRetryAfterMs(String seconds) {
         try {
-            double waitMs = Double.parseDouble(seconds) * 1000;
-            return waitMs > 0 ? Math.min(waitMs, LONGEST_WAIT_MS) : 0;
+            double retryAfterMs = Double.parseDouble(seconds) * 1000;
+            return retryAfterMs > 0 ? Math.min(retryAfterMs, MAX_RETRY_AFTER_MS) : 0;
         } catch (NumberFormatException e) {
             return 0;
         }
     }
 
     /** Parses the load report of a response, such as {@code TEXT x0=0.4, x1=25}. */
-    private static LoadReport report(HttpResponse response) {
-        String[] figures = response.headers().get("X-Load-Report", "").split("[,\\s]+");
-        return new LoadReport(figure(figures, Params.REPORTED_RATE_FIELD, LoadReport.NONE.rate()),
-                figure(figures, Params.REPORTED_SHARE_LEFT_FIELD, LoadReport.NONE.left()));
+    private static LoadReport parseLoadReport(HttpResponse response) {
+        String[] values = response.headers().get("X-Load-Report", "").split("[,\\s]+");
+        return new LoadReport(reportValue(values, Params.REPORTED_RATE_FIELD, LoadReport.NONE.rate()),
+                reportValue(values, Params.REPORTED_SHARE_LEFT_FIELD, LoadReport.NONE.left()));
     }
 
     /** Returns one value of a report, or the default if it is missing or can't be parsed. */
-    private static double figure(String[] figures, String name, double absent) {
-        for (String figure : figures) {
-            if (figure.startsWith(name + "=")) {
+    private static double reportValue(String[] values, String name, double defaultValue) {
+        for (String value : values) {
+            if (value.startsWith(name + "=")) {
                 try {
-                    return Double.parseDouble(figure.substring(name.length() + 1));
+                    return Double.parseDouble(value.substring(name.length() + 1));
                 } catch (NumberFormatException e) {
-                    return absent;
+                    return defaultValue;
                 }
             }
         }
-        return absent;
+        return defaultValue;
     }
 
     private static long nowMs() {
@@ -623,43 +632,43 @@
      * applies even if the rest of the response is malformed. Heads of 1xx responses are skipped; everything else is
      * left to the codec.
      */
-    private static final class HeadLines extends ChannelInboundHandlerAdapter {
+    private static final class ResponseHeadReader extends ChannelInboundHandlerAdapter {
         /** The codec's limit for a whole head. */
-        private static final int LONGEST = 8192;
-        private static final String START = "HTTP/1.";
-        private static final Pattern STATUS = Pattern.compile("HTTP/1\\.[01] (\\d{3})(?: .*)?");
-        private static final Pattern WAIT = Pattern.compile("retry-after:(.*)", Pattern.CASE_INSENSITIVE);
+        private static final int MAX_LINE_CHARS = 8192;
+        private static final String PROTOCOL_PREFIX = "HTTP/1.";
+        private static final Pattern STATUS_LINE = Pattern.compile("HTTP/1\\.[01] (\\d{3})(?: .*)?");
+        private static final Pattern RETRY_AFTER_LINE = Pattern.compile("retry-after:(.*)", Pattern.CASE_INSENSITIVE);
 
         private final Connection connection;
         private final StringBuilder line = new StringBuilder();
         private boolean inInterimHead;
 
-        HeadLines(Connection connection) {
+        ResponseHeadReader(Connection connection) {
             this.connection = connection;
         }
 
         @Override
-        public void channelRead(ChannelHandlerContext ctx, Object read) {
-            ByteBuf bytes = (ByteBuf) read;
-            if (connection.post == null) {
+        public void channelRead(ChannelHandlerContext ctx, Object data) {
+            ByteBuf bytes = (ByteBuf) data;
+            if (connection.call == null) {
                 // Bytes without a request: the next response on this connection could not be told from them.
                 connection.close();
             }
             for (int i = bytes.readerIndex(); i < bytes.writerIndex() && connection.awaitsHead(); i++) {
-                connection.answerBegins();
-                take((char) (bytes.getByte(i) & 0xff));
+                connection.responseBegins();
+                readChar((char) (bytes.getByte(i) & 0xff));
             }
-            ctx.fireChannelRead(read);
+            ctx.fireChannelRead(data);
         }
 
-        private void take(char c) {
+        private void readChar(char c) {
             if (c != '\n') {
                 line.append(c);
                 // Garbage may come without a line end, so the prefix is checked with each character.
-                boolean noise = !inInterimHead && !connection.lineRead && line.length() <= START.length()
-                        && !START.startsWith(line.toString());
-                if (noise || line.length() > LONGEST) {
-                    connection.spoilt();
+                boolean garbage = !inInterimHead && !connection.statusLineRead
+                        && line.length() <= PROTOCOL_PREFIX.length() && !PROTOCOL_PREFIX.startsWith(line.toString());
+                if (garbage || line.length() > MAX_LINE_CHARS) {
+                    connection.failMalformed();
                 }
                 return;
             }
@@ -668,39 +677,39 @@
             if (inInterimHead) {
                 inInterimHead = !text.isEmpty();
                 if (!inInterimHead) {
-                    connection.interimEnds();
+                    connection.interimResponseEnds();
                 }
-            } else if (connection.lineRead) {
-                header(text);
+            } else if (connection.statusLineRead) {
+                readHeaderLine(text);
             } else {
-                firstLine(text);
+                readStatusLine(text);
             }
         }
 
-        private void header(String text) {
-            Matcher wait = WAIT.matcher(text);
-            if (text.isEmpty()) {
+        private void readHeaderLine(String headerLine) {
+            Matcher retryAfter = RETRY_AFTER_LINE.matcher(headerLine);
+            if (headerLine.isEmpty()) {
                 connection.headRead = true;
-            } else if (wait.matches()) {
-                connection.waitTold(waitMs(wait.group(1)));
+            } else if (retryAfter.matches()) {
+                connection.retryAfterReceived(parseRetryAfterMs(retryAfter.group(1)));
             }
         }
 
-        private void firstLine(String text) {
-            Matcher status = STATUS.matcher(text);
+        private void readStatusLine(String statusLine) {
+            Matcher status = STATUS_LINE.matcher(statusLine);
             if (!status.matches() || status.group(1).equals("101")) {
-                connection.spoilt();
+                connection.failMalformed();
             } else if (status.group(1).startsWith("1")) {
                 inInterimHead = true;
             } else {
-                connection.firstLine(Integer.parseInt(status.group(1)));
+                connection.statusCodeReceived(Integer.parseInt(status.group(1)));
             }
         }
     }
 
     /** Netty's decoder, extended to tell whether bytes follow a complete response. */
-    private static final class Answers extends HttpResponseDecoder {
-        boolean holdsMore() {
+    private static final class ResponseDecoder extends HttpResponseDecoder {
+        boolean hasUnreadBytes() {
             return actualReadableBytes() > 0;
         }
     }
@@ -708,74 +717,74 @@
     /** A connection to an endpoint; it carries one call at a time. */
     private final class Connection extends SimpleChannelInboundHandler<HttpObject> {
         private final Channel channel;
-        private final Answers answers = new Answers();
+        private final ResponseDecoder decoder = new ResponseDecoder();
         private Peer peer;
         /** The address that it is connected to; the peer may have moved to another one since. */
         private InetSocketAddress address;
-        private Post post;
+        private Call call;
         /** The head of the response, once it has been read. */
         private HttpResponse head;
-        private boolean lineRead;
+        private boolean statusLineRead;
         private boolean headRead;
         /** Its call was abandoned: it is not reused. */
-        private boolean givenUp;
+        private boolean abandoned;
         private final StringBuilder body = new StringBuilder();
-        private Future<?> answerTimer;
+        private Future<?> responseTimer;
         /** It has neither carried a call nor been idle yet. */
         private boolean fresh = true;
-        private long idleSince;
+        private long idleSinceNanos;
         /** How long it was idle before its current call; -1 for a fresh connection. */
-        private long idledMs;
+        private long idleBeforeCallMs;
 
         Connection(Channel channel) {
             this.channel = channel;
         }
 
         /** Starts to count the idle time, as the endpoint does, also if no call is written on it after all. */
-        private void connected(Peer to, InetSocketAddress dialled) {
-            peer = to;
-            address = dialled;
-            idleSince = System.nanoTime();
+        private void connected(Peer connectedPeer, InetSocketAddress connectedAddress) {
+            peer = connectedPeer;
+            address = connectedAddress;
+            idleSinceNanos = System.nanoTime();
         }
 
-        private void begin(Post next) {
-            post = next;
-            idledMs = fresh ? -1 : idledMs();
+        private void beginCall(Call newCall) {
+            call = newCall;
+            idleBeforeCallMs = fresh ? -1 : idleMs();
             fresh = false;
             head = null;
-            lineRead = false;
+            statusLineRead = false;
             headRead = false;
             body.setLength(0);
-            answerTimer = null;
+            responseTimer = null;
         }
 
         /** The first byte of a response has arrived; the rest has to follow within a time limit. */
-        private void answerBegins() {
-            if (answerTimer == null) {
-                trust.used(nowMs(), idledMs, false);
-                answerTimer = loop.schedule(this::spoilt, ANSWER_MS, TimeUnit.MILLISECONDS);
+        private void responseBegins() {
+            if (responseTimer == null) {
+                idlePolicy.recordUse(nowMs(), idleBeforeCallMs, false);
+                responseTimer = loop.schedule(this::failMalformed, RESPONSE_READ_TIMEOUT_MS, TimeUnit.MILLISECONDS);
             }
         }
 
         /** A 1xx response has ended; the time limit starts again with the final response. */
-        private void interimEnds() {
-            answerTimer.cancel(false);
-            answerTimer = null;
+        private void interimResponseEnds() {
+            responseTimer.cancel(false);
+            responseTimer = null;
         }
 
         private boolean awaitsHead() {
-            return post != null && !headRead;
+            return call != null && !headRead;
         }
 
-        private void firstLine(int code) {
-            lineRead = true;
-            post.firstLine(code);
+        private void statusCodeReceived(int statusCode) {
+            statusLineRead = true;
+            call.statusCodeReceived(statusCode);
         }
 
-        private void waitTold(double waitMs) {
-            if (waitMs > 0) {
-                post.waitMs = waitMs;
-                ends.retryAfterReceived(peer.endpoint, waitMs);
+        private void retryAfterReceived(double retryAfterMs) {
+            if (retryAfterMs > 0) {
+                call.retryAfterMs = retryAfterMs;
+                listener.retryAfterReceived(peer.endpoint, retryAfterMs);
             }
         }
 
@@ -783,61 +792,61 @@
          * Abandons the call by closing the sending side. The receiving side stays open for a moment: a response that is
          * on its way may still carry a Retry-After wait.
          */
-        private void giveUp() {
-            if (!givenUp) {
-                givenUp = true;
+        private void abandon() {
+            if (!abandoned) {
+                abandoned = true;
                 ((DuplexChannel) channel).shutdownOutput();
-                loop.schedule(this::close, CROSSING_MS, TimeUnit.MILLISECONDS);
+                loop.schedule(this::close, LATE_RESPONSE_MS, TimeUnit.MILLISECONDS);
             }
         }
 
         /** The response is malformed or did not end in time: ends the call and closes the connection. */
-        private void spoilt() {
-            if (post != null) {
-                post.spoilt();
-                finish();
+        private void failMalformed() {
+            if (call != null) {
+                call.responseMalformed();
+                detachCall();
             }
             close();
         }
 
         /** Detaches the call from this connection. */
-        private void finish() {
-            if (answerTimer != null) {
-                answerTimer.cancel(false);
+        private void detachCall() {
+            if (responseTimer != null) {
+                responseTimer.cancel(false);
             }
-            post = null;
-            idleSince = System.nanoTime();
+            call = null;
+            idleSinceNanos = System.nanoTime();
         }
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, HttpObject part) {
-            if (post == null || part.decoderResult().isFailure()) {
-                spoilt();
+            if (call == null || part.decoderResult().isFailure()) {
+                failMalformed();
                 return;
             }
             if (part instanceof HttpResponse response) {
                 head = response;
-                post.report = report(response);
-                if (HttpUtil.getContentLength(response, 0L) > LONGEST_BODY) {
-                    spoilt();
+                call.report = parseLoadReport(response);
+                if (HttpUtil.getContentLength(response, 0L) > MAX_BODY_BYTES) {
+                    failMalformed();
                     return;
                 }
             }
             if (part instanceof HttpContent content) {
                 body.append(content.content().toString(StandardCharsets.ISO_8859_1));
-                if (body.length() > LONGEST_BODY) {
-                    spoilt();
+                if (body.length() > MAX_BODY_BYTES) {
+                    failMalformed();
                     return;
                 }
             }
             if (part instanceof LastHttpContent && head.status().codeClass() != HttpStatusClass.INFORMATIONAL) {
-                post.answered(head, body.toString());
+                call.responseReceived(head, body.toString());
                 // If the response came before the request was written, the rest of the request is still in the way.
-                boolean keep = HttpUtil.isKeepAlive(head) && post.flushed && !givenUp
-                        && !answers.holdsMore();
-                finish();
-                if (keep && idle < mostIdle && channel.isActive()) {
-                    rest();
+                boolean reusable = HttpUtil.isKeepAlive(head) && call.fullyWritten && !abandoned
+                        && !decoder.hasUnreadBytes();
+                detachCall();
+                if (reusable && idleConnectionCount < maxIdleConnections && channel.isActive()) {
+                    scheduleReuse();
                 } else {
                     close();
                 }
@@ -845,14 +854,14 @@
         }
 
         /** Makes the connection available for reuse after a delay, unless unexpected bytes arrive before. */
-        private void rest() {
-            loop.schedule(this::rested, REST_MS, TimeUnit.MILLISECONDS);
+        private void scheduleReuse() {
+            loop.schedule(this::makeIdle, REUSE_DELAY_MS, TimeUnit.MILLISECONDS);
         }
 
-        private void rested() {
-            if (channel.isActive() && idle < mostIdle && address.equals(peer.address)) {
+        private void makeIdle() {
+            if (channel.isActive() && idleConnectionCount < maxIdleConnections && address.equals(peer.address)) {
                 fresh = false;
-                peer.keep(this);
+                peer.addIdle(this);
             } else {
                 close();
             }
@@ -861,14 +870,14 @@
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
             if (peer != null) {
-                peer.drop(this);
+                peer.removeIdle(this);
             }
-            if (post != null) {
-                if (answerTimer == null && !post.waiting().isEmpty()) {
-                    trust.used(nowMs(), idledMs, true);
+            if (call != null) {
+                if (responseTimer == null && !call.attemptsInFlight().isEmpty()) {
+                    idlePolicy.recordUse(nowMs(), idleBeforeCallMs, true);
                 }
-                post.lost();
-                finish();
+                call.connectionLost();
+                detachCall();
             }
         }
 
@@ -881,17 +890,17 @@
             return channel.isActive();
         }
 
-        long idledNanos() {
-            return System.nanoTime() - idleSince;
+        long idleNanos() {
+            return System.nanoTime() - idleSinceNanos;
         }
 
-        long idledMs() {
-            return TimeUnit.NANOSECONDS.toMillis(idledNanos());
+        long idleMs() {
+            return TimeUnit.NANOSECONDS.toMillis(idleNanos());
         }
 
         void close() {
             if (peer != null) {
-                peer.drop(this);
+                peer.removeIdle(this);
             }
             channel.close();
         }
--- a/src/main/java/kestreldeal/net/EndpointListParser.java
+++ b/src/main/java/kestreldeal/net/EndpointListParser.java
@@ -28,32 +28,32 @@
     static final int MAX_BATCH_ENTRIES = 512;
     /** Max length of a name or value; valid ones have at most a tenth of that. */
     static final int MAX_TEXT_CHARS = 4096;
-    private static final int DEEPEST = 64;
+    private static final int MAX_NESTING_DEPTH = 64;
     /** Nesting depth of the fields of the list. */
-    private static final int AT_TOP = 1;
+    private static final int LIST_FIELD_DEPTH = 1;
     /** Nesting depth of the fields of an entry. */
-    private static final int IN_ENTRY = 3;
+    private static final int ENTRY_FIELD_DEPTH = 3;
     // Field names come from outside; interning them would cost time, and memory that may never be freed.
     private static final JsonFactory JSON = JsonFactory.builder().disable(JsonFactory.Feature.INTERN_FIELD_NAMES)
             .streamReadConstraints(StreamReadConstraints.builder().maxStringLength(MAX_TEXT_CHARS)
-                    .maxNameLength(MAX_TEXT_CHARS).maxNestingDepth(DEEPEST).build()).build();
+                    .maxNameLength(MAX_TEXT_CHARS).maxNestingDepth(MAX_NESTING_DEPTH).build()).build();
 
-    private final Consumer<List<Discovery.Entry>> portions;
+    private final Consumer<List<Discovery.Entry>> batchConsumer;
     private final JsonParser parser;
-    private List<Discovery.Entry> portion = new ArrayList<>();
+    private List<Discovery.Entry> batch = new ArrayList<>();
     private int depth;
     /** The last field name at the top level. */
-    private String top = "";
+    private String listField = "";
     /** Whether the array of entries is being read. */
     private boolean inInstances;
-    private boolean instancesRead;
-    private boolean generationRead;
+    private boolean instancesSeen;
+    private boolean generationSeen;
     private long generation;
-    private boolean reset;
-    private Draft draft;
+    private boolean fullList;
+    private EntryBuilder currentEntry;
 
     /** Collects the fields of an entry while it is read. */
-    private static final class Draft {
+    private static final class EntryBuilder {
         private String id = "";
         private String hostPort = "";
         private String zone = "";
@@ -62,7 +62,7 @@
         private String lifecycle = "";
         private double weight;
 
-        void field(String name, JsonParser value) throws IOException {
+        void setField(String name, JsonParser value) throws IOException {
             switch (name) {
                 case "instanceId" -> id = value.getText();
                 case "hostPort" -> hostPort = value.getText();
@@ -75,29 +75,29 @@
             }
         }
 
-        Discovery.Entry entry() {
-            boolean gone = lifecycle.equals("DELETED");
+        Discovery.Entry build() {
+            boolean removed = lifecycle.equals("DELETED");
             try {
                 return new Discovery.Entry(id, Optional.of(Config.address(hostPort)), zone, kind, destination,
-                        lifecycle.equals("SERVING"), weight, gone);
+                        lifecycle.equals("SERVING"), weight, removed);
             } catch (InvalidInputException e) {
                 return new Discovery.Entry(id, Optional.empty(), zone, kind, destination, false, weight,
-                        gone);
+                        removed);
             }
         }
     }
 
     /** Creates a parser that is fed with the chunks of a response body. */
-    EndpointListParser(Consumer<List<Discovery.Entry>> portions) {
-        this(portions, nonBlocking());
+    EndpointListParser(Consumer<List<Discovery.Entry>> batchConsumer) {
+        this(batchConsumer, newNonBlockingParser());
     }
 
-    private EndpointListParser(Consumer<List<Discovery.Entry>> portions, JsonParser parser) {
-        this.portions = portions;
+    private EndpointListParser(Consumer<List<Discovery.Entry>> batchConsumer, JsonParser parser) {
+        this.batchConsumer = batchConsumer;
         this.parser = parser;
     }
 
-    private static JsonParser nonBlocking() {
+    private static JsonParser newNonBlockingParser() {
         try {
             return JSON.createNonBlockingByteArrayParser();
         } catch (IOException e) {
@@ -107,16 +107,17 @@
     }
 
     /** Reads the list under this field of a configuration file; returns whether there is one. */
-    static boolean readFile(Path file, String name, Consumer<List<Discovery.Entry>> portions) throws IOException {
+    static boolean readFile(Path file, String fieldName,
+            Consumer<List<Discovery.Entry>> batchConsumer) throws IOException {
         try (JsonParser json = JSON.createParser(Files.newInputStream(file))) {
             json.nextToken();
             while (json.nextToken() == JsonToken.FIELD_NAME) {
-                boolean found = json.currentName().equals(name);
+                boolean found = json.currentName().equals(fieldName);
                 if (json.nextToken() == JsonToken.START_OBJECT && found) {
-                    EndpointListParser reader = new EndpointListParser(portions, json);
-                    reader.takeValue(json.currentToken());
-                    reader.rest();
-                    return reader.instancesRead;
+                    EndpointListParser listParser = new EndpointListParser(batchConsumer, json);
+                    listParser.handleToken(json.currentToken());
+                    listParser.readRemaining();
+                    return listParser.instancesSeen;
                 }
                 json.skipChildren();
             }
@@ -125,34 +126,34 @@
     }
 
     /** Parses the next chunk of the body. */
-    void feed(ByteBuf piece) throws IOException {
+    void feed(ByteBuf chunk) throws IOException {
         ByteArrayFeeder feeder = (ByteArrayFeeder) parser.getNonBlockingInputFeeder();
-        byte[] bytes = piece.hasArray() ? piece.array() : ByteBufUtil.getBytes(piece);
-        int from = piece.hasArray() ? piece.arrayOffset() + piece.readerIndex() : 0;
-        feeder.feedInput(bytes, from, from + piece.readableBytes());
+        byte[] bytes = chunk.hasArray() ? chunk.array() : ByteBufUtil.getBytes(chunk);
+        int from = chunk.hasArray() ? chunk.arrayOffset() + chunk.readerIndex() : 0;
+        feeder.feedInput(bytes, from, from + chunk.readableBytes());
         for (JsonToken token = parser.nextToken(); token != JsonToken.NOT_AVAILABLE; token = parser.nextToken()) {
-            takeValue(token);
+            handleToken(token);
         }
     }
 
     /** Ends the body, and passes on the last batch. Throws if the JSON is incomplete. */
     void end() throws IOException {
         ((ByteArrayFeeder) parser.getNonBlockingInputFeeder()).endOfInput();
-        rest();
+        readRemaining();
     }
 
-    private void rest() throws IOException {
+    private void readRemaining() throws IOException {
         for (JsonToken token = parser.nextToken(); token != null && depth > 0; token = parser.nextToken()) {
-            takeValue(token);
+            handleToken(token);
         }
-        if (depth == 0 && instancesRead) {
-            handOn();
+        if (depth == 0 && instancesSeen) {
+            flushBatch();
         }
     }
 
     /** Whether a complete list was read; {@link #generation} and {@link #isFullList} are valid only then. */
     boolean isComplete() {
-        return depth == 0 && generationRead && instancesRead;
+        return depth == 0 && generationSeen && instancesSeen;
     }
 
     long generation() {
@@ -161,56 +162,56 @@
 
     /** Whether the list is full, that is, names all endpoints that exist. */
     boolean isFullList() {
-        return reset;
+        return fullList;
     }
 
-    private void takeValue(JsonToken token) throws IOException {
+    private void handleToken(JsonToken token) throws IOException {
         if (token.isStructStart()) {
-            if (depth == AT_TOP) {
-                inInstances = token == JsonToken.START_ARRAY && top.equals("instances");
-                instancesRead |= inInstances;
+            if (depth == LIST_FIELD_DEPTH) {
+                inInstances = token == JsonToken.START_ARRAY && listField.equals("instances");
+                instancesSeen |= inInstances;
             }
             depth++;
-            if (inInstances && depth == IN_ENTRY && token == JsonToken.START_OBJECT) {
-                draft = new Draft();
+            if (inInstances && depth == ENTRY_FIELD_DEPTH && token == JsonToken.START_OBJECT) {
+                currentEntry = new EntryBuilder();
             }
         } else if (token.isStructEnd()) {
-            if (draft != null && depth == IN_ENTRY) {
-                take(draft.entry());
-                draft = null;
+            if (currentEntry != null && depth == ENTRY_FIELD_DEPTH) {
+                addToBatch(currentEntry.build());
+                currentEntry = null;
             }
             depth--;
-            inInstances &= depth > AT_TOP;
+            inInstances &= depth > LIST_FIELD_DEPTH;
         } else if (token == JsonToken.FIELD_NAME) {
-            top = depth == AT_TOP ? parser.currentName() : top;
-        } else if (depth == AT_TOP) {
-            takeTop(token);
-        } else if (draft != null && depth == IN_ENTRY) {
-            draft.field(parser.currentName(), parser);
+            listField = depth == LIST_FIELD_DEPTH ? parser.currentName() : listField;
+        } else if (depth == LIST_FIELD_DEPTH) {
+            handleListField(token);
+        } else if (currentEntry != null && depth == ENTRY_FIELD_DEPTH) {
+            currentEntry.setField(parser.currentName(), parser);
         }
     }
 
-    private void takeTop(JsonToken token) throws IOException {
-        if (top.equals("generation") && token == JsonToken.VALUE_NUMBER_INT) {
+    private void handleListField(JsonToken token) throws IOException {
+        if (listField.equals("generation") && token == JsonToken.VALUE_NUMBER_INT) {
             generation = parser.getLongValue();
-            generationRead = true;
-        } else if (top.equals("reset")) {
-            reset = token == JsonToken.VALUE_TRUE;
+            generationSeen = true;
+        } else if (listField.equals("reset")) {
+            fullList = token == JsonToken.VALUE_TRUE;
         }
     }
 
-    private void take(Discovery.Entry entry) {
-        portion.add(entry);
-        if (portion.size() == MAX_BATCH_ENTRIES) {
-            handOn();
+    private void addToBatch(Discovery.Entry entry) {
+        batch.add(entry);
+        if (batch.size() == MAX_BATCH_ENTRIES) {
+            flushBatch();
         }
     }
 
-    private void handOn() {
-        if (!portion.isEmpty()) {
-            List<Discovery.Entry> full = portion;
-            portion = new ArrayList<>();
-            portions.accept(full);
+    private void flushBatch() {
+        if (!batch.isEmpty()) {
+            List<Discovery.Entry> completed = batch;
+            batch = new ArrayList<>();
+            batchConsumer.accept(completed);
         }
     }
 }
--- a/src/main/java/kestreldeal/net/EndpointRegistry.java
+++ b/src/main/java/kestreldeal/net/EndpointRegistry.java
@@ -21,8 +21,8 @@
     static final class RegisteredEndpoint {
         private final String id;
         private final long number;
-        /** The last update that named it, as counted by {@link EndpointRegistry#answer}. */
-        private int namedIn = -1;
+        /** The last update that named it, as counted by {@link EndpointRegistry#updateCount}. */
+        private int lastNamedIn = -1;
         private Destination destination;
 
         private RegisteredEndpoint(String id, long number) {
@@ -45,13 +45,13 @@
 
         /** The rate in the latest entry for any endpoint of its destination. */
         double listedRate() {
-            return destination.rate;
+            return destination.listedRate;
         }
     }
 
     private static final class Destination {
         private final long number;
-        private double rate;
+        private double listedRate;
 
         Destination(long number) {
             this.number = number;
@@ -62,37 +62,37 @@
     private final LongObjectMap<RegisteredEndpoint> byNumber = new LongObjectHashMap<>();
     private final LongObjectMap<Destination> destinations = new LongObjectHashMap<>();
     /** Endpoints that the list does not name, with the {@link System#nanoTime} of their removal; the oldest first. */
-    private final Map<RegisteredEndpoint, Long> goneSince = new LinkedHashMap<>();
-    private final int most;
-    private long next;
-    private int answer;
-    private int passedOver;
+    private final Map<RegisteredEndpoint, Long> removedSince = new LinkedHashMap<>();
+    private final int maxEndpoints;
+    private long nextNumber;
+    private int updateCount;
+    private int skippedCount;
 
     /** The number of endpoints is limited, since each takes memory here, in the client and in the decision module. */
-    EndpointRegistry(int most) {
-        this.most = most;
+    EndpointRegistry(int maxEndpoints) {
+        this.maxEndpoints = maxEndpoints;
     }
 
     /** Returns the number of an endpoint; a new one gets a new number, and counts as removed until a list names it. */
     long getOrAssignNumber(String id, long nowNanos) {
-        return listed(id, nowNanos).number;
+        return getOrCreate(id, nowNanos).number;
     }
 
-    private RegisteredEndpoint listed(String id, long nowNanos) {
-        RegisteredEndpoint known = byId.get(id);
-        if (known == null) {
-            known = new RegisteredEndpoint(id, next++);
-            byId.put(id, known);
-            byNumber.put(known.number, known);
-            goneSince.put(known, nowNanos);
+    private RegisteredEndpoint getOrCreate(String id, long nowNanos) {
+        RegisteredEndpoint endpoint = byId.get(id);
+        if (endpoint == null) {
+            endpoint = new RegisteredEndpoint(id, nextNumber++);
+            byId.put(id, endpoint);
+            byNumber.put(endpoint.number, endpoint);
+            removedSince.put(endpoint, nowNanos);
         }
-        return known;
+        return endpoint;
     }
 
     /** Returns the number of an endpoint, if it is known. */
     OptionalLong findNumber(String id) {
-        RegisteredEndpoint known = byId.get(id);
-        return known == null ? OptionalLong.empty() : OptionalLong.of(known.number);
+        RegisteredEndpoint endpoint = byId.get(id);
+        return endpoint == null ? OptionalLong.empty() : OptionalLong.of(endpoint.number);
     }
 
     /** Returns the destination of an endpoint, if a list has named it. */
@@ -112,13 +112,13 @@
 
     /** Starts an update; {@link #register} is called for each of its entries. */
     void beginUpdate() {
-        answer++;
-        passedOver = 0;
+        updateCount++;
+        skippedCount = 0;
     }
 
     /** Entries of the current update that were skipped because the registry is full. */
     int skippedCount() {
-        return passedOver;
+        return skippedCount;
     }
 
     /**
@@ -126,39 +126,39 @@
      * destination. It counts as removed, and the endpoint that has the id now gets a new number.
      */
     Optional<RegisteredEndpoint> findDisplaced(Discovery.Entry entry, long nowNanos) {
-        RegisteredEndpoint known = byId.get(entry.id());
-        if (entry.removed() || known == null || known.destination == null
-                || known.destination.number == entry.destination()) {
+        RegisteredEndpoint endpoint = byId.get(entry.id());
+        if (entry.removed() || endpoint == null || endpoint.destination == null
+                || endpoint.destination.number == entry.destination()) {
             return Optional.empty();
         }
-        byId.remove(known.id);
-        goneSince.putIfAbsent(known, nowNanos);
-        return Optional.of(known);
+        byId.remove(endpoint.id);
+        removedSince.putIfAbsent(endpoint, nowNanos);
+        return Optional.of(endpoint);
     }
 
     /** Registers an entry of the update and returns the endpoint's number; empty if it is new and there is no room. */
     OptionalLong register(Discovery.Entry entry, long nowNanos) {
-        if (byId.size() >= most && !byId.containsKey(entry.id())) {
-            passedOver++;
+        if (byId.size() >= maxEndpoints && !byId.containsKey(entry.id())) {
+            skippedCount++;
             return OptionalLong.empty();
         }
-        RegisteredEndpoint known = listed(entry.id(), nowNanos);
-        known.namedIn = answer;
+        RegisteredEndpoint endpoint = getOrCreate(entry.id(), nowNanos);
+        endpoint.lastNamedIn = updateCount;
         Destination destination = destinations.get(entry.destination());
         if (destination == null) {
             destination = new Destination(entry.destination());
             destinations.put(entry.destination(), destination);
         }
-        destination.rate = entry.weight();
-        if (!entry.removed() || known.destination == null) {
-            known.destination = destination;
+        destination.listedRate = entry.weight();
+        if (!entry.removed() || endpoint.destination == null) {
+            endpoint.destination = destination;
         }
         if (entry.removed()) {
-            goneSince.putIfAbsent(known, nowNanos);
+            removedSince.putIfAbsent(endpoint, nowNanos);
         } else {
-            goneSince.remove(known);
+            removedSince.remove(endpoint);
         }
-        return OptionalLong.of(known.number);
+        return OptionalLong.of(endpoint.number);
     }
 
     /**
@@ -166,29 +166,29 @@
      * were not removed before.
      */
     List<RegisteredEndpoint> markUnnamedRemoved(long nowNanos) {
-        List<RegisteredEndpoint> left = new ArrayList<>();
-        for (RegisteredEndpoint known : byId.values()) {
-            if (known.namedIn != answer && goneSince.putIfAbsent(known, nowNanos) == null) {
-                left.add(known);
+        List<RegisteredEndpoint> newlyRemoved = new ArrayList<>();
+        for (RegisteredEndpoint endpoint : byId.values()) {
+            if (endpoint.lastNamedIn != updateCount && removedSince.putIfAbsent(endpoint, nowNanos) == null) {
+                newlyRemoved.add(endpoint);
             }
         }
-        return left;
+        return newlyRemoved;
     }
 
     /** Evicts and returns the endpoints that were removed longer ago than this. */
-    List<RegisteredEndpoint> evictRemoved(long nowNanos, long afterNanos) {
-        List<RegisteredEndpoint> old = new ArrayList<>();
-        Iterator<Map.Entry<RegisteredEndpoint, Long>> gone = goneSince.entrySet().iterator();
-        while (gone.hasNext()) {
-            Map.Entry<RegisteredEndpoint, Long> oldest = gone.next();
-            if (nowNanos - oldest.getValue() <= afterNanos) {
+    List<RegisteredEndpoint> evictRemoved(long nowNanos, long maxAgeNanos) {
+        List<RegisteredEndpoint> evicted = new ArrayList<>();
+        Iterator<Map.Entry<RegisteredEndpoint, Long>> oldestFirst = removedSince.entrySet().iterator();
+        while (oldestFirst.hasNext()) {
+            Map.Entry<RegisteredEndpoint, Long> oldest = oldestFirst.next();
+            if (nowNanos - oldest.getValue() <= maxAgeNanos) {
                 break;
             }
-            gone.remove();
-            old.add(oldest.getKey());
+            oldestFirst.remove();
+            evicted.add(oldest.getKey());
             byId.remove(oldest.getKey().id, oldest.getKey());
             byNumber.remove(oldest.getKey().number);
         }
-        return old;
+        return evicted;
     }
 }
--- a/src/main/java/kestreldeal/net/IdleConnectionPolicy.java
+++ b/src/main/java/kestreldeal/net/IdleConnectionPolicy.java
@@ -8,56 +8,56 @@
  */
 final class IdleConnectionPolicy {
     /** Buckets of idle times in milliseconds, by powers of two. */
-    private static final int STEPS = 16;
+    private static final int BUCKETS = 16;
     /** Min loss rate at which an idle time is avoided. */
-    private static final double LOST_SHARE = 0.2;
+    private static final double MIN_LOSS_RATE = 0.2;
     /** Min number of losses at which an idle time is avoided. */
-    private static final double LEAST_LOST = 3;
+    private static final double MIN_LOSSES = 3;
     /** Min ratio of the loss rate to that of fresh connections at which an idle time is avoided. */
-    private static final double OVER_FRESH = 2;
+    private static final double MIN_RATIO_TO_FRESH = 2;
     /** Interval at which all counts are halved. */
-    private static final long HALF_MS = 10_000;
+    private static final long HALF_LIFE_MS = 10_000;
 
     /** Counts by bucket; index 0 is for fresh connections. */
-    private final double[] uses = new double[STEPS + 1];
-    private final double[] losses = new double[STEPS + 1];
-    private long halvedAtMs = Long.MIN_VALUE;
+    private final double[] uses = new double[BUCKETS + 1];
+    private final double[] losses = new double[BUCKETS + 1];
+    private long lastHalvedMs = Long.MIN_VALUE;
 
     /**
      * Records a call on a connection that had been idle for this time (-1 for a fresh one): whether the connection was
      * lost before the response began.
      */
-    void used(long nowMs, long idleMs, boolean lost) {
-        fade(nowMs);
-        uses[step(idleMs)]++;
-        losses[step(idleMs)] += lost ? 1 : 0;
+    void recordUse(long nowMs, long idleMs, boolean lost) {
+        decay(nowMs);
+        uses[bucketOf(idleMs)]++;
+        losses[bucketOf(idleMs)] += lost ? 1 : 0;
     }
 
     /** Whether a connection that has been idle for this time may be reused. */
-    boolean trusts(long nowMs, long idleMs) {
-        fade(nowMs);
-        for (int i = 1; i <= step(idleMs); i++) {
-            if (losses[i] >= LEAST_LOST && share(i) >= Math.max(LOST_SHARE, OVER_FRESH * share(0))) {
+    boolean mayReuse(long nowMs, long idleMs) {
+        decay(nowMs);
+        for (int i = 1; i <= bucketOf(idleMs); i++) {
+            if (losses[i] >= MIN_LOSSES && lossRate(i) >= Math.max(MIN_LOSS_RATE, MIN_RATIO_TO_FRESH * lossRate(0))) {
                 return false;
             }
         }
         return true;
     }
 
-    private double share(int step) {
-        return uses[step] == 0 ? 0 : losses[step] / uses[step];
+    private double lossRate(int bucket) {
+        return uses[bucket] == 0 ? 0 : losses[bucket] / uses[bucket];
     }
 
-    private static int step(long idleMs) {
-        return idleMs < 0 ? 0 : Math.min(STEPS, 64 - Long.numberOfLeadingZeros(idleMs | 1));
+    private static int bucketOf(long idleMs) {
+        return idleMs < 0 ? 0 : Math.min(BUCKETS, 64 - Long.numberOfLeadingZeros(idleMs | 1));
     }
 
-    private void fade(long nowMs) {
-        if (halvedAtMs == Long.MIN_VALUE) {
-            halvedAtMs = nowMs;
+    private void decay(long nowMs) {
+        if (lastHalvedMs == Long.MIN_VALUE) {
+            lastHalvedMs = nowMs;
         }
-        for (; nowMs - halvedAtMs >= HALF_MS; halvedAtMs += HALF_MS) {
-            for (int i = 0; i <= STEPS; i++) {
+        for (; nowMs - lastHalvedMs >= HALF_LIFE_MS; lastHalvedMs += HALF_LIFE_MS) {
+            for (int i = 0; i <= BUCKETS; i++) {
                 uses[i] /= 2;
                 losses[i] /= 2;
             }
--- a/src/main/java/kestreldeal/net/NoticeClient.java
+++ b/src/main/java/kestreldeal/net/NoticeClient.java
@@ -27,91 +27,91 @@
  */
 final class NoticeClient {
     /** The protocol limits a body to 64 KiB. */
-    private static final int MOST_BYTES = 60_000;
+    private static final int MAX_BODY_BYTES = 60_000;
     /** The agent responds at once; after this time its connection counts as broken. */
-    private static final long SILENT_MS = 500;
-    private static final long PAUSE_MS = 100;
+    private static final long RESPONSE_TIMEOUT_MS = 500;
+    private static final long RETRY_DELAY_MS = 100;
     /** A notice is dropped after this many rejections. */
-    private static final int MOST_REFUSALS = 5;
+    private static final int MAX_REJECTIONS = 5;
 
     private final EventLoop loop;
-    private final Consumer<AcceptedMessage> heard;
+    private final Consumer<AcceptedMessage> onDelivered;
     private final JsonMapper json = JsonMapper.builder().build();
-    private final Deque<Owed> waiting = new ArrayDeque<>();
+    private final Deque<PendingNotice> queue = new ArrayDeque<>();
     /** The notices in the current request; empty if there is none. */
-    private List<Owed> told = List.of();
+    private List<PendingNotice> inFlight = List.of();
     private AgentClient agent;
-    private boolean pausing;
+    private boolean retryScheduled;
     private boolean stopped;
 
     /** A notice that is not yet delivered, with the number of rejected requests that contained it. */
-    private static final class Owed {
-        private final AcceptedMessage held;
-        private int refusals;
+    private static final class PendingNotice {
+        private final AcceptedMessage message;
+        private int rejections;
 
-        Owed(AcceptedMessage held) {
-            this.held = held;
+        PendingNotice(AcceptedMessage message) {
+            this.message = message;
         }
     }
 
-    NoticeClient(EventLoop loop, AgentClient agent, Consumer<AcceptedMessage> heard) {
+    NoticeClient(EventLoop loop, AgentClient agent, Consumer<AcceptedMessage> onDelivered) {
         this.loop = loop;
         this.agent = agent;
-        this.heard = heard;
+        this.onDelivered = onDelivered;
     }
 
     /** Queues the pending notice of a message for delivery. */
-    void enqueue(AcceptedMessage held) {
-        waiting.add(new Owed(held));
-        tell();
+    void enqueue(AcceptedMessage message) {
+        queue.add(new PendingNotice(message));
+        sendNext();
     }
 
     /** Number of notices that are not yet delivered. */
     int pendingCount() {
-        return waiting.size() + told.size();
+        return queue.size() + inFlight.size();
     }
 
     /** Switches to another agent, which also gets the notices that the old one has not acknowledged. */
-    void switchAgent(AgentClient other) {
+    void switchAgent(AgentClient newAgent) {
         agent.close();
-        agent = other;
-        putBack();
-        tell();
+        agent = newAgent;
+        requeueInFlight();
+        sendNext();
     }
 
     /** Stops all deliveries: another process takes over the notices, also those not yet acknowledged. */
     void stop() {
         stopped = true;
         agent.close();
-        waiting.clear();
-        told = List.of();
+        queue.clear();
+        inFlight = List.of();
     }
 
-    private void tell() {
-        if (stopped || pausing || !told.isEmpty() || waiting.isEmpty()) {
+    private void sendNext() {
+        if (stopped || retryScheduled || !inFlight.isEmpty() || queue.isEmpty()) {
             return;
         }
         ByteArrayOutputStream body = new ByteArrayOutputStream();
-        List<Owed> batch = new ArrayList<>();
-        boolean alone = waiting.peek().refusals > 0;
-        byte[] line = line(waiting.peek().held);
+        List<PendingNotice> batch = new ArrayList<>();
+        boolean alone = queue.peek().rejections > 0;
+        byte[] line = encodeLine(queue.peek().message);
         do {
             body.writeBytes(line);
-            batch.add(waiting.remove());
-            line = waiting.isEmpty() ? line : line(waiting.peek().held);
-        } while (!alone && !waiting.isEmpty() && waiting.peek().refusals == 0
-                && body.size() + line.length <= MOST_BYTES);
-        told = batch;
+            batch.add(queue.remove());
+            line = queue.isEmpty() ? line : encodeLine(queue.peek().message);
+        } while (!alone && !queue.isEmpty() && queue.peek().rejections == 0
+                && body.size() + line.length <= MAX_BODY_BYTES);
+        inFlight = batch;
         agent.send(new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.POST, "/reports",
-                Unpooled.wrappedBuffer(body.toByteArray())), SILENT_MS, new Answer());
+                Unpooled.wrappedBuffer(body.toByteArray())), RESPONSE_TIMEOUT_MS, new ReportResponse());
     }
 
-    private final class Answer implements AgentClient.ResponseHandler {
+    private final class ReportResponse implements AgentClient.ResponseHandler {
         private int status;
 
         @Override
-        public void responseStarted(int code) {
-            status = code;
+        public void responseStarted(int statusCode) {
+            status = statusCode;
         }
 
         @Override
@@ -120,62 +120,63 @@
         }
 
         @Override
-        public void responseEnded(Optional<String> fault) {
-            if (fault.isPresent()) {
-                putBack();
+        public void responseEnded(Optional<String> error) {
+            if (error.isPresent()) {
+                requeueInFlight();
             } else if (status == HttpResponseStatus.NO_CONTENT.code()) {
-                heard();
+                acknowledged();
                 return;
             } else if (status == HttpResponseStatus.BAD_REQUEST.code()) {
-                refused();
+                rejected();
             } else {
-                putBack();
+                requeueInFlight();
             }
-            tellLater();
+            scheduleRetry();
         }
     }
 
-    private void heard() {
-        List<Owed> done = told;
-        told = List.of();
-        done.forEach(owed -> heard.accept(owed.held));
-        tell();
+    private void acknowledged() {
+        List<PendingNotice> delivered = inFlight;
+        inFlight = List.of();
+        delivered.forEach(notice -> onDelivered.accept(notice.message));
+        sendNext();
     }
 
     /** The agent rejected the request as invalid: its notices are sent one by one from now on, after all others. */
-    private void refused() {
-        List<Owed> unread = told;
-        told = List.of();
-        for (Owed owed : unread) {
-            owed.refusals++;
-            if (owed.refusals < MOST_REFUSALS) {
-                waiting.add(owed);
+    private void rejected() {
+        List<PendingNotice> rejectedNotices = inFlight;
+        inFlight = List.of();
+        for (PendingNotice notice : rejectedNotices) {
+            notice.rejections++;
+            if (notice.rejections < MAX_REJECTIONS) {
+                queue.add(notice);
             } else {
-                Log.write("the agent rejects the notice of a final result, which is dropped; message " + owed.held.id);
-                heard.accept(owed.held);
+                Log.write("the agent rejects the notice of a final result, which is dropped; message "
+                        + notice.message.id);
+                onDelivered.accept(notice.message);
             }
         }
     }
 
-    private void tellLater() {
-        pausing = true;
+    private void scheduleRetry() {
+        retryScheduled = true;
         loop.schedule(() -> {
-            pausing = false;
-            tell();
-        }, PAUSE_MS, TimeUnit.MILLISECONDS);
+            retryScheduled = false;
+            sendNext();
+        }, RETRY_DELAY_MS, TimeUnit.MILLISECONDS);
     }
 
     /** Puts the notices of the current request back at the head of the queue, in their order. */
-    private void putBack() {
-        for (int i = told.size() - 1; i >= 0; i--) {
-            waiting.addFirst(told.get(i));
+    private void requeueInFlight() {
+        for (int i = inFlight.size() - 1; i >= 0; i--) {
+            queue.addFirst(inFlight.get(i));
         }
-        told = List.of();
+        inFlight = List.of();
     }
 
-    private byte[] line(AcceptedMessage held) {
-        AcceptedMessage.Notice notice = held.owed.orElseThrow();
-        ObjectNode line = json.createObjectNode().put("ref", held.id)
+    private byte[] encodeLine(AcceptedMessage message) {
+        AcceptedMessage.Notice notice = message.owed.orElseThrow();
+        ObjectNode line = json.createObjectNode().put("ref", message.id)
                 .put("result", notice.bounced() ? "bounced" : "dead");
         if (notice.bounced() && notice.waitMs() > 0) {
             line.put("wait_ms", (long) Math.ceil(notice.waitMs()));
--- a/src/main/java/kestreldeal/net/SendGuard.java
+++ b/src/main/java/kestreldeal/net/SendGuard.java
@@ -10,9 +10,9 @@
  */
 final class SendGuard {
     /** Allowance for a delay of this process between reading the clock and writing the call. */
-    private static final double HELD_UP_MS = 150;
+    private static final double MAX_WRITE_DELAY_MS = 150;
     /** Allowance for the time that a call takes to reach the endpoint. */
-    private static final double TRAVEL_MS = 100;
+    private static final double MAX_NETWORK_DELAY_MS = 100;
 
     /** Why an attempt that was decided is not written. */
     enum SuppressionReason {
@@ -27,41 +27,42 @@
     }
 
     private final Relay.Settings settings;
-    private final List<String> classes;
+    private final List<String> classNames;
 
-    SendGuard(Relay.Settings settings, List<String> classes) {
+    SendGuard(Relay.Settings settings, List<String> classNames) {
         this.settings = settings;
-        this.classes = classes;
+        this.classNames = classNames;
     }
 
-    private Relay.MessageClass type(AcceptedMessage held) {
-        return settings.classes().get(classes.indexOf(held.messageClass));
+    private Relay.MessageClass classOf(AcceptedMessage message) {
+        return settings.classes().get(classNames.indexOf(message.messageClass));
     }
 
     /** Returns the invariant that one more attempt, at an endpoint of this destination, would violate. */
-    Optional<Invariants.Rule> violatedRule(AcceptedMessage held, long destination) {
-        if (destination != held.destination) {
+    Optional<Invariants.Rule> violatedRule(AcceptedMessage message, long destination) {
+        if (destination != message.destination) {
             return Optional.of(Invariants.Rule.OWN_DESTINATION);
         }
-        if (held.attempts.size() >= settings.maxAttempts()) {
+        if (message.attempts.size() >= settings.maxAttempts()) {
             return Optional.of(Invariants.Rule.ATTEMPT_LIMIT);
         }
-        boolean mayRunTwice = type(held).effect() == Relay.Effect.UNSAFE && held.mayHaveRun();
+        boolean mayRunTwice = classOf(message).effect() == Relay.Effect.UNSAFE && message.mayHaveRun();
         return mayRunTwice ? Optional.of(Invariants.Rule.SINGLE_EFFECT) : Optional.empty();
     }
 
     /** Returns why an attempt that was decided before must not be written now; empty if it may be. */
-    Optional<SuppressionReason> suppressionReason(AcceptedMessage held, int attempt, boolean endpointOpen,
+    Optional<SuppressionReason> suppressionReason(AcceptedMessage message, int attemptNumber, boolean endpointEligible,
             long nowNanos) {
-        if (held.over) {
+        if (message.over) {
             return Optional.of(SuppressionReason.MESSAGE_OVER);
         }
-        if (!endpointOpen) {
+        if (!endpointEligible) {
             return Optional.of(SuppressionReason.ENDPOINT_CLOSED);
         }
-        Relay.MessageClass type = type(held);
-        boolean inWindow = type.effect() != Relay.Effect.KEYED
-                || held.isInWindow(attempt, nowNanos, type.dedupWindowMs() - HELD_UP_MS - TRAVEL_MS);
+        Relay.MessageClass messageClass = classOf(message);
+        boolean inWindow = messageClass.effect() != Relay.Effect.KEYED
+                || message.isInWindow(attemptNumber, nowNanos,
+                        messageClass.dedupWindowMs() - MAX_WRITE_DELAY_MS - MAX_NETWORK_DELAY_MS);
         return inWindow ? Optional.empty() : Optional.of(SuppressionReason.WINDOW_PASSED);
     }
 }
--- a/src/test/java/kestreldeal/net/ConnectFailureTest.java
+++ b/src/test/java/kestreldeal/net/ConnectFailureTest.java
@@ -32,53 +32,53 @@
 class ConnectFailureTest {
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
-    private final BlockingQueue<Outcome> ends = new LinkedBlockingQueue<>();
+    private final BlockingQueue<Outcome> outcomes = new LinkedBlockingQueue<>();
     /** The failures of the next connects, in order; with {@code forGood} the first one repeats. */
     private final Deque<Supplier<Exception>> failures = new ArrayDeque<>();
-    private boolean forGood;
-    private int connects;
+    private boolean repeatFirst;
+    private int connectCount;
     private StubServer stub;
-    private EndpointClient endpoints;
+    private EndpointClient client;
 
     private final class FailingChannel extends NioSocketChannel {
         @Override
         protected boolean doConnect(SocketAddress remote, SocketAddress local) throws Exception {
-            connects++;
+            connectCount++;
             if (!failures.isEmpty()) {
-                throw (forGood ? failures.peek() : failures.remove()).get();
+                throw (repeatFirst ? failures.peek() : failures.remove()).get();
             }
             return super.doConnect(remote, local);
         }
     }
 
     @BeforeEach
-    void open() throws Exception {
+    void setUp() throws Exception {
         stub = new StubServer(StubServer.status(200, ""));
         loop.submit(() -> {
-            endpoints = new EndpointClient(loop, 1000, 15_000, 4,
-                    (call, outcome, gone, waitMs, report) -> ends.add(outcome),
+            client = new EndpointClient(loop, 1000, 15_000, 4,
+                    (attempt, outcome, messageFinished, retryAfterMs, report) -> outcomes.add(outcome),
                     FailingChannel::new, MachineClock.system());
-            endpoints.updateEndpoint(1, stub.address(), true, 1);
+            client.updateEndpoint(1, stub.address(), true, 1);
         }).sync();
     }
 
     @AfterEach
-    void close() throws Exception {
+    void tearDown() throws Exception {
         stub.close();
         group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS).syncUninterruptibly();
     }
 
     private Outcome call() throws Exception {
-        AcceptedMessage held = AcceptedMessage.withTimeLeft(1, "id", "order", "", Optional.of("key"), 7, 20_000,
+        AcceptedMessage message = AcceptedMessage.withTimeLeft(1, "id", "order", "", Optional.of("key"), 7, 20_000,
                 new byte[1], MachineClock.system());
-        loop.execute(() -> endpoints.startAttempt(held, 0, 1, 20_000, System.nanoTime()));
-        return ends.poll(30, TimeUnit.SECONDS);
+        loop.execute(() -> client.startAttempt(message, 0, 1, 20_000, System.nanoTime()));
+        return outcomes.poll(30, TimeUnit.SECONDS);
     }
 
-    private void failWith(boolean always, List<Supplier<Exception>> with) throws Exception {
+    private void failWith(boolean repeat, List<Supplier<Exception>> newFailures) throws Exception {
         loop.submit(() -> {
-            failures.addAll(with);
-            forGood = always;
+            failures.addAll(newFailures);
+            repeatFirst = repeat;
         }).sync();
     }
 
@@ -96,20 +96,20 @@
 
     @ParameterizedTest
     @MethodSource("momentary")
-    void oneThatFailsForAMomentIsTriedAgain(Supplier<Exception> failure) throws Exception {
+    void temporaryFailureIsRetried(Supplier<Exception> failure) throws Exception {
         failWith(false, List.of(failure, failure));
         assertEquals(Outcome.DELIVERED, call());
-        assertEquals(3, connects);
+        assertEquals(3, connectCount);
     }
 
     @Test
-    void whatTheMachineCantDoForLongIsNoWordOfTheEndpoint() throws Exception {
+    void lastingLocalFailureIsNotAttributedToTheEndpoint() throws Exception {
         failWith(true, List.of(failure(() -> new BindException("Cannot assign requested address"))));
         assertEquals(Outcome.NOT_SENT, call());
     }
 
     @Test
-    void anEndpointThatCantBeReachedForLongIsUnreachable() throws Exception {
+    void endpointWithoutARouteForLongIsUnreachable() throws Exception {
         failWith(true, List.of(failure(() -> new NoRouteToHostException("No route to host"))));
         assertEquals(Outcome.UNREACHABLE, call());
     }
@@ -117,10 +117,10 @@
     /** The remote side has refused the connection: the connect is not retried. */
     @ParameterizedTest
     @MethodSource("refusals")
-    void aRefusalIsTakenAtItsWord(Supplier<Exception> refusal) throws Exception {
+    void refusedConnectIsNotRetried(Supplier<Exception> refusal) throws Exception {
         failWith(true, List.of(refusal));
         assertEquals(Outcome.UNREACHABLE, call());
-        assertEquals(1, connects);
+        assertEquals(1, connectCount);
     }
 
     private static Stream<Supplier<Exception>> refusals() {
--- a/src/test/java/kestreldeal/net/ConnectorTest.java
+++ b/src/test/java/kestreldeal/net/ConnectorTest.java
@@ -18,39 +18,39 @@
 class ConnectorTest {
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
-    private final CompletableFuture<Boolean> inLoop = new CompletableFuture<>();
-    private final CompletableFuture<Optional<Channel>> told = new CompletableFuture<>();
+    private final CompletableFuture<Boolean> reportedInLoop = new CompletableFuture<>();
+    private final CompletableFuture<Optional<Channel>> result = new CompletableFuture<>();
 
     @AfterEach
-    void close() {
+    void tearDown() {
         group.shutdownGracefully(0, 0, TimeUnit.MILLISECONDS).syncUninterruptibly();
     }
 
-    private void connect(Connector connector, StubServer to) {
-        loop.execute(() -> connector.connect(to.address(), open -> {
-            inLoop.complete(loop.inEventLoop());
-            told.complete(open);
+    private void connect(Connector connector, StubServer target) {
+        loop.execute(() -> connector.connect(target.address(), channel -> {
+            reportedInLoop.complete(loop.inEventLoop());
+            result.complete(channel);
         }));
     }
 
     /** As when no file descriptor is free: the callers of the connector run on the event loop's thread only. */
     @Test
-    void aChannelThatCantBeMadeIsToldOnTheLoopsThread() throws Exception {
+    void channelCreationFailureIsReportedOnTheEventLoop() throws Exception {
         try (StubServer stub = new StubServer(StubServer.silent())) {
             connect(new Connector(loop, 1000, channel -> { }, () -> {
                 throw new ChannelException("too many open files");
             }), stub);
-            assertEquals(Optional.empty(), told.get(30, TimeUnit.SECONDS));
-            assertTrue(inLoop.get());
+            assertEquals(Optional.empty(), result.get(30, TimeUnit.SECONDS));
+            assertTrue(reportedInLoop.get());
         }
     }
 
     @Test
-    void anOpenConnectionIsTold() throws Exception {
+    void openConnectionIsReportedOnTheEventLoop() throws Exception {
         try (StubServer stub = new StubServer(StubServer.silent())) {
             connect(new Connector(loop, 1000, channel -> { }), stub);
-            assertTrue(told.get(30, TimeUnit.SECONDS).orElseThrow().isActive());
-            assertTrue(inLoop.get());
+            assertTrue(result.get(30, TimeUnit.SECONDS).orElseThrow().isActive());
+            assertTrue(reportedInLoop.get());
         }
     }
 }
--- a/src/test/java/kestreldeal/net/EndpointListParserTest.java
+++ b/src/test/java/kestreldeal/net/EndpointListParserTest.java
@@ -42,8 +42,8 @@
 
     @TempDir
     private Path folder;
-    private final List<List<Discovery.Entry>> portions = new ArrayList<>();
-    private final EndpointListParser reader = new EndpointListParser(portions::add);
+    private final List<List<Discovery.Entry>> batches = new ArrayList<>();
+    private final EndpointListParser parser = new EndpointListParser(batches::add);
 
     private static ByteBuf bytes(String text) {
         return Unpooled.wrappedBuffer(text.getBytes(StandardCharsets.UTF_8));
@@ -62,98 +62,99 @@
     }
 
     @Test
-    void aListIsTheSameWhereverItsBodyIsCut() throws IOException {
-        for (int size = 1; size <= LIST.length(); size++) {
+    void listDoesNotDependOnChunkBoundaries() throws IOException {
+        for (int chunkSize = 1; chunkSize <= LIST.length(); chunkSize++) {
             List<Discovery.Entry> read = new ArrayList<>();
-            EndpointListParser one = new EndpointListParser(read::addAll);
-            for (int at = 0; at < LIST.length(); at += size) {
-                one.feed(bytes(LIST.substring(at, Math.min(LIST.length(), at + size))));
+            EndpointListParser chunkedParser = new EndpointListParser(read::addAll);
+            for (int position = 0; position < LIST.length(); position += chunkSize) {
+                chunkedParser.feed(bytes(LIST.substring(position, Math.min(LIST.length(), position + chunkSize))));
             }
-            one.end();
-            assertTrue(one.isComplete());
-            assertEquals(43, one.generation());
-            assertTrue(one.isFullList());
-            assertEquals(ENTRIES, read, "in chunks of " + size);
+            chunkedParser.end();
+            assertTrue(chunkedParser.isComplete());
+            assertEquals(43, chunkedParser.generation());
+            assertTrue(chunkedParser.isFullList());
+            assertEquals(ENTRIES, read, "in chunks of " + chunkSize);
         }
     }
 
     /** A chunk may be a view into a larger buffer, or a direct buffer outside the heap. */
     @Test
-    void aPieceMayLieAnywhere() throws IOException {
-        String around = "xx" + LIST + "xx";
-        reader.feed(bytes(around).slice(2, 100));
-        reader.feed(Unpooled.directBuffer().writeBytes(bytes(around), 102, LIST.length() - 100));
-        reader.end();
-        assertEquals(List.of(ENTRIES), portions);
+    void chunkMayBeAnyKindOfBuffer() throws IOException {
+        String padded = "xx" + LIST + "xx";
+        parser.feed(bytes(padded).slice(2, 100));
+        parser.feed(Unpooled.directBuffer().writeBytes(bytes(padded), 102, LIST.length() - 100));
+        parser.end();
+        assertEquals(List.of(ENTRIES), batches);
     }
 
     @Test
-    void entriesAreHandedOnWhileTheListIsRead() throws IOException {
+    void entriesArePassedOnWhileTheListIsRead() throws IOException {
         String list = list(1, 2 * EndpointListParser.MAX_BATCH_ENTRIES + 3);
-        int half = list.indexOf("s-" + (EndpointListParser.MAX_BATCH_ENTRIES + 1) + "\"");
-        reader.feed(bytes(list.substring(0, half)));
-        assertEquals(List.of(EndpointListParser.MAX_BATCH_ENTRIES), portions.stream().map(List::size).toList());
-        reader.feed(bytes(list.substring(half)));
-        reader.end();
+        int cut = list.indexOf("s-" + (EndpointListParser.MAX_BATCH_ENTRIES + 1) + "\"");
+        parser.feed(bytes(list.substring(0, cut)));
+        assertEquals(List.of(EndpointListParser.MAX_BATCH_ENTRIES), batches.stream().map(List::size).toList());
+        parser.feed(bytes(list.substring(cut)));
+        parser.end();
         assertEquals(List.of(EndpointListParser.MAX_BATCH_ENTRIES, EndpointListParser.MAX_BATCH_ENTRIES, 3),
-                portions.stream().map(List::size).toList());
-        assertEquals("s-" + (2 * EndpointListParser.MAX_BATCH_ENTRIES + 2), portions.get(2).get(2).id());
+                batches.stream().map(List::size).toList());
+        assertEquals("s-" + (2 * EndpointListParser.MAX_BATCH_ENTRIES + 2), batches.get(2).get(2).id());
     }
 
     @Test
-    void whatBreaksOffIsNoList() throws IOException {
+    void truncatedListIsIncomplete() throws IOException {
         String list = list(1, 3);
-        reader.feed(bytes(list.substring(0, list.length() - 1)));
-        assertThrows(JsonProcessingException.class, reader::end);
-        assertFalse(reader.isComplete());
-        assertEquals(List.of(), portions);
+        parser.feed(bytes(list.substring(0, list.length() - 1)));
+        assertThrows(JsonProcessingException.class, parser::end);
+        assertFalse(parser.isComplete());
+        assertEquals(List.of(), batches);
     }
 
     @Test
-    void whatIsSpoiltInItsMiddleIsNoList() {
-        assertThrows(JsonProcessingException.class, () -> reader.feed(bytes(list(1, 3).replace("},", "}#"))));
-        assertFalse(reader.isComplete());
-        assertEquals(List.of(), portions);
+    void malformedListIsIncomplete() {
+        assertThrows(JsonProcessingException.class, () -> parser.feed(bytes(list(1, 3).replace("},", "}#"))));
+        assertFalse(parser.isComplete());
+        assertEquals(List.of(), batches);
     }
 
     @Test
-    void whatLacksItsPartsIsNoList() throws IOException {
+    void listWithoutRequiredFieldsIsIncomplete() throws IOException {
         for (String text : List.of("", "[]", "7", "{}", "{\"generation\":1}", "{\"instances\":[]}",
                 "{\"generation\":1,\"instances\":{}}", "{\"generation\":\"1\",\"instances\":[]}",
                 "{\"generation\":1.5,\"instances\":[]}")) {
-            EndpointListParser one = new EndpointListParser(portions::add);
-            one.feed(bytes(text));
-            one.end();
-            assertFalse(one.isComplete(), text);
+            EndpointListParser eachParser = new EndpointListParser(batches::add);
+            eachParser.feed(bytes(text));
+            eachParser.end();
+            assertFalse(eachParser.isComplete(), text);
         }
-        reader.feed(bytes("{\"generation\":1,\"instances\":[]}"));
-        reader.end();
-        assertTrue(reader.isComplete());
-        assertFalse(reader.isFullList());
+        parser.feed(bytes("{\"generation\":1,\"instances\":[]}"));
+        parser.end();
+        assertTrue(parser.isComplete());
+        assertFalse(parser.isFullList());
     }
 
     /** A value that never ends would otherwise be collected in memory. */
     @Test
-    void aTextWithoutAnEndIsOverABound() {
-        StreamConstraintsException over = assertThrows(StreamConstraintsException.class, () -> {
-            reader.feed(bytes("{\"instances\":[{\"instanceId\":\""));
+    void textLengthIsLimited() {
+        StreamConstraintsException tooLong = assertThrows(StreamConstraintsException.class, () -> {
+            parser.feed(bytes("{\"instances\":[{\"instanceId\":\""));
             for (int i = 0; i < 3 * EndpointListParser.MAX_TEXT_CHARS; i++) {
-                reader.feed(bytes("x"));
+                parser.feed(bytes("x"));
             }
-            reader.feed(bytes("\""));
+            parser.feed(bytes("\""));
         });
-        assertTrue(over.getMessage().contains(Integer.toString(EndpointListParser.MAX_TEXT_CHARS)), over.getMessage());
+        assertTrue(tooLong.getMessage().contains(Integer.toString(EndpointListParser.MAX_TEXT_CHARS)),
+                tooLong.getMessage());
     }
 
     @Test
-    void aConfigurationsListIsRead() throws IOException {
+    void listInAConfigurationIsRead() throws IOException {
         Path file = folder.resolve("config.json");
         Files.writeString(file, "{\"settings\":{\"known\":{\"instances\":[{}]}},\"known\":" + LIST + ",\"more\":1}");
-        assertTrue(EndpointListParser.readFile(file, "known", portions::add));
-        assertEquals(List.of(ENTRIES), portions);
-        assertFalse(EndpointListParser.readFile(file, "settings", portions::add));
-        assertFalse(EndpointListParser.readFile(file, "more", portions::add));
-        assertFalse(EndpointListParser.readFile(file, "other", portions::add));
-        assertEquals(1, portions.size());
+        assertTrue(EndpointListParser.readFile(file, "known", batches::add));
+        assertEquals(List.of(ENTRIES), batches);
+        assertFalse(EndpointListParser.readFile(file, "settings", batches::add));
+        assertFalse(EndpointListParser.readFile(file, "more", batches::add));
+        assertFalse(EndpointListParser.readFile(file, "other", batches::add));
+        assertEquals(1, batches.size());
     }
 }
--- a/src/test/java/kestreldeal/net/EndpointRegistryTest.java
+++ b/src/test/java/kestreldeal/net/EndpointRegistryTest.java
@@ -10,113 +10,113 @@
 import org.junit.jupiter.api.Test;
 
 class EndpointRegistryTest {
-    private static final long MINUTE = 60_000_000_000L;
+    private static final long MINUTE_NANOS = 60_000_000_000L;
 
-    private final EndpointRegistry directory = new EndpointRegistry(4);
+    private final EndpointRegistry registry = new EndpointRegistry(4);
 
-    private long name(String id, long destination, double rate, boolean gone, long nowNanos) {
-        return directory.register(new Discovery.Entry(id, Optional.empty(), "a", "m", destination, !gone, rate, gone),
-                nowNanos).orElse(-1);
+    private long register(String id, long destination, double listedRate, boolean removed, long nowNanos) {
+        return registry.register(new Discovery.Entry(id, Optional.empty(), "a", "m", destination, !removed, listedRate,
+                removed), nowNanos).orElse(-1);
     }
 
-    private static List<String> ids(List<EndpointRegistry.RegisteredEndpoint> some) {
-        return some.stream().map(EndpointRegistry.RegisteredEndpoint::id).sorted().toList();
+    private static List<String> ids(List<EndpointRegistry.RegisteredEndpoint> endpoints) {
+        return endpoints.stream().map(EndpointRegistry.RegisteredEndpoint::id).sorted().toList();
     }
 
     @Test
-    void anEndpointKeepsItsNumber() {
-        long early = directory.getOrAssignNumber("a", 0);
-        assertEquals(early, name("a", 7, 1, false, 0));
-        assertEquals(early, directory.getOrAssignNumber("a", 1));
-        assertEquals(OptionalLong.of(early), directory.findNumber("a"));
-        assertEquals("a", directory.id(early));
-        assertEquals(OptionalLong.empty(), directory.findNumber("b"));
-        assertTrue(early != directory.getOrAssignNumber("b", 0));
-        assertTrue(directory.knowsDestination(7));
-        assertFalse(directory.knowsDestination(early == 0 ? 1 : 0));
+    void endpointKeepsItsNumber() {
+        long number = registry.getOrAssignNumber("a", 0);
+        assertEquals(number, register("a", 7, 1, false, 0));
+        assertEquals(number, registry.getOrAssignNumber("a", 1));
+        assertEquals(OptionalLong.of(number), registry.findNumber("a"));
+        assertEquals("a", registry.id(number));
+        assertEquals(OptionalLong.empty(), registry.findNumber("b"));
+        assertTrue(number != registry.getOrAssignNumber("b", 0));
+        assertTrue(registry.knowsDestination(7));
+        assertFalse(registry.knowsDestination(number == 0 ? 1 : 0));
     }
 
     /** An id that is listed for another destination is another endpoint to all users of the numbers. */
     @Test
-    void anotherDestinationHasAnotherNumber() {
-        long before = name("a", 7, 1, false, 0);
+    void sameIdAtAnotherDestinationGetsANewNumber() {
+        long before = register("a", 7, 1, false, 0);
         Discovery.Entry same = new Discovery.Entry("a", Optional.empty(), "a", "m", 7, true, 1, false);
-        assertEquals(Optional.empty(), directory.findDisplaced(same, 1));
-        Discovery.Entry gone = new Discovery.Entry("a", Optional.empty(), "a", "m", 8, false, 1, true);
-        assertEquals(Optional.empty(), directory.findDisplaced(gone, 1));
+        assertEquals(Optional.empty(), registry.findDisplaced(same, 1));
+        Discovery.Entry removed = new Discovery.Entry("a", Optional.empty(), "a", "m", 8, false, 1, true);
+        assertEquals(Optional.empty(), registry.findDisplaced(removed, 1));
         Discovery.Entry other = new Discovery.Entry("a", Optional.empty(), "a", "m", 8, true, 1, false);
-        assertEquals(before, directory.findDisplaced(other, 1).orElseThrow().number());
-        long after = name("a", 8, 1, false, 1);
+        assertEquals(before, registry.findDisplaced(other, 1).orElseThrow().number());
+        long after = register("a", 8, 1, false, 1);
         assertTrue(after != before);
-        assertEquals("a", directory.id(before));
-        directory.evictRemoved(MINUTE + 2, MINUTE);
-        assertEquals(OptionalLong.of(after), directory.findNumber("a"), "the old endpoint is evicted, not the new one");
+        assertEquals("a", registry.id(before));
+        registry.evictRemoved(MINUTE_NANOS + 2, MINUTE_NANOS);
+        assertEquals(OptionalLong.of(after), registry.findNumber("a"), "the old endpoint is evicted, not the new one");
     }
 
     /** An endpoint missing from a full list is returned once, with the latest rate of its destination. */
     @Test
-    void whatAWholeListDoesNotNameHasLeft() {
-        directory.getOrAssignNumber("recalled", 0);
-        directory.beginUpdate();
-        name("a", 7, 2, false, 0);
-        name("b", 7, 3, false, 0);
-        name("c", 8, 4, true, 0);
-        assertEquals(List.of(), directory.markUnnamedRemoved(0));
-        directory.beginUpdate();
-        name("a", 7, 5, false, 1);
-        List<EndpointRegistry.RegisteredEndpoint> left = directory.markUnnamedRemoved(1);
+    void endpointMissingFromAFullListIsRemoved() {
+        registry.getOrAssignNumber("recalled", 0);
+        registry.beginUpdate();
+        register("a", 7, 2, false, 0);
+        register("b", 7, 3, false, 0);
+        register("c", 8, 4, true, 0);
+        assertEquals(List.of(), registry.markUnnamedRemoved(0));
+        registry.beginUpdate();
+        register("a", 7, 5, false, 1);
+        List<EndpointRegistry.RegisteredEndpoint> left = registry.markUnnamedRemoved(1);
         assertEquals(List.of("b"), ids(left));
         assertEquals(7, left.get(0).destination());
         assertEquals(5, left.get(0).listedRate());
-        directory.beginUpdate();
-        name("a", 7, 5, false, 2);
-        assertEquals(List.of(), directory.markUnnamedRemoved(2));
-        directory.beginUpdate();
-        assertEquals(List.of("a"), ids(directory.markUnnamedRemoved(3)));
+        registry.beginUpdate();
+        register("a", 7, 5, false, 2);
+        assertEquals(List.of(), registry.markUnnamedRemoved(2));
+        registry.beginUpdate();
+        assertEquals(List.of("a"), ids(registry.markUnnamedRemoved(3)));
     }
 
     @Test
-    void whatIsGoneForLongIsForgottenUnlessItCameBack() {
-        directory.beginUpdate();
-        name("stays", 1, 1, false, 0);
-        long left = name("left", 1, 1, false, 0);
-        name("back", 1, 1, true, 0);
-        directory.getOrAssignNumber("recalled", 0);
-        directory.beginUpdate();
-        name("stays", 1, 1, false, 1);
-        name("back", 1, 1, false, 1);
-        directory.markUnnamedRemoved(1);
-        assertEquals(List.of(), directory.evictRemoved(MINUTE, MINUTE));
-        assertEquals(List.of("recalled"), ids(directory.evictRemoved(MINUTE + 1, MINUTE)));
-        assertEquals(OptionalLong.of(left), directory.findNumber("left"));
-        assertEquals(List.of("left"), ids(directory.evictRemoved(MINUTE + 2, MINUTE)));
-        assertEquals(OptionalLong.empty(), directory.findNumber("left"));
-        assertEquals(List.of(), directory.evictRemoved(9 * MINUTE, MINUTE));
-        assertTrue(directory.findNumber("stays").isPresent() && directory.findNumber("back").isPresent());
-        assertTrue(directory.getOrAssignNumber("left", 0) != left, "a number is never reused");
+    void removedEndpointIsEvictedUnlessItCameBack() {
+        registry.beginUpdate();
+        register("stays", 1, 1, false, 0);
+        long left = register("left", 1, 1, false, 0);
+        register("back", 1, 1, true, 0);
+        registry.getOrAssignNumber("recalled", 0);
+        registry.beginUpdate();
+        register("stays", 1, 1, false, 1);
+        register("back", 1, 1, false, 1);
+        registry.markUnnamedRemoved(1);
+        assertEquals(List.of(), registry.evictRemoved(MINUTE_NANOS, MINUTE_NANOS));
+        assertEquals(List.of("recalled"), ids(registry.evictRemoved(MINUTE_NANOS + 1, MINUTE_NANOS)));
+        assertEquals(OptionalLong.of(left), registry.findNumber("left"));
+        assertEquals(List.of("left"), ids(registry.evictRemoved(MINUTE_NANOS + 2, MINUTE_NANOS)));
+        assertEquals(OptionalLong.empty(), registry.findNumber("left"));
+        assertEquals(List.of(), registry.evictRemoved(9 * MINUTE_NANOS, MINUTE_NANOS));
+        assertTrue(registry.findNumber("stays").isPresent() && registry.findNumber("back").isPresent());
+        assertTrue(registry.getOrAssignNumber("left", 0) != left, "a number is never reused");
     }
 
     @Test
-    void whatHasNoRoomIsPassedOverUntilOthersAreForgotten() {
-        directory.beginUpdate();
+    void newEndpointsAreSkippedWhileTheRegistryIsFull() {
+        registry.beginUpdate();
         for (int i = 0; i < 4; i++) {
-            name("a" + i, i, 1, false, 0);
+            register("a" + i, i, 1, false, 0);
         }
-        assertEquals(-1, name("b", 9, 1, false, 0));
-        assertEquals(1, directory.skippedCount());
-        assertFalse(directory.knowsDestination(9));
-        assertTrue(name("a0", 0, 1, true, 0) >= 0, "a known endpoint is not skipped");
-        directory.beginUpdate();
-        assertEquals(0, directory.skippedCount());
-        directory.evictRemoved(MINUTE + 1, MINUTE);
-        assertTrue(name("b", 9, 1, false, 0) >= 0);
+        assertEquals(-1, register("b", 9, 1, false, 0));
+        assertEquals(1, registry.skippedCount());
+        assertFalse(registry.knowsDestination(9));
+        assertTrue(register("a0", 0, 1, true, 0) >= 0, "a known endpoint is not skipped");
+        registry.beginUpdate();
+        assertEquals(0, registry.skippedCount());
+        registry.evictRemoved(MINUTE_NANOS + 1, MINUTE_NANOS);
+        assertTrue(register("b", 9, 1, false, 0) >= 0);
     }
 
     /** A second notification of the removal does not restart the time until eviction. */
     @Test
-    void itIsGoneFromTheFirstWordOn() {
-        name("a", 1, 1, true, 0);
-        name("a", 1, 1, true, MINUTE);
-        assertEquals(List.of("a"), ids(directory.evictRemoved(MINUTE + 1, MINUTE)));
+    void evictionTimeCountsFromTheFirstNotificationOfRemoval() {
+        register("a", 1, 1, true, 0);
+        register("a", 1, 1, true, MINUTE_NANOS);
+        assertEquals(List.of("a"), ids(registry.evictRemoved(MINUTE_NANOS + 1, MINUTE_NANOS)));
     }
 }
