--- a/src/main/java/kestreldeal/net/Discovery.java
+++ b/src/main/java/kestreldeal/net/Discovery.java
@@ -92,7 +92,7 @@
      */
     void switchAgent(AgentClient newAgent) {
         agent.close();
-        retryTimer.ifPresent(p -> p.cancel(false));
+        retryTimer.ifPresent(timer -> timer.cancel(false));
         agent = newAgent;
         generation = -1;
         requestNext();
@@ -108,7 +108,8 @@
         if (unresponsive == succeeded) {
             unresponsive = !succeeded;
             Log.write("endpoint discovery: "
-                    + error.map(f -> f + "; the last endpoint list stays in force").orElse("the agent responds again"));
+                    + error.map(reason -> reason + "; the last endpoint list stays in force")
+                            .orElse("the agent responds again"));
         }
         if (!firstRequestEnded) {
             firstRequestEnded = true;
@@ -153,7 +154,7 @@
 
         @Override
         public Optional<String> bodyChunk(ByteBuf content) {
-            return parser.flatMap(list -> errorOf(() -> list.feed(content)));
+            return parser.flatMap(listParser -> errorOf(() -> listParser.feed(content)));
         }
 
         @Override
@@ -162,13 +163,13 @@
                     () -> parser.isEmpty() ? Optional.of("HTTP status " + status) : finish(parser.get())));
         }
 
-        private Optional<String> finish(EndpointListParser complete) {
-            return errorOf(complete::end).or(() -> {
-                if (!complete.isComplete()) {
+        private Optional<String> finish(EndpointListParser listParser) {
+            return errorOf(listParser::end).or(() -> {
+                if (!listParser.isComplete()) {
                     return Optional.of("response is not an endpoint list");
                 }
-                generation = complete.generation();
-                listener.updateCompleted(complete.isFullList());
+                generation = listParser.generation();
+                listener.updateCompleted(listParser.isFullList());
                 return Optional.empty();
             });
         }
--- a/src/main/java/kestreldeal/net/EndpointClient.java
+++ b/src/main/java/kestreldeal/net/EndpointClient.java
@@ -323,7 +323,7 @@
         }
 
         private void timedOut() {
-            complete(call.mayArrive() ? Outcome.TIMED_OUT : Outcome.UNREACHABLE);
+            complete(call.mayStillArrive() ? Outcome.TIMED_OUT : Outcome.UNREACHABLE);
             call.abandonIfCompleted();
         }
 
@@ -512,7 +512,7 @@
          * Whether the request may still arrive completely although one of its attempts ends now: the connection stays
          * open while other attempts of the call are in flight.
          */
-        private boolean mayArrive() {
+        private boolean mayStillArrive() {
             return fullyWritten || writeStarted && attemptsInFlight().size() > 1;
         }
 
@@ -651,7 +651,7 @@
         public void channelRead(ChannelHandlerContext ctx, Object data) {
             ByteBuf bytes = (ByteBuf) data;
             if (connection.call == null) {
-                // Bytes without a request: the next response on this connection could not be told from them.
+                // Bytes that belong to no request: they could be taken for the response to the next one.
                 connection.close();
             }
             for (int i = bytes.readerIndex(); i < bytes.writerIndex() && connection.awaitsHead(); i++) {
@@ -766,7 +766,7 @@
             }
         }
 
-        /** A 1xx response has ended; the time limit starts again with the final response. */
+        /** A 1xx response has ended; the time limit starts again with the first byte of the final response. */
         private void interimResponseEnds() {
             responseTimer.cancel(false);
             responseTimer = null;
@@ -841,7 +841,7 @@
             }
             if (part instanceof LastHttpContent && head.status().codeClass() != HttpStatusClass.INFORMATIONAL) {
                 call.responseReceived(head, body.toString());
-                // If the response came before the request was written, the rest of the request is still in the way.
+                // If the response came before its request was fully written, the connection can't take another one.
                 boolean reusable = HttpUtil.isKeepAlive(head) && call.fullyWritten && !abandoned
                         && !decoder.hasUnreadBytes();
                 detachCall();
--- a/src/main/java/kestreldeal/net/EndpointListParser.java
+++ b/src/main/java/kestreldeal/net/EndpointListParser.java
@@ -209,9 +209,9 @@
 
     private void flushBatch() {
         if (!batch.isEmpty()) {
-            List<Discovery.Entry> completed = batch;
+            List<Discovery.Entry> fullBatch = batch;
             batch = new ArrayList<>();
-            batchConsumer.accept(completed);
+            batchConsumer.accept(fullBatch);
         }
     }
 }
--- a/src/main/java/kestreldeal/net/EndpointRegistry.java
+++ b/src/main/java/kestreldeal/net/EndpointRegistry.java
@@ -22,7 +22,7 @@
         private final String id;
         private final long number;
         /** The last update that named it, as counted by {@link EndpointRegistry#updateCount}. */
-        private int lastNamedIn = -1;
+        private int lastUpdate = -1;
         private Destination destination;
 
         private RegisteredEndpoint(String id, long number) {
@@ -40,7 +40,7 @@
 
         /** The destination, for an endpoint that a list has named. */
         long destination() {
-            return destination.number;
+            return destination.id;
         }
 
         /** The rate in the latest entry for any endpoint of its destination. */
@@ -50,11 +50,11 @@
     }
 
     private static final class Destination {
-        private final long number;
+        private final long id;
         private double listedRate;
 
         Destination(long number) {
-            this.number = number;
+            this.id = number;
         }
     }
 
@@ -98,7 +98,7 @@
     /** Returns the destination of an endpoint, if a list has named it. */
     OptionalLong findDestination(long number) {
         Destination destination = byNumber.get(number).destination;
-        return destination == null ? OptionalLong.empty() : OptionalLong.of(destination.number);
+        return destination == null ? OptionalLong.empty() : OptionalLong.of(destination.id);
     }
 
     String id(long number) {
@@ -128,7 +128,7 @@
     Optional<RegisteredEndpoint> findDisplaced(Discovery.Entry entry, long nowNanos) {
         RegisteredEndpoint endpoint = byId.get(entry.id());
         if (entry.removed() || endpoint == null || endpoint.destination == null
-                || endpoint.destination.number == entry.destination()) {
+                || endpoint.destination.id == entry.destination()) {
             return Optional.empty();
         }
         byId.remove(endpoint.id);
@@ -143,7 +143,7 @@
             return OptionalLong.empty();
         }
         RegisteredEndpoint endpoint = getOrCreate(entry.id(), nowNanos);
-        endpoint.lastNamedIn = updateCount;
+        endpoint.lastUpdate = updateCount;
         Destination destination = destinations.get(entry.destination());
         if (destination == null) {
             destination = new Destination(entry.destination());
@@ -168,7 +168,7 @@
     List<RegisteredEndpoint> markUnnamedRemoved(long nowNanos) {
         List<RegisteredEndpoint> newlyRemoved = new ArrayList<>();
         for (RegisteredEndpoint endpoint : byId.values()) {
-            if (endpoint.lastNamedIn != updateCount && removedSince.putIfAbsent(endpoint, nowNanos) == null) {
+            if (endpoint.lastUpdate != updateCount && removedSince.putIfAbsent(endpoint, nowNanos) == null) {
                 newlyRemoved.add(endpoint);
             }
         }
--- a/src/main/java/kestreldeal/net/NoticeClient.java
+++ b/src/main/java/kestreldeal/net/NoticeClient.java
@@ -151,7 +151,7 @@
             if (notice.rejections < MAX_REJECTIONS) {
                 queue.add(notice);
             } else {
-                Log.write("the agent rejects the notice of a final result, which is dropped; message "
+                Log.write("the agent keeps rejecting the notice of a final result, and it is dropped; message "
                         + notice.message.id);
                 onDelivered.accept(notice.message);
             }
--- a/src/test/java/kestreldeal/net/ConnectFailureTest.java
+++ b/src/test/java/kestreldeal/net/ConnectFailureTest.java
@@ -33,7 +33,7 @@
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final EventLoop loop = group.next();
     private final BlockingQueue<Outcome> outcomes = new LinkedBlockingQueue<>();
-    /** The failures of the next connects, in order; with {@code forGood} the first one repeats. */
+    /** The failures of the next connects, in order; with {@code repeatFirst} the first one repeats. */
     private final Deque<Supplier<Exception>> failures = new ArrayDeque<>();
     private boolean repeatFirst;
     private int connectCount;
--- a/src/test/java/kestreldeal/net/EndpointClientTest.java
+++ b/src/test/java/kestreldeal/net/EndpointClientTest.java
@@ -469,8 +469,8 @@
                 otherResponseWritten.await();
                 return null;
             }).syncUninterruptibly();
-            List<Result> results = List.of(nextResult(), nextResult(), nextResult());
-            assertTrue(results.contains(resultOf(Outcome.NOT_SENT)), results.toString());
+            List<Result> threeResults = List.of(nextResult(), nextResult(), nextResult());
+            assertTrue(threeResults.contains(resultOf(Outcome.NOT_SENT)), threeResults.toString());
             assertEquals(3, stub.requests.size());
         }
     }
--- a/src/test/java/kestreldeal/net/EndpointListParserTest.java
+++ b/src/test/java/kestreldeal/net/EndpointListParserTest.java
@@ -121,10 +121,10 @@
         for (String text : List.of("", "[]", "7", "{}", "{\"generation\":1}", "{\"instances\":[]}",
                 "{\"generation\":1,\"instances\":{}}", "{\"generation\":\"1\",\"instances\":[]}",
                 "{\"generation\":1.5,\"instances\":[]}")) {
-            EndpointListParser eachParser = new EndpointListParser(batches::add);
-            eachParser.feed(bytes(text));
-            eachParser.end();
-            assertFalse(eachParser.isComplete(), text);
+            EndpointListParser listParser = new EndpointListParser(batches::add);
+            listParser.feed(bytes(text));
+            listParser.end();
+            assertFalse(listParser.isComplete(), text);
         }
         parser.feed(bytes("{\"generation\":1,\"instances\":[]}"));
         parser.end();
--- a/src/test/java/kestreldeal/net/EndpointRegistryTest.java
+++ b/src/test/java/kestreldeal/net/EndpointRegistryTest.java
@@ -64,10 +64,10 @@
         assertEquals(List.of(), registry.markUnnamedRemoved(0));
         registry.beginUpdate();
         register("a", 7, 5, false, 1);
-        List<EndpointRegistry.RegisteredEndpoint> left = registry.markUnnamedRemoved(1);
-        assertEquals(List.of("b"), ids(left));
-        assertEquals(7, left.get(0).destination());
-        assertEquals(5, left.get(0).listedRate());
+        List<EndpointRegistry.RegisteredEndpoint> newlyRemoved = registry.markUnnamedRemoved(1);
+        assertEquals(List.of("b"), ids(newlyRemoved));
+        assertEquals(7, newlyRemoved.get(0).destination());
+        assertEquals(5, newlyRemoved.get(0).listedRate());
         registry.beginUpdate();
         register("a", 7, 5, false, 2);
         assertEquals(List.of(), registry.markUnnamedRemoved(2));
