--- a/src/main/java/kestreldeal/scale/soak/Roster.java
+++ b/src/main/java/kestreldeal/scale/soak/EndpointList.java
@@ -7,10 +7,10 @@
 import java.util.Map;
 
 /** The list of endpoints as discovery has it, with its changes by generation. */
-final class Roster {
-    private static final double RATE = 20;
+final class EndpointList {
+    private static final double ENTRY_WEIGHT = 20;
 
-    private final Map<String, String> entries = new LinkedHashMap<>();
+    private final Map<String, String> entriesById = new LinkedHashMap<>();
     private final List<Change> changes = new ArrayList<>();
     private final List<Runnable> listeners = new ArrayList<>();
     private long generation = 1;
@@ -22,13 +22,13 @@
     void put(String id, String hostPort, int destination, String lifecycle) {
         String entry = String.format(Locale.ROOT, "{\"instanceId\":\"%s\",\"hostPort\":\"%s\",\"zone\":\"a\","
                 + "\"machineType\":\"m\",\"cell\":%d,\"lifecycle\":\"%s\",\"weight\":%.1f,\"startedAtMs\":0}", id, hostPort,
-                destination, lifecycle, RATE);
+                destination, lifecycle, ENTRY_WEIGHT);
         generation++;
         changes.add(new Change(generation, entry));
         if (lifecycle.equals("DELETED")) {
-            entries.remove(id);
+            entriesById.remove(id);
         } else {
-            entries.put(id, entry);
+            entriesById.put(id, entry);
         }
         List.copyOf(listeners).forEach(Runnable::run);
     }
@@ -38,22 +38,22 @@
     }
 
     /** Run after each change. */
-    void onChange(Runnable listener) {
+    void addChangeListener(Runnable listener) {
         listeners.add(listener);
     }
 
     /** The whole list. */
-    String whole() {
-        return answer(true, new ArrayList<>(entries.values()));
+    String fullList() {
+        return format(true, new ArrayList<>(entriesById.values()));
     }
 
     /** What has changed since that generation. */
-    String since(long after) {
-        return answer(false, changes.stream().filter(change -> change.generation > after).map(Change::entry).toList());
+    String changesSince(long afterGeneration) {
+        return format(false, changes.stream().filter(change -> change.generation > afterGeneration).map(Change::entry).toList());
     }
 
-    private String answer(boolean reset, List<String> instances) {
-        return "{\"generation\":" + generation + ",\"reset\":" + reset + ",\"instances\":[" + String.join(",", instances)
+    private String format(boolean isFullList, List<String> listEntries) {
+        return "{\"generation\":" + generation + ",\"reset\":" + isFullList + ",\"instances\":[" + String.join(",", listEntries)
                 + "]}";
     }
 }
--- /dev/null
+++ b/src/main/java/kestreldeal/scale/soak/FaultInjector.java
@@ -0,0 +1,186 @@
+package kestreldeal.scale.soak;
+
+import io.netty.channel.EventLoop;
+import java.util.ArrayList;
+import java.util.EnumMap;
+import java.util.List;
+import java.util.Locale;
+import java.util.Map;
+import java.util.Random;
+import java.util.TreeMap;
+import java.util.concurrent.TimeUnit;
+import kestreldeal.scale.soak.StubEndpoint.State;
+import kestreldeal.scale.soak.FaultLibrary.Control;
+
+/** What goes wrong in a run: troubles of all kinds at random times, so that two or three of them overlap. */
+final class FaultInjector {
+    private static final double FAULTS_START_SHARE = 0.05;
+    private static final double FAULTS_END_SHARE = 0.85;
+    private static final long MIN_FAULT_MS = 500;
+    private static final long MAX_FAULT_MS = 6000;
+    private static final long MAX_RESTART_DELAY_MS = 2000;
+    private static final long MAX_PAUSE_MS = 150;
+    private static final int MAX_OVERLAP_DELAY_MS = 1500;
+    private static final int ALWAYS_PER_MILLION = 1_000_000;
+    private static final long HOUR_MS = 3_600_000;
+
+    private enum FaultKind {
+        OUTAGE, REPLACED, SILENT_DISCOVERY, ENDED, KILLED, RELOADED, HELD_UP, BAD_CLIENTS, IDLE_CLOSED, WALL_STEPPED,
+        SOCKETS_FAIL, FOLDER_FAILS, SLOW_TRANSFERS;
+
+        /** The sender is often ended or killed in the middle of it. */
+        boolean mayOverlapWithExit() {
+            return this == RELOADED || this == SILENT_DISCOVERY || needsFaultLibrary();
+        }
+
+        boolean needsFaultLibrary() {
+            return ordinal() >= WALL_STEPPED.ordinal();
+        }
+    }
+
+    private final EventLoop eventLoop;
+    private final Random random;
+    private final Ledger ledger;
+    private final Ledger.Clock clock;
+    private final EndpointList endpointList;
+    private final List<SoakSender> senders;
+    private final List<SoakClients> clients;
+    private final List<StubEndpoint> currentEndpoints;
+    private final double[] systemCallsFaultyUntilMs;
+    private final Map<FaultKind, Integer> countByKind = new EnumMap<>(FaultKind.class);
+    private int replacementCount;
+
+    FaultInjector(EventLoop eventLoop, Random random, Ledger ledger, Ledger.Clock clock, EndpointList endpointList, List<SoakSender> senders,
+            List<SoakClients> clients, List<StubEndpoint> currentEndpoints) {
+        this.eventLoop = eventLoop;
+        this.random = random;
+        this.ledger = ledger;
+        this.clock = clock;
+        this.endpointList = endpointList;
+        this.senders = senders;
+        this.clients = clients;
+        this.currentEndpoints = currentEndpoints;
+        this.systemCallsFaultyUntilMs = new double[senders.size()];
+    }
+
+    /** So many troubles over a run of so many seconds from now on. */
+    void schedule(int faultCount, int seconds) {
+        for (int i = 0; i < faultCount; i++) {
+            double delayMs = seconds * 1000 * (FAULTS_START_SHARE + (FAULTS_END_SHARE - FAULTS_START_SHARE) * random.nextDouble());
+            eventLoop.schedule(this::injectRandomFault, (long) delayMs, TimeUnit.MILLISECONDS);
+        }
+    }
+
+    /** How many of each kind there were. */
+    Map<String, Integer> counts() {
+        Map<String, Integer> countByName = new TreeMap<>();
+        countByKind.forEach((kind, count) -> countByName.put(kind.name().toLowerCase(Locale.ROOT), count));
+        return countByName;
+    }
+
+    /** Whether this sender's own system calls fail, or did a moment ago. */
+    boolean areSystemCallsFaulty(int sender) {
+        return clock.nowMs() < systemCallsFaultyUntilMs[sender] + MAX_PAUSE_MS;
+    }
+
+    private long drawDurationMs() {
+        return MIN_FAULT_MS + random.nextInt((int) (MAX_FAULT_MS - MIN_FAULT_MS));
+    }
+
+    private void injectRandomFault() {
+        FaultKind kind = FaultKind.values()[random.nextInt(FaultKind.values().length)];
+        SoakSender sender = senders.get(random.nextInt(senders.size()));
+        if (kind.needsFaultLibrary() && sender.faultLibrary().isEmpty() || sender.isRestarting()) {
+            return;
+        }
+        inject(kind, sender);
+        if (kind.mayOverlapWithExit() && random.nextBoolean()) {
+            eventLoop.schedule(() -> {
+                if (!sender.isRestarting()) {
+                    inject(random.nextInt(3) == 0 ? FaultKind.ENDED : FaultKind.KILLED, sender);
+                }
+            }, random.nextInt(MAX_OVERLAP_DELAY_MS), TimeUnit.MILLISECONDS);
+        }
+    }
+
+    private void inject(FaultKind kind, SoakSender sender) {
+        countByKind.merge(kind, 1, Integer::sum);
+        switch (kind) {
+            case OUTAGE -> startOutage();
+            case REPLACED -> replaceEndpoint();
+            case SILENT_DISCOVERY -> sender.stopDiscovery(drawDurationMs());
+            case ENDED -> sender.terminate(random.nextInt((int) MAX_RESTART_DELAY_MS));
+            case KILLED -> sender.kill(random.nextInt((int) MAX_RESTART_DELAY_MS));
+            case RELOADED -> new Thread(sender::reload, "reload").start();
+            case HELD_UP -> sender.suspend(random.nextInt((int) MAX_PAUSE_MS));
+            case BAD_CLIENTS -> sendInvalidRequests(clients.get(sender.number));
+            case IDLE_CLOSED -> currentEndpoints.forEach(StubEndpoint::closeSomeConnections);
+            case WALL_STEPPED -> stepWallClock(sender);
+            case SOCKETS_FAIL -> injectSystemCallFaults(sender, drawDurationMs(), Map.of(Control.ACCEPT_FAILS, 50_000L, Control.CONNECT_FAILS, 200_000L,
+                    Control.SOCKET_FAILS, 50_000L, Control.READ_FAILS, 3000L));
+            case FOLDER_FAILS -> injectSystemCallFaults(sender, MIN_FAULT_MS + random.nextInt(2000), Map.of(Control.STATE_FAILS,
+                    random.nextBoolean() ? (long) ALWAYS_PER_MILLION : ALWAYS_PER_MILLION / 3L));
+            case SLOW_TRANSFERS -> injectSystemCallFaults(sender, drawDurationMs(), Map.of(Control.SHORT_TRANSFERS, 200_000L,
+                    Control.INTERRUPTED_WAITS, 50_000L, Control.HOLD_UPS, 10_000L, Control.HOLD_UP_MOST_MS,
+                    MAX_PAUSE_MS));
+            default -> throw new IllegalStateException("no such trouble: " + kind);
+        }
+    }
+
+    /** All endpoints of a destination, or one of them, are out in some way. */
+    private void startOutage() {
+        StubEndpoint chosen = currentEndpoints.get(random.nextInt(currentEndpoints.size()));
+        boolean wholeDestination = random.nextDouble() < 0.7;
+        State outageState = State.values()[1 + random.nextInt(State.values().length - 1)];
+        List<StubEndpoint> affected = currentEndpoints.stream().filter(endpoint -> endpoint == chosen || wholeDestination && endpoint.destination == chosen.destination)
+                .toList();
+        affected.forEach(endpoint -> endpoint.changeState(outageState));
+        eventLoop.schedule(() -> affected.forEach(endpoint -> endpoint.changeState(State.SERVING)), drawDurationMs(), TimeUnit.MILLISECONDS);
+    }
+
+    /** Another endpoint takes the place of one, which drains and then goes. */
+    private void replaceEndpoint() {
+        StubEndpoint oldEndpoint = currentEndpoints.get(random.nextInt(currentEndpoints.size()));
+        StubEndpoint newEndpoint = new StubEndpoint("r-" + replacementCount++, oldEndpoint.destination, eventLoop, ledger,
+                new Random(random.nextLong()));
+        long drainMs = 2 * SoakSettings.DRAIN_GRACE_MS + random.nextInt(2000);
+        Thread thread = new Thread(() -> {
+            newEndpoint.open();
+            eventLoop.execute(() -> {
+                currentEndpoints.remove(oldEndpoint);
+                currentEndpoints.add(newEndpoint);
+                endpointList.put(newEndpoint.id, newEndpoint.hostPort(), newEndpoint.destination, "SERVING");
+                double nowMs = clock.nowMs();
+                oldEndpoint.startDraining(sender -> senders.get(sender).notifiedAtMs(nowMs));
+                endpointList.put(oldEndpoint.id, oldEndpoint.hostPort(), oldEndpoint.destination, "DRAINING");
+            });
+            eventLoop.schedule(() -> {
+                endpointList.put(oldEndpoint.id, oldEndpoint.hostPort(), oldEndpoint.destination, "DELETED");
+                oldEndpoint.close();
+            }, drainMs, TimeUnit.MILLISECONDS);
+        }, "replace");
+        thread.start();
+    }
+
+    private void sendInvalidRequests(SoakClients target) {
+        for (SoakClients.InvalidRequest invalidRequest : SoakClients.InvalidRequest.values()) {
+            for (int i = 1 + random.nextInt(5); i > 0; i--) {
+                target.sendInvalidRequest(invalidRequest);
+            }
+        }
+    }
+
+    /** By seconds, or by an hour, forward or back. */
+    private void stepWallClock(SoakSender sender) {
+        long stepMs = random.nextBoolean() ? HOUR_MS : 1000 + random.nextInt(10_000);
+        sender.faultLibrary().get().set(Control.WALL_STEP_MS, random.nextBoolean() ? stepMs : -stepMs);
+    }
+
+    private void injectSystemCallFaults(SoakSender sender, long durationMs, Map<Control, Long> ratesPerMillion) {
+        FaultLibrary library = sender.faultLibrary().get();
+        systemCallsFaultyUntilMs[sender.number] = Math.max(systemCallsFaultyUntilMs[sender.number], clock.nowMs() + durationMs);
+        ratesPerMillion.forEach(library::set);
+        eventLoop.schedule(() -> new ArrayList<>(ratesPerMillion.keySet()).forEach(control -> library.set(control, 0)), durationMs,
+                TimeUnit.MILLISECONDS);
+    }
+}
--- a/src/main/java/kestreldeal/scale/soak/Ledger.java
+++ b/src/main/java/kestreldeal/scale/soak/Ledger.java
@@ -14,11 +14,11 @@
  */
 final class Ledger {
     /** The protocol's slack on every time limit. */
-    private static final double SLACK_MS = 50;
+    private static final double PROTOCOL_SLACK_MS = 50;
     /** From the end of a message's time until it is lost. */
-    private static final double END_GRACE_MS = 300;
+    private static final double RESULT_GRACE_MS = 300;
     /** Calls that come so soon after a wait is told are let through; a sender may be held up for some time at its write. */
-    private static final double WAIT_GRACE_MS = 100 + 150;
+    private static final double RETRY_AFTER_GRACE_MS = 100 + 150;
     /** Once it is ready again, a sender has so long for the ends that fell due while it was not. */
     private static final double RESTART_GRACE_MS = 1500;
 
@@ -36,61 +36,61 @@
     static final class Message {
         final String id;
         final String key;
-        final MessageClass type;
+        final MessageClass messageClass;
         final int destination;
         final int sender;
-        final double handedAtMs;
+        final double submittedAtMs;
         final double budgetMs;
-        boolean taken;
-        boolean delivered;
-        boolean noticed;
-        boolean judged;
+        boolean isAccepted;
+        boolean isDelivered;
+        boolean isNoticed;
+        boolean isChecked;
 
-        Message(String id, String key, MessageClass type, int destination, int sender, double handedAtMs,
+        Message(String id, String key, MessageClass messageClass, int destination, int sender, double submittedAtMs,
                 double budgetMs) {
             this.id = id;
             this.key = key;
-            this.type = type;
+            this.messageClass = messageClass;
             this.destination = destination;
             this.sender = sender;
-            this.handedAtMs = handedAtMs;
+            this.submittedAtMs = submittedAtMs;
             this.budgetMs = budgetMs;
         }
     }
 
     /** Of a sender: whether it is in service, and since when. */
-    private static final class Life {
-        double readyAtMs;
-        boolean isUp;
+    private static final class SenderStatus {
+        double readySinceMs;
+        boolean isInService;
     }
 
     private final Clock clock;
     private final List<Breach> breaches = new ArrayList<>();
-    private final Map<String, Message> messages = new LinkedHashMap<>();
-    private final Map<String, Double> firstRuns = new HashMap<>();
-    private final Map<Long, double[]> waits = new HashMap<>();
-    private final Life[] lives;
-    private long handedIn;
-    private long taken;
-    private long delivered;
-    private long noticed;
+    private final Map<String, Message> messagesById = new LinkedHashMap<>();
+    private final Map<String, Double> firstProcessedMsByKey = new HashMap<>();
+    private final Map<Long, double[]> retryAfterWaits = new HashMap<>();
+    private final SenderStatus[] senderStatuses;
+    private long submittedCount;
+    private long acceptedCount;
+    private long deliveredCount;
+    private long noticedCount;
 
     /** The test's clock, and how late the test itself was of late, which no sender answers for. */
     interface Clock {
         double nowMs();
 
-        double lateMs();
+        double schedulingDelayMs();
     }
 
-    Ledger(int senders, Clock clock) {
+    Ledger(int senderCount, Clock clock) {
         this.clock = clock;
-        lives = new Life[senders];
-        for (int i = 0; i < senders; i++) {
-            lives[i] = new Life();
+        senderStatuses = new SenderStatus[senderCount];
+        for (int i = 0; i < senderCount; i++) {
+            senderStatuses[i] = new SenderStatus();
         }
     }
 
-    void breach(Rule rule, int sender, String id, String detail) {
+    void recordBreach(Rule rule, int sender, String id, String detail) {
         breaches.add(new Breach(rule, sender, id, clock.nowMs(), detail));
     }
 
@@ -99,148 +99,148 @@
     }
 
     private double slackMs() {
-        return SLACK_MS + clock.lateMs();
+        return PROTOCOL_SLACK_MS + clock.schedulingDelayMs();
     }
 
     // ---- senders' lives ----
 
     /** It is told to end, or killed. */
-    void ends(int sender) {
-        lives[sender].isUp = false;
+    void senderStopping(int sender) {
+        senderStatuses[sender].isInService = false;
     }
 
     /** Its process is gone: a restart ends told waits. */
-    void gone(int sender) {
-        waits.keySet().removeIf(key -> key >> 32 == sender);
+    void senderExited(int sender) {
+        retryAfterWaits.keySet().removeIf(key -> key >> 32 == sender);
     }
 
-    void ready(int sender) {
-        lives[sender].isUp = true;
-        lives[sender].readyAtMs = clock.nowMs();
+    void senderReady(int sender) {
+        senderStatuses[sender].isInService = true;
+        senderStatuses[sender].readySinceMs = clock.nowMs();
     }
 
     /** Whether it is in service, and was a moment ago. */
-    boolean isUp(int sender) {
-        return lives[sender].isUp;
+    boolean isInService(int sender) {
+        return senderStatuses[sender].isInService;
     }
 
     // ---- messages ----
 
     /** The last byte of a request is written. */
-    void handedIn(Message message) {
-        handedIn++;
-        messages.put(message.id, message);
+    void messageSubmitted(Message message) {
+        submittedCount++;
+        messagesById.put(message.id, message);
     }
 
     /** Its client has read in time that it is taken on. */
-    void taken(Message message) {
-        taken++;
-        message.taken = true;
+    void messageAccepted(Message message) {
+        acceptedCount++;
+        message.isAccepted = true;
     }
 
     /** The sender and class of a message; null if no client handed it in. */
-    Message message(String id) {
-        return messages.get(id);
+    Message findMessage(String id) {
+        return messagesById.get(id);
     }
 
     /** A call with this message has come, whole, to an endpoint of a destination that was last listed so long ago. */
-    void called(Message message, int destination, double closedSinceMs) {
-        double now = clock.nowMs();
+    void callReceived(Message message, int destination, double drainingSinceMs) {
+        double nowMs = clock.nowMs();
         if (message.destination != destination) {
-            breach(Rule.WRONG_DESTINATION, message.sender, message.id, "called at " + destination);
+            recordBreach(Rule.WRONG_DESTINATION, message.sender, message.id, "called at " + destination);
         }
-        if (closedSinceMs + SoakSettings.DRAIN_GRACE_MS + slackMs() < now) {
-            breach(Rule.SENT_AFTER_DRAIN, message.sender, message.id, (long) (now - closedSinceMs) + " ms after the word");
+        if (drainingSinceMs + SoakSettings.DRAIN_GRACE_MS + slackMs() < nowMs) {
+            recordBreach(Rule.SENT_AFTER_DRAIN, message.sender, message.id, (long) (nowMs - drainingSinceMs) + " ms after the word");
         }
-        double[] wait = waits.get(key(message.sender, destination));
-        if (wait != null && now > wait[0] + WAIT_GRACE_MS + slackMs() && now < wait[1]) {
-            breach(Rule.SENT_IN_A_WAIT, message.sender, message.id, (long) (wait[1] - now) + " ms before its end");
+        double[] wait = retryAfterWaits.get(senderDestinationKey(message.sender, destination));
+        if (wait != null && nowMs > wait[0] + RETRY_AFTER_GRACE_MS + slackMs() && nowMs < wait[1]) {
+            recordBreach(Rule.SENT_IN_A_WAIT, message.sender, message.id, (long) (wait[1] - nowMs) + " ms before its end");
         }
     }
 
     /** It takes effect there, or may have. */
-    void ran(Message message) {
-        double now = clock.nowMs();
-        Double first = firstRuns.putIfAbsent(message.key, now);
-        if (first == null) {
+    void messageProcessed(Message message) {
+        double nowMs = clock.nowMs();
+        Double firstMs = firstProcessedMsByKey.putIfAbsent(message.key, nowMs);
+        if (firstMs == null) {
             return;
         }
-        if (message.type.isUnsafe()) {
-            breach(Rule.RAN_TWICE, message.sender, message.id, (long) (now - first) + " ms after the first time");
-        } else if (now > first + message.type.windowMs + slackMs()) {
-            breach(Rule.REPEATED_PAST_ITS_WINDOW, message.sender, message.id, (long) (now - first) + " ms after");
+        if (message.messageClass.isUnsafe()) {
+            recordBreach(Rule.RAN_TWICE, message.sender, message.id, (long) (nowMs - firstMs) + " ms after the first time");
+        } else if (nowMs > firstMs + message.messageClass.dedupWindowMs + slackMs()) {
+            recordBreach(Rule.REPEATED_PAST_ITS_WINDOW, message.sender, message.id, (long) (nowMs - firstMs) + " ms after");
         }
     }
 
     /** An endpoint has written that it is delivered. */
-    void delivered(Message message) {
-        delivered += message.delivered ? 0 : 1;
-        message.delivered = true;
+    void messageDelivered(Message message) {
+        deliveredCount += message.isDelivered ? 0 : 1;
+        message.isDelivered = true;
     }
 
     /** The platform has heard the end of a message by a notice. */
-    void noticed(String id) {
-        Message message = messages.get(id);
+    void noticeReceived(String id) {
+        Message message = messagesById.get(id);
         if (message == null) {
-            breach(Rule.UNKNOWN_MESSAGE, -1, id, "a notice");
+            recordBreach(Rule.UNKNOWN_MESSAGE, -1, id, "a notice");
             return;
         }
-        noticed += message.noticed ? 0 : 1;
-        message.noticed = true;
+        noticedCount += message.isNoticed ? 0 : 1;
+        message.isNoticed = true;
     }
 
     /** An endpoint has written that this sender has to wait. */
-    void waitTold(int sender, int destination, double waitMs) {
-        double now = clock.nowMs();
-        double[] wait = waits.computeIfAbsent(key(sender, destination), unknown -> new double[] {now, now});
-        if (wait[1] < now) {
-            wait[0] = now;
+    void retryAfterSent(int sender, int destination, double retryAfterMs) {
+        double nowMs = clock.nowMs();
+        double[] wait = retryAfterWaits.computeIfAbsent(senderDestinationKey(sender, destination), absentKey -> new double[] {nowMs, nowMs});
+        if (wait[1] < nowMs) {
+            wait[0] = nowMs;
         }
-        wait[1] = Math.max(wait[1], now + waitMs);
+        wait[1] = Math.max(wait[1], nowMs + retryAfterMs);
     }
 
-    private static long key(int sender, int destination) {
+    private static long senderDestinationKey(int sender, int destination) {
         return (long) sender << 32 | destination;
     }
 
     // ---- the judgement ----
 
     /** Looks for messages that were taken on and have no end though it is due; true once none can be lost any more. */
-    boolean judge() {
-        double now = clock.nowMs();
-        boolean open = false;
-        for (Message message : messages.values()) {
-            if (message.judged) {
+    boolean checkResults() {
+        double nowMs = clock.nowMs();
+        boolean anyUnchecked = false;
+        for (Message message : messagesById.values()) {
+            if (message.isChecked) {
                 continue;
             }
-            double due = message.handedAtMs + message.budgetMs + END_GRACE_MS + slackMs();
-            Life life = lives[message.sender];
-            if (!message.taken || message.delivered || message.noticed) {
-                message.judged = now > due;
-            } else if (life.isUp && now > Math.max(due, life.readyAtMs + RESTART_GRACE_MS + slackMs())) {
-                message.judged = true;
-                breach(Rule.LOST, message.sender, message.id, message.type + " handed in at " + (long) message.handedAtMs
+            double dueMs = message.submittedAtMs + message.budgetMs + RESULT_GRACE_MS + slackMs();
+            SenderStatus status = senderStatuses[message.sender];
+            if (!message.isAccepted || message.isDelivered || message.isNoticed) {
+                message.isChecked = nowMs > dueMs;
+            } else if (status.isInService && nowMs > Math.max(dueMs, status.readySinceMs + RESTART_GRACE_MS + slackMs())) {
+                message.isChecked = true;
+                recordBreach(Rule.LOST, message.sender, message.id, message.messageClass + " handed in at " + (long) message.submittedAtMs
                         + " with " + (long) message.budgetMs + " ms");
             }
-            open |= !message.judged;
+            anyUnchecked |= !message.isChecked;
         }
-        return !open;
+        return !anyUnchecked;
     }
 
     /** Figures of the run, for its line of results. */
-    Map<String, Object> figures() {
-        Map<String, Object> figures = new LinkedHashMap<>();
-        figures.put("handed_in", handedIn);
-        figures.put("taken", taken);
-        figures.put("delivered", delivered);
-        figures.put("ended_by_notice", noticed);
-        figures.put("breaches", breaches.size());
+    Map<String, Object> summary() {
+        Map<String, Object> summary = new LinkedHashMap<>();
+        summary.put("handed_in", submittedCount);
+        summary.put("taken", acceptedCount);
+        summary.put("delivered", deliveredCount);
+        summary.put("ended_by_notice", noticedCount);
+        summary.put("breaches", breaches.size());
         for (Rule rule : Rule.values()) {
             long count = breaches.stream().filter(breach -> breach.rule() == rule).count();
             if (count > 0) {
-                figures.put(rule.name().toLowerCase(Locale.ROOT), count);
+                summary.put(rule.name().toLowerCase(Locale.ROOT), count);
             }
         }
-        return figures;
+        return summary;
     }
 }
--- /dev/null
+++ b/src/main/java/kestreldeal/scale/soak/SoakClients.java
@@ -0,0 +1,285 @@
+package kestreldeal.scale.soak;
+
+import io.netty.bootstrap.Bootstrap;
+import io.netty.buffer.Unpooled;
+import io.netty.channel.Channel;
+import io.netty.channel.ChannelFuture;
+import io.netty.channel.ChannelHandlerContext;
+import io.netty.channel.ChannelInboundHandlerAdapter;
+import io.netty.channel.ChannelInitializer;
+import io.netty.channel.ChannelOption;
+import io.netty.channel.EventLoop;
+import io.netty.channel.SimpleChannelInboundHandler;
+import io.netty.channel.socket.nio.NioSocketChannel;
+import io.netty.handler.codec.http.DefaultFullHttpRequest;
+import io.netty.handler.codec.http.FullHttpResponse;
+import io.netty.handler.codec.http.HttpClientCodec;
+import io.netty.handler.codec.http.HttpMethod;
+import io.netty.handler.codec.http.HttpObjectAggregator;
+import io.netty.handler.codec.http.HttpUtil;
+import io.netty.handler.codec.http.HttpVersion;
+import io.netty.util.ReferenceCountUtil;
+import io.netty.util.concurrent.Future;
+import java.net.InetSocketAddress;
+import java.nio.charset.StandardCharsets;
+import java.util.ArrayDeque;
+import java.util.Deque;
+import java.util.Random;
+import java.util.concurrent.TimeUnit;
+import java.util.function.BooleanSupplier;
+import kestreldeal.scale.soak.SoakSettings.MessageClass;
+
+/** Clients of one sender: messages at random times over kept connections, and clients that do not behave. */
+final class SoakClients {
+    /** So long does a client wait for an answer. */
+    private static final int RESPONSE_TIMEOUT_MS = 400;
+    private static final int MAX_RESPONSE_BYTES = 1 << 16;
+    private static final int MAX_BODY_BYTES = 600;
+    /** So long is one that sends no proper request owed an error or a close. */
+    private static final int INVALID_REQUEST_TIMEOUT_MS = 3000;
+    private static final int TIMEOUT_SLACK_MS = 250;
+    private static final double SHORT_DEADLINE_SHARE = 0.02;
+    private static final double PAYMENT_SHARE = 0.35;
+
+    private final int senderNumber;
+    private final InetSocketAddress senderAddress;
+    private final EventLoop eventLoop;
+    private final Ledger ledger;
+    private final Ledger.Clock clock;
+    private final Random random;
+    private final int destinationCount;
+    private final Deque<Connection> idleConnections = new ArrayDeque<>();
+    private BooleanSupplier areSocketsFaulty = () -> false;
+    private boolean isStopped;
+    private long nextMessageNumber;
+    private long rejectedCount;
+    private long unansweredCount;
+
+    SoakClients(int senderNumber, InetSocketAddress senderAddress, EventLoop eventLoop, Ledger ledger, Ledger.Clock clock, Random random,
+            int destinationCount) {
+        this.senderNumber = senderNumber;
+        this.senderAddress = senderAddress;
+        this.eventLoop = eventLoop;
+        this.ledger = ledger;
+        this.clock = clock;
+        this.random = random;
+        this.destinationCount = destinationCount;
+    }
+
+    long rejectedCount() {
+        return rejectedCount;
+    }
+
+    /** Requests whose client gave up, or found no connection. */
+    long unansweredCount() {
+        return unansweredCount;
+    }
+
+    /** Hands in messages at this rate, at random times, until {@link #stop}. */
+    void start(double messagesPerSecond) {
+        if (isStopped) {
+            return;
+        }
+        long waitMicros = (long) (-Math.log(1 - random.nextDouble()) / messagesPerSecond * 1e6);
+        eventLoop.schedule(() -> {
+            submit(random.nextDouble() < PAYMENT_SHARE ? MessageClass.PAYMENT : MessageClass.ORDER, Long.toHexString(
+                    random.nextLong()), random.nextInt(destinationCount), 1);
+            start(messagesPerSecond);
+        }, waitMicros, TimeUnit.MICROSECONDS);
+    }
+
+    /** Hands in no more. */
+    void stop() {
+        isStopped = true;
+    }
+
+    /** A message under a new id; where it is refused it comes once more. */
+    private void submit(MessageClass messageClass, String key, int destination, int triesLeft) {
+        double budgetMs = random.nextDouble() < SHORT_DEADLINE_SHARE ? 1 + random.nextInt(RESPONSE_TIMEOUT_MS) : messageClass.deadlineMs;
+        String id = String.format("%02x-%x-%08x", senderNumber, nextMessageNumber++, random.nextInt());
+        Submission submission = new Submission(id, key, messageClass, destination, budgetMs, triesLeft);
+        Connection connection = idleConnections.pollLast();
+        if (connection != null) {
+            connection.send(submission);
+        } else {
+            connect(submission);
+        }
+    }
+
+    private void connect(Submission submission) {
+        new Bootstrap().group(eventLoop).channel(NioSocketChannel.class).option(ChannelOption.TCP_NODELAY, true)
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, RESPONSE_TIMEOUT_MS).handler(new ChannelInitializer<Channel>() {
+                    @Override
+                    protected void initChannel(Channel channel) {
+                        channel.pipeline().addLast(new HttpClientCodec(), new HttpObjectAggregator(MAX_RESPONSE_BYTES),
+                                new Connection(channel));
+                    }
+                }).connect(senderAddress).addListener(connected -> {
+                    if (connected.isSuccess()) {
+                        ((ChannelFuture) connected).channel().pipeline().get(Connection.class).send(submission);
+                    } else {
+                        unansweredCount++;
+                    }
+                });
+    }
+
+    private record Submission(String id, String key, MessageClass messageClass, int destination, double budgetMs, int triesLeft) {
+    }
+
+    private final class Connection extends SimpleChannelInboundHandler<FullHttpResponse> {
+        private final Channel channel;
+        private Submission pendingSubmission;
+        private Ledger.Message message;
+        private Future<?> responseTimeout;
+        private boolean hasServedRequest;
+        private boolean wasInService;
+
+        Connection(Channel channel) {
+            this.channel = channel;
+        }
+
+        void send(Submission submission) {
+            if (!channel.isActive()) {
+                connect(submission);
+                return;
+            }
+            pendingSubmission = submission;
+            wasInService = ledger.isInService(senderNumber);
+            byte[] body = new byte[random.nextInt(MAX_BODY_BYTES)];
+            random.nextBytes(body);
+            DefaultFullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.POST,
+                    "/" + submission.messageClass.wireName, Unpooled.wrappedBuffer(body));
+            request.headers().set("Host", "app.svc").set("X-Call-Id", submission.id).set("X-Call-Class", submission.messageClass.wireName)
+                    .set("X-Budget-Ms", (long) submission.budgetMs).set("Idempotency-Key", submission.key)
+                    .set("X-Envelope", "dest=" + submission.destination).set("Content-Length", body.length);
+            message = new Ledger.Message(submission.id, submission.key, submission.messageClass, submission.destination, senderNumber, clock.nowMs(),
+                    submission.budgetMs);
+            ledger.messageSubmitted(message);
+            channel.writeAndFlush(request);
+            responseTimeout = eventLoop.schedule(() -> {
+                unansweredCount++;
+                pendingSubmission = null;
+                channel.close();
+            }, RESPONSE_TIMEOUT_MS, TimeUnit.MILLISECONDS);
+        }
+
+        @Override
+        protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse response) {
+            if (pendingSubmission == null) {
+                channel.close();
+                return;
+            }
+            Submission submission = pendingSubmission;
+            pendingSubmission = null;
+            responseTimeout.cancel(false);
+            hasServedRequest = true;
+            int status = response.status().code();
+            if (status == 202 || status == 200) {
+                ledger.messageAccepted(message);
+            } else {
+                rejectedCount++;
+                if (submission.triesLeft > 0 && (status == 503 || status == 429)) {
+                    // Handing it in again is harmless: so it must not have run.
+                    eventLoop.schedule(() -> submit(submission.messageClass, submission.key, submission.destination,
+                            submission.triesLeft - 1), random.nextInt(1000), TimeUnit.MILLISECONDS);
+                }
+            }
+            if (HttpUtil.isKeepAlive(response)) {
+                idleConnections.addLast(this);
+            } else {
+                channel.close();
+            }
+        }
+
+        @Override
+        public void channelInactive(ChannelHandlerContext ctx) {
+            idleConnections.remove(this);
+            if (pendingSubmission == null) {
+                return;
+            }
+            responseTimeout.cancel(false);
+            Submission submission = pendingSubmission;
+            pendingSubmission = null;
+            if (hasServedRequest) {
+                // It crossed the end of a resting connection: it is sent once more, on a new one.
+                connect(submission);
+                return;
+            }
+            unansweredCount++;
+            if (wasInService && ledger.isInService(senderNumber) && !areSocketsFaulty.getAsBoolean()) {
+                ledger.recordBreach(Ledger.Rule.UNANSWERED_REQUEST, senderNumber, submission.id, "its new connection was ended");
+            }
+        }
+
+        @Override
+        public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
+            ctx.close();
+        }
+    }
+
+    /** Whether the sender's own system calls fail just now, so that its connections may break. */
+    void setSocketsFaulty(BooleanSupplier socketsFaulty) {
+        areSocketsFaulty = socketsFaulty;
+    }
+
+    /** What a client sends that is no proper request. */
+    enum InvalidRequest {
+        SILENT(""), HALF_A_LINE("POST /ord"), HALF_A_BODY("POST /order HTTP/1.1\r\nX-Call-Id: bad\r\nContent-Length: 90\r\n\r\nx"),
+        NOISE("\u0001\u0002\u0003\u0004\r\n\r\n"), NO_HEADERS("POST /order HTTP/1.1\r\nContent-Length: 0\r\n\r\n");
+
+        private final String text;
+
+        InvalidRequest(String text) {
+            this.text = text;
+        }
+    }
+
+    /** One that sends this and stays: it is owed an error or a close. */
+    void sendInvalidRequest(InvalidRequest invalidRequest) {
+        new Bootstrap().group(eventLoop).channel(NioSocketChannel.class).handler(new ChannelInitializer<Channel>() {
+            @Override
+            protected void initChannel(Channel channel) {
+                channel.pipeline().addLast(new InvalidRequestHandler(invalidRequest));
+            }
+        }).connect(senderAddress);
+    }
+
+    private final class InvalidRequestHandler extends ChannelInboundHandlerAdapter {
+        private final InvalidRequest invalidRequest;
+        private Future<?> responseTimeout;
+
+        InvalidRequestHandler(InvalidRequest invalidRequest) {
+            this.invalidRequest = invalidRequest;
+        }
+
+        @Override
+        public void channelActive(ChannelHandlerContext ctx) {
+            ctx.writeAndFlush(Unpooled.copiedBuffer(invalidRequest.text, StandardCharsets.ISO_8859_1));
+            boolean wasInService = ledger.isInService(senderNumber);
+            responseTimeout = eventLoop.schedule(() -> {
+                if (wasInService && ledger.isInService(senderNumber)) {
+                    ledger.recordBreach(Ledger.Rule.BAD_CLIENT_LEFT, senderNumber, invalidRequest.name(), "neither an error nor a close");
+                }
+                ctx.close();
+            }, (long) (INVALID_REQUEST_TIMEOUT_MS + TIMEOUT_SLACK_MS + clock.schedulingDelayMs()), TimeUnit.MILLISECONDS);
+        }
+
+        @Override
+        public void channelRead(ChannelHandlerContext ctx, Object received) {
+            ReferenceCountUtil.release(received);
+            responseTimeout.cancel(false);
+        }
+
+        @Override
+        public void channelInactive(ChannelHandlerContext ctx) {
+            if (responseTimeout != null) {
+                responseTimeout.cancel(false);
+            }
+        }
+
+        @Override
+        public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
+            ctx.close();
+        }
+    }
+}
--- a/src/main/java/kestreldeal/scale/soak/SoakCommand.java
+++ b/src/main/java/kestreldeal/scale/soak/SoakCommand.java
@@ -18,9 +18,9 @@
         + "judged by the rules. Run from the root of a checkout that is built.")
 public final class SoakCommand implements Callable<Integer> {
     private static final Path JAR = Path.of("target", "kestreldeal.jar");
-    private static final Path ARCHIVE = Path.of("target", "sender.jsa");
-    private static final int GROWTH = 16;
-    private static final int MOST_LINES = 200;
+    private static final Path CLASS_ARCHIVE = Path.of("target", "sender.jsa");
+    private static final int GROWTH_FACTOR = 16;
+    private static final int MAX_REPORT_LINES = 200;
 
     @Option(names = "--senders", defaultValue = "24", description = "Processes (${DEFAULT-VALUE}).")
     private int senders;
@@ -37,72 +37,72 @@
     @Option(names = "--runs", defaultValue = "1", description = "Runs, each with the next seed (${DEFAULT-VALUE}).")
     private int runs;
     @Option(names = "--no-faults", description = "System calls don't fail; without a C compiler they don't either.")
-    private boolean noFaults;
+    private boolean noSystemCallFaults;
     @Option(names = "--calm", description = "Nothing goes wrong.")
     private boolean calm;
     @Option(names = "--growth", description = "Two calm runs instead: with these endpoints, and with 16 times as many.")
-    private boolean growth;
+    private boolean measureGrowth;
     @Option(names = "--out", description = "A file for the results, one JSON object a line.")
     private Optional<Path> out = Optional.empty();
 
     /** Returns 0 if no rule was broken, else 1. */
     @Override
     public Integer call() throws Exception {
-        Path folder = Files.createTempDirectory("soak");
-        Optional<Path> library = noFaults || calm || growth ? Optional.empty() : Shim.build(folder);
+        Path directory = Files.createTempDirectory("soak");
+        Optional<Path> faultLibrary = noSystemCallFaults || calm || measureGrowth ? Optional.empty() : FaultLibrary.build(directory);
         try (ResultWriter results = ResultWriter.open(out, "soak", seed, List.of(senders))) {
-            return growth ? grow(folder, results) : soak(folder, library, results);
+            return measureGrowth ? runGrowth(directory, results) : runSoak(directory, faultLibrary, results);
         }
     }
 
-    private SoakSettings settings(Path folder, long runSeed, int each, boolean troubles, boolean faults) throws IOException {
-        return new SoakSettings(senders, destinations, each, rate, seconds, runSeed, troubles, faults,
-                Files.createDirectories(folder.resolve("run-" + runSeed + "-" + each)));
+    private SoakSettings settings(Path directory, long runSeed, int endpointsPerDestination, boolean injectFaults, boolean injectSystemCallFaults) throws IOException {
+        return new SoakSettings(senders, destinations, endpointsPerDestination, rate, seconds, runSeed, injectFaults, injectSystemCallFaults,
+                Files.createDirectories(directory.resolve("run-" + runSeed + "-" + endpointsPerDestination)));
     }
 
-    private int soak(Path folder, Optional<Path> library, ResultWriter results) throws Exception {
-        long broken = 0;
+    private int runSoak(Path directory, Optional<Path> faultLibrary, ResultWriter results) throws Exception {
+        long breachCount = 0;
         for (long runSeed = seed; runSeed < seed + runs; runSeed++) {
-            SoakSettings settings = settings(folder, runSeed, endpointsEach, !calm, library.isPresent());
-            try (Soak soak = new Soak(settings, command())) {
-                Map<String, Object> figures = soak.run(library);
-                results.writeLine("run", figures);
-                System.out.println(figures);
-                List<String> report = soak.report();
-                report.stream().limit(MOST_LINES).forEach(System.out::println);
-                broken += (Integer) figures.get("breaches");
+            SoakSettings settings = settings(directory, runSeed, endpointsEach, !calm, faultLibrary.isPresent());
+            try (SoakRun run = new SoakRun(settings, senderCommand())) {
+                Map<String, Object> summary = run.run(faultLibrary);
+                results.writeLine("run", summary);
+                System.out.println(summary);
+                List<String> reportLines = run.formatBreaches();
+                reportLines.stream().limit(MAX_REPORT_LINES).forEach(System.out::println);
+                breachCount += (Integer) summary.get("breaches");
             }
         }
-        System.out.println(broken + " breaches; logs and traces are in " + folder);
-        return broken == 0 ? 0 : 1;
+        System.out.println(breachCount + " breaches; logs and traces are in " + directory);
+        return breachCount == 0 ? 0 : 1;
     }
 
-    private int grow(Path folder, ResultWriter results) throws Exception {
-        Map<Integer, Map<String, Double>> costs = new LinkedHashMap<>();
-        for (int factor : new int[] {1, GROWTH}) {
-            SoakSettings settings = settings(folder, seed, endpointsEach * factor, false, false);
-            try (Soak soak = new Soak(settings, command())) {
-                Map<String, Object> figures = soak.run(Optional.empty());
-                Map<String, Double> means = soak.costs();
-                means.put("served", ((Long) figures.get("delivered")).doubleValue() / (Long) figures.get("handed_in"));
-                costs.put(factor, means);
-                Map<String, Object> line = new LinkedHashMap<>(figures);
-                line.putAll(means);
-                results.writeLine("growth", line);
-                System.out.println(line);
+    private int runGrowth(Path directory, ResultWriter results) throws Exception {
+        Map<Integer, Map<String, Double>> resourceUseByFactor = new LinkedHashMap<>();
+        for (int factor : new int[] {1, GROWTH_FACTOR}) {
+            SoakSettings settings = settings(directory, seed, endpointsEach * factor, false, false);
+            try (SoakRun run = new SoakRun(settings, senderCommand())) {
+                Map<String, Object> summary = run.run(Optional.empty());
+                Map<String, Double> meanUse = run.meanResourceUse();
+                meanUse.put("served", ((Long) summary.get("delivered")).doubleValue() / (Long) summary.get("handed_in"));
+                resourceUseByFactor.put(factor, meanUse);
+                Map<String, Object> result = new LinkedHashMap<>(summary);
+                result.putAll(meanUse);
+                results.writeLine("growth", result);
+                System.out.println(result);
             }
         }
-        costs.get(1).forEach((name, usual) -> System.out.printf("%s: %.2f, then %.2f (%.2f times)%n", name, usual,
-                costs.get(GROWTH).get(name), costs.get(GROWTH).get(name) / usual));
+        resourceUseByFactor.get(1).forEach((name, baseValue) -> System.out.printf("%s: %.2f, then %.2f (%.2f times)%n", name, baseValue,
+                resourceUseByFactor.get(GROWTH_FACTOR).get(name), resourceUseByFactor.get(GROWTH_FACTOR).get(name) / baseValue));
         return 0;
     }
 
     /** As the deploy file starts a sender. */
-    private static List<String> command() throws IOException {
+    private static List<String> senderCommand() throws IOException {
         List<String> command = new ArrayList<>(List.of("env", "--default-signal=HUP",
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(), "@deploy/java.options"));
-        if (Files.isReadable(ARCHIVE)) {
-            command.add("-XX:SharedArchiveFile=" + ARCHIVE);
+        if (Files.isReadable(CLASS_ARCHIVE)) {
+            command.add("-XX:SharedArchiveFile=" + CLASS_ARCHIVE);
         }
         command.addAll(List.of("-jar", JAR.toString(), "serve", "--alone"));
         return command;
--- a/src/main/java/kestreldeal/scale/soak/SoakSender.java
+++ b/src/main/java/kestreldeal/scale/soak/SoakSender.java
@@ -24,146 +24,146 @@
 
 /** One real sender as the platform starts it, in life after life, with its agent and its faults. */
 final class SoakSender {
-    private static final int SOCKET_MS = 1000;
-    private static final int READY_POLL_MS = 20;
-    private static final int READY_MS = 10_000;
-    private static final long KILLED_AFTER_MS = 3700;
+    private static final int SOCKET_TIMEOUT_MS = 1000;
+    private static final int READY_POLL_INTERVAL_MS = 20;
+    private static final int MAX_START_MS = 10_000;
+    private static final long KILL_DELAY_MS = 3700;
     /** After SIGHUP what discovery has to tell counts as told so long later. */
-    private static final double RELOAD_MS = 4000;
-    private static final long CLOCK_TICKS = 100;
+    private static final double RELOAD_GRACE_MS = 4000;
+    private static final long CLOCK_TICKS_PER_SECOND = 100;
     /** Below those that Linux gives out by itself. */
-    private static final int END_OF_PORTS = 32_000;
+    private static final int PORT_LIMIT = 32_000;
     private static final AtomicInteger NEXT_PORT = new AtomicInteger(20_000 + (int) (ProcessHandle.current().pid() % 8000));
 
     final int number;
     private final SoakSettings settings;
-    private final EventLoop loop;
+    private final EventLoop eventLoop;
     private final Ledger ledger;
     private final Ledger.Clock clock;
-    private final Path folder;
-    private final int port;
-    private final int operatorsPort;
+    private final Path directory;
+    private final int clientPort;
+    private final int operatorPort;
     private final List<String> command;
-    private final Optional<Shim> shim;
-    private final Roster roster;
-    private final List<double[]> reloads = new ArrayList<>();
-    private final List<double[]> silences = new ArrayList<>();
-    private AgentStand agent;
+    private final Optional<FaultLibrary> faultLibrary;
+    private final EndpointList endpointList;
+    private final List<double[]> reloadSpans = new ArrayList<>();
+    private final List<double[]> outageSpans = new ArrayList<>();
+    private StubAgent agent;
     private Process process;
-    private boolean meantToEnd;
-    private boolean busy;
+    private boolean isExitExpected;
+    private boolean isRestarting;
 
-    SoakSender(int number, SoakSettings settings, List<String> command, EventLoop loop, Ledger ledger, Ledger.Clock clock,
-            Roster roster, Optional<Path> library) throws IOException {
+    SoakSender(int number, SoakSettings settings, List<String> command, EventLoop eventLoop, Ledger ledger, Ledger.Clock clock,
+            EndpointList endpointList, Optional<Path> faultLibraryFile) throws IOException {
         this.number = number;
         this.settings = settings;
         this.command = command;
-        this.loop = loop;
+        this.eventLoop = eventLoop;
         this.ledger = ledger;
         this.clock = clock;
-        this.roster = roster;
-        this.folder = settings.folder().resolve("sender-" + number);
-        Files.createDirectories(folder.resolve("state"));
-        this.port = freePort();
-        this.operatorsPort = freePort();
-        this.shim = library.isEmpty() ? Optional.empty()
-                : Optional.of(Shim.of(library.get(), folder.resolve("faults"), settings.seed() * 1000 + number + 1));
-        this.agent = new AgentStand(loop, roster, ledger);
+        this.endpointList = endpointList;
+        this.directory = settings.directory().resolve("sender-" + number);
+        Files.createDirectories(directory.resolve("state"));
+        this.clientPort = freePort();
+        this.operatorPort = freePort();
+        this.faultLibrary = faultLibraryFile.isEmpty() ? Optional.empty()
+                : Optional.of(FaultLibrary.forSender(faultLibraryFile.get(), directory.resolve("faults"), settings.seed() * 1000 + number + 1));
+        this.agent = new StubAgent(eventLoop, endpointList, ledger);
     }
 
     /** One that the system gives to nobody by itself: a sender has the same in each life. */
     private static int freePort() throws IOException {
-        for (int port = NEXT_PORT.getAndIncrement(); port < END_OF_PORTS; port = NEXT_PORT.getAndIncrement()) {
+        for (int port = NEXT_PORT.getAndIncrement(); port < PORT_LIMIT; port = NEXT_PORT.getAndIncrement()) {
             try (ServerSocket socket = new ServerSocket(port, 1, InetAddress.getLoopbackAddress())) {
                 return socket.getLocalPort();
-            } catch (BindException taken) {
+            } catch (BindException inUse) {
                 continue;
             }
         }
-        throw new IOException("no port is free below " + END_OF_PORTS);
+        throw new IOException("no port is free below " + PORT_LIMIT);
     }
 
-    InetSocketAddress address() {
-        return new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
+    InetSocketAddress clientAddress() {
+        return new InetSocketAddress(InetAddress.getLoopbackAddress(), clientPort);
     }
 
-    Optional<Shim> shim() {
-        return shim;
+    Optional<FaultLibrary> faultLibrary() {
+        return faultLibrary;
     }
 
-    AgentStand agent() {
+    StubAgent agent() {
         return agent;
     }
 
     /** Whether a life of it is ending or beginning: then nothing else is done to it. */
-    boolean isBusy() {
-        return busy;
+    boolean isRestarting() {
+        return isRestarting;
     }
 
-    private void configure() throws IOException {
+    private void writeConfiguration() throws IOException {
         StringBuilder classes = new StringBuilder();
-        for (MessageClass type : MessageClass.values()) {
+        for (MessageClass messageClass : MessageClass.values()) {
             classes.append(classes.length() == 0 ? "" : ",").append(String.format(Locale.ROOT, "{\"name\":\"%s\","
                     + "\"aim_ms\":%d,\"give_up_ms\":%d,\"repeat\":\"%s\",\"window_ms\":%d,\"worth\":1,\"late_worth\":0.3}",
-                    type.wireName, type.aimMs, type.deadlineMs, type.isUnsafe() ? "unsafe" : "keyed", type.windowMs));
+                    messageClass.wireName, messageClass.targetLatencyMs, messageClass.deadlineMs, messageClass.isUnsafe() ? "unsafe" : "keyed", messageClass.dedupWindowMs));
         }
-        Files.writeString(folder.resolve("config.json"), String.format(Locale.ROOT, """
+        Files.writeString(directory.resolve("config.json"), String.format(Locale.ROOT, """
                 {"name":"soak-%d","discovery":"%s","seed":"%x","limits":{"memory_mb":192,"sockets":512,"disk_mb":3},
                  "settings":{"classes":[%s],"flavors":["m"],"zones":["a"],"weight_kind":"rough",
                   "family_info":{"workers":24,"batch_by_kind":[3],"separate_routes":[false]},"fleet_size":%d,
                   "limits":{"most_tries":%d,"second_copies":true,"cancel":true,"dial_timeout_ms":1000,
                    "keepalive_ms":15000,"max_open":400},
                   "rules":{"start_capacity":0.2,"warm_after_ms":12000,"fall_multiple":2,"fall_ms":3000}}}
-                """, number, agent.hostPort(), settings.seed() + number, classes, settings.senders(),
-                SoakSettings.MOST_ATTEMPTS));
+                """, number, agent.hostPort(), settings.seed() + number, classes, settings.senderCount(),
+                SoakSettings.MAX_ATTEMPTS));
     }
 
     /** Begins its first life; when it is ready the ledger is told. */
     void start() throws IOException {
-        configure();
-        begin();
+        writeConfiguration();
+        startProcess();
     }
 
-    private void begin() throws IOException {
+    private void startProcess() throws IOException {
         ProcessBuilder builder = new ProcessBuilder(command).redirectErrorStream(true)
-                .redirectOutput(ProcessBuilder.Redirect.appendTo(log().toFile()));
+                .redirectOutput(ProcessBuilder.Redirect.appendTo(logFile().toFile()));
         builder.environment().putAll(Map.of("GW_NAME", "soak-" + number, "GW_CONFIG",
-                folder.resolve("config.json").toString(), "GW_STATE", folder.resolve("state").toString(), "GW_LISTEN",
-                "127.0.0.1:" + port, "GW_OPS", "127.0.0.1:" + operatorsPort, "GW_TRACE",
-                folder.resolve("trace").toString()));
-        shim.ifPresent(faults -> builder.environment().putAll(faults.environment()));
-        meantToEnd = false;
-        Process life = builder.start();
-        process = life;
-        life.onExit().thenRun(() -> loop.execute(() -> ended(life)));
-        awaitReady(life, clock.nowMs());
+                directory.resolve("config.json").toString(), "GW_STATE", directory.resolve("state").toString(), "GW_LISTEN",
+                "127.0.0.1:" + clientPort, "GW_OPS", "127.0.0.1:" + operatorPort, "GW_TRACE",
+                directory.resolve("trace").toString()));
+        faultLibrary.ifPresent(library -> builder.environment().putAll(library.environment()));
+        isExitExpected = false;
+        Process started = builder.start();
+        process = started;
+        started.onExit().thenRun(() -> eventLoop.execute(() -> processExited(started)));
+        awaitReady(started, clock.nowMs());
     }
 
-    private void ended(Process life) {
-        ledger.gone(number);
-        if (!meantToEnd && life == process) {
-            ledger.breach(Ledger.Rule.SENDER_ENDED, number, "-", "exit " + life.exitValue());
+    private void processExited(Process exited) {
+        ledger.senderExited(number);
+        if (!isExitExpected && exited == process) {
+            ledger.recordBreach(Ledger.Rule.SENDER_ENDED, number, "-", "exit " + exited.exitValue());
         }
     }
 
     /** Asked on a thread of its own, since it may take long to be answered. */
-    private void awaitReady(Process life, double begunMs) {
+    private void awaitReady(Process started, double startedAtMs) {
         Thread thread = new Thread(() -> {
-            while (life.isAlive() && !ask(port, "GET /healthz HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
+            while (started.isAlive() && !query(clientPort, "GET /healthz HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
                     .startsWith("HTTP/1.1 200")) {
                 try {
-                    Thread.sleep(READY_POLL_MS);
+                    Thread.sleep(READY_POLL_INTERVAL_MS);
                 } catch (InterruptedException e) {
                     return;
                 }
             }
-            loop.execute(() -> {
-                double tookMs = clock.nowMs() - begunMs;
-                if (life.isAlive() && life == process) {
-                    ledger.ready(number);
-                    busy = false;
-                    if (tookMs > READY_MS) {
-                        ledger.breach(Ledger.Rule.NOT_READY, number, "-", (long) tookMs + " ms");
+            eventLoop.execute(() -> {
+                double startMs = clock.nowMs() - startedAtMs;
+                if (started.isAlive() && started == process) {
+                    ledger.senderReady(number);
+                    isRestarting = false;
+                    if (startMs > MAX_START_MS) {
+                        ledger.recordBreach(Ledger.Rule.NOT_READY, number, "-", (long) startMs + " ms");
                     }
                 }
             });
@@ -172,11 +172,11 @@
         thread.start();
     }
 
-    private static String ask(int port, String call) {
+    private static String query(int port, String request) {
         try (Socket socket = new Socket()) {
-            socket.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), port), SOCKET_MS);
-            socket.setSoTimeout(SOCKET_MS);
-            socket.getOutputStream().write(call.getBytes(StandardCharsets.US_ASCII));
+            socket.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), port), SOCKET_TIMEOUT_MS);
+            socket.setSoTimeout(SOCKET_TIMEOUT_MS);
+            socket.getOutputStream().write(request.getBytes(StandardCharsets.US_ASCII));
             return new String(socket.getInputStream().readAllBytes(), StandardCharsets.US_ASCII);
         } catch (IOException e) {
             return "";
@@ -185,133 +185,133 @@
 
     /** SIGKILL, and the next life a little later. */
     void kill(long downMs) {
-        busy = true;
-        meantToEnd = true;
-        ledger.ends(number);
+        isRestarting = true;
+        isExitExpected = true;
+        ledger.senderStopping(number);
         process.destroyForcibly();
-        later(downMs, this::begin);
+        scheduleTask(downMs, this::startProcess);
     }
 
     /** SIGTERM, SIGKILL once its time is over, and the next life a little later. */
-    void end(long downMs) {
-        busy = true;
-        meantToEnd = true;
-        ledger.ends(number);
-        Process life = process;
-        life.destroy();
-        later(KILLED_AFTER_MS, () -> {
-            life.destroyForcibly();
-            later(downMs, this::begin);
+    void terminate(long downMs) {
+        isRestarting = true;
+        isExitExpected = true;
+        ledger.senderStopping(number);
+        Process terminated = process;
+        terminated.destroy();
+        scheduleTask(KILL_DELAY_MS, () -> {
+            terminated.destroyForcibly();
+            scheduleTask(downMs, this::startProcess);
         });
     }
 
-    private interface Step {
-        void go() throws IOException;
+    private interface IoTask {
+        void run() throws IOException;
     }
 
-    private void later(long ms, Step step) {
-        loop.schedule(() -> {
+    private void scheduleTask(long delayMs, IoTask task) {
+        eventLoop.schedule(() -> {
             try {
-                step.go();
+                task.run();
             } catch (IOException e) {
-                ledger.breach(Ledger.Rule.SENDER_ENDED, number, "-", "can't be started: " + e.getMessage());
+                ledger.recordBreach(Ledger.Rule.SENDER_ENDED, number, "-", "can't be started: " + e.getMessage());
             }
-        }, ms, TimeUnit.MILLISECONDS);
+        }, delayMs, TimeUnit.MILLISECONDS);
     }
 
     /** A new configuration names another agent; called off the loop, as that one has to listen first. */
     void reload() {
-        AgentStand next = new AgentStand(loop, roster, ledger);
-        loop.execute(() -> {
-            if (busy) {
-                next.close();
+        StubAgent newAgent = new StubAgent(eventLoop, endpointList, ledger);
+        eventLoop.execute(() -> {
+            if (isRestarting) {
+                newAgent.close();
                 return;
             }
-            AgentStand old = agent;
-            agent = next;
+            StubAgent oldAgent = agent;
+            agent = newAgent;
             try {
-                configure();
+                writeConfiguration();
             } catch (IOException e) {
-                ledger.breach(Ledger.Rule.SENDER_ENDED, number, "-", "no configuration: " + e.getMessage());
+                ledger.recordBreach(Ledger.Rule.SENDER_ENDED, number, "-", "no configuration: " + e.getMessage());
             }
-            reloads.add(new double[] {clock.nowMs(), clock.nowMs() + RELOAD_MS});
-            signal("HUP");
-            old.moves();
+            reloadSpans.add(new double[] {clock.nowMs(), clock.nowMs() + RELOAD_GRACE_MS});
+            sendSignal("HUP");
+            oldAgent.retire();
         });
     }
 
     /** Discovery is silent for it for so long. */
-    void silence(long ms) {
-        AgentStand quiet = agent;
-        quiet.silent(true);
+    void stopDiscovery(long durationMs) {
+        StubAgent stoppedAgent = agent;
+        stoppedAgent.setDiscoveryDown(true);
         double[] span = {clock.nowMs(), Double.POSITIVE_INFINITY};
-        silences.add(span);
-        loop.schedule(() -> {
+        outageSpans.add(span);
+        eventLoop.schedule(() -> {
             span[1] = clock.nowMs();
-            quiet.silent(false);
-        }, ms, TimeUnit.MILLISECONDS);
+            stoppedAgent.setDiscoveryDown(false);
+        }, durationMs, TimeUnit.MILLISECONDS);
     }
 
     /** When a change that discovery had at that time counted as told to it. */
-    double toldAtMs(double changedAtMs) {
-        return Stream.concat(reloads.stream(), silences.stream())
+    double notifiedAtMs(double changedAtMs) {
+        return Stream.concat(reloadSpans.stream(), outageSpans.stream())
                 .filter(span -> span[0] <= changedAtMs && changedAtMs < span[1]).mapToDouble(span -> span[1]).max()
                 .orElse(changedAtMs);
     }
 
     /** The process does not run for a moment. */
-    void holdUp(long ms) {
-        signal("STOP");
-        loop.schedule(() -> signal("CONT"), ms, TimeUnit.MILLISECONDS);
+    void suspend(long durationMs) {
+        sendSignal("STOP");
+        eventLoop.schedule(() -> sendSignal("CONT"), durationMs, TimeUnit.MILLISECONDS);
     }
 
-    private void signal(String name) {
+    private void sendSignal(String signalName) {
         try {
-            new ProcessBuilder("kill", "-" + name, Long.toString(process.pid())).start();
+            new ProcessBuilder("kill", "-" + signalName, Long.toString(process.pid())).start();
         } catch (IOException e) {
-            ledger.breach(Ledger.Rule.SENDER_ENDED, number, "-", "can't be signalled: " + e.getMessage());
+            ledger.recordBreach(Ledger.Rule.SENDER_ENDED, number, "-", "can't be signalled: " + e.getMessage());
         }
     }
 
     /** The sum of the figures of that name as operators see them, over all reasons; -1 if it does not answer. */
-    long figure(String name) {
-        String text = ask(operatorsPort, "telemetry\n");
+    long metric(String name) {
+        String text = query(operatorPort, "telemetry\n");
         return text.isEmpty() ? -1 : text.lines().filter(line -> line.startsWith("edge_gw_" + name))
                 .mapToLong(line -> Long.parseLong(line.substring(line.lastIndexOf(' ') + 1))).sum();
     }
 
     /** Processor time of this life in seconds, most memory in megabytes, and descriptors now. */
-    double[] costs() throws IOException {
+    double[] resourceUse() throws IOException {
         Path proc = Path.of("/proc", Long.toString(process.pid()));
         String stat = Files.readString(proc.resolve("stat"));
         String[] fields = stat.substring(stat.lastIndexOf(')') + 2).split(" ");
-        double seconds = (Long.parseLong(fields[11]) + Long.parseLong(fields[12])) / (double) CLOCK_TICKS;
+        double cpuSeconds = (Long.parseLong(fields[11]) + Long.parseLong(fields[12])) / (double) CLOCK_TICKS_PER_SECOND;
         double peakMb = Files.readAllLines(proc.resolve("status")).stream().filter(line -> line.startsWith("VmHWM:"))
                 .mapToDouble(line -> Double.parseDouble(line.replaceAll("\\D", "")) / 1024).sum();
-        try (Stream<Path> open = Files.list(proc.resolve("fd"))) {
-            return new double[] {seconds, peakMb, open.count()};
+        try (Stream<Path> descriptors = Files.list(proc.resolve("fd"))) {
+            return new double[] {cpuSeconds, peakMb, descriptors.count()};
         }
     }
 
-    Path log() {
-        return folder.resolve("log");
+    Path logFile() {
+        return directory.resolve("log");
     }
 
     /** The steps of one message, over all lives. */
-    List<String> trace(String id) throws IOException {
-        Path file = folder.resolve("trace");
+    List<String> trace(String messageId) throws IOException {
+        Path file = directory.resolve("trace");
         if (!Files.exists(file)) {
             return List.of();
         }
         try (BufferedReader lines = new BufferedReader(new InputStreamReader(Files.newInputStream(file),
                 StandardCharsets.UTF_8))) {
-            return lines.lines().filter(line -> line.contains(" " + id)).toList();
+            return lines.lines().filter(line -> line.contains(" " + messageId)).toList();
         }
     }
 
     /** Ends its life at once, and its agent. */
     void close() throws InterruptedException {
-        meantToEnd = true;
+        isExitExpected = true;
         if (process != null) {
             process.destroyForcibly().waitFor();
         }
--- a/src/main/java/kestreldeal/scale/soak/SoakSettings.java
+++ b/src/main/java/kestreldeal/scale/soak/SoakSettings.java
@@ -15,31 +15,31 @@
  * @param faults whether system calls fail too, which needs a C compiler
  * @param folder for what the senders need and say
  */
-record SoakSettings(int senders, int destinations, int endpointsEach, double messagesPerSecond, int seconds, long seed,
-                    boolean troubles, boolean faults, Path folder) {
+record SoakSettings(int senderCount, int destinationCount, int endpointsPerDestination, double messagesPerSenderSecond, int seconds, long seed,
+                    boolean injectFaults, boolean injectSystemCallFaults, Path directory) {
     /** Classes of messages, as the senders' settings have them. */
     enum MessageClass {
         ORDER("order", 1500, 8000, 3000), PAYMENT("payment", 2000, 7000, 0);
 
         final String wireName;
-        final int aimMs;
+        final int targetLatencyMs;
         final int deadlineMs;
         /** For so long repeats are dropped; 0 if it must not run twice. */
-        final int windowMs;
+        final int dedupWindowMs;
 
-        MessageClass(String wireName, int aimMs, int deadlineMs, int windowMs) {
+        MessageClass(String wireName, int targetLatencyMs, int deadlineMs, int dedupWindowMs) {
             this.wireName = wireName;
-            this.aimMs = aimMs;
+            this.targetLatencyMs = targetLatencyMs;
             this.deadlineMs = deadlineMs;
-            this.windowMs = windowMs;
+            this.dedupWindowMs = dedupWindowMs;
         }
 
         boolean isUnsafe() {
-            return windowMs == 0;
+            return dedupWindowMs == 0;
         }
     }
 
     /** Nothing new goes to an endpoint so long after word that it drains or is gone. */
     static final int DRAIN_GRACE_MS = 1000;
-    static final int MOST_ATTEMPTS = 12;
+    static final int MAX_ATTEMPTS = 12;
 }
--- a/src/main/java/kestreldeal/scale/soak/AgentStand.java
+++ b/src/main/java/kestreldeal/scale/soak/StubAgent.java
@@ -18,34 +18,34 @@
 import java.util.concurrent.TimeUnit;
 
 /** A stand-in for the platform's agent on one sender's machine: the list, watches and notices. */
-final class AgentStand {
+final class StubAgent {
     private static final JsonMapper JSON = JsonMapper.builder().build();
     /** From word of another address until the old one ends its connections. */
-    private static final long MOVED_MS = 1500;
+    private static final long OLD_ADDRESS_GRACE_MS = 1500;
 
-    private final EventLoop loop;
-    private final Roster roster;
+    private final EventLoop eventLoop;
+    private final EndpointList endpointList;
     private final Ledger ledger;
     private final Set<Channel> connections = new LinkedHashSet<>();
-    private final List<Watch> watches = new ArrayList<>();
-    private final Channel listening;
-    private boolean silent;
+    private final List<Watch> pendingWatches = new ArrayList<>();
+    private final Channel serverChannel;
+    private boolean isDiscoveryDown;
     private long listBytes;
 
-    private record Watch(Channel channel, long after) {
+    private record Watch(Channel channel, long afterGeneration) {
     }
 
     /** One that listens; not made on the loop. */
-    AgentStand(EventLoop loop, Roster roster, Ledger ledger) {
-        this.loop = loop;
-        this.roster = roster;
+    StubAgent(EventLoop eventLoop, EndpointList endpointList, Ledger ledger) {
+        this.eventLoop = eventLoop;
+        this.endpointList = endpointList;
         this.ledger = ledger;
-        this.listening = Http.listen(loop, 0, Asked::new).syncUninterruptibly().channel();
-        roster.onChange(this::tell);
+        this.serverChannel = StubHttpServer.listen(eventLoop, 0, RequestHandler::new).syncUninterruptibly().channel();
+        endpointList.addChangeListener(this::respondToWatches);
     }
 
     String hostPort() {
-        return "127.0.0.1:" + Http.port(listening);
+        return "127.0.0.1:" + StubHttpServer.localPort(serverChannel);
     }
 
     /** Bytes of lists that it has sent. */
@@ -54,34 +54,34 @@
     }
 
     /** Discovery is down for it, or is back: then it answers what is asked from then on, and watches. */
-    void silent(boolean now) {
-        silent = now;
-        if (!silent) {
-            tell();
+    void setDiscoveryDown(boolean down) {
+        isDiscoveryDown = down;
+        if (!isDiscoveryDown) {
+            respondToWatches();
         }
     }
 
     /** Another address takes its place. */
-    void moves() {
-        listening.close();
-        loop.schedule(() -> List.copyOf(connections).forEach(Channel::close), MOVED_MS, TimeUnit.MILLISECONDS);
+    void retire() {
+        serverChannel.close();
+        eventLoop.schedule(() -> List.copyOf(connections).forEach(Channel::close), OLD_ADDRESS_GRACE_MS, TimeUnit.MILLISECONDS);
     }
 
-    private void tell() {
-        if (silent) {
+    private void respondToWatches() {
+        if (isDiscoveryDown) {
             return;
         }
-        List<Watch> due = watches.stream().filter(watch -> watch.after < roster.generation()).toList();
-        watches.removeAll(due);
-        due.forEach(watch -> send(watch.channel, roster.since(watch.after)));
+        List<Watch> outdated = pendingWatches.stream().filter(watch -> watch.afterGeneration < endpointList.generation()).toList();
+        pendingWatches.removeAll(outdated);
+        outdated.forEach(watch -> sendList(watch.channel, endpointList.changesSince(watch.afterGeneration)));
     }
 
-    private void send(Channel to, String list) {
+    private void sendList(Channel channel, String list) {
         listBytes += list.length();
-        Http.answer(to, HttpResponseStatus.OK, list);
+        StubHttpServer.respond(channel, HttpResponseStatus.OK, list);
     }
 
-    private final class Asked extends SimpleChannelInboundHandler<FullHttpRequest> {
+    private final class RequestHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
             connections.add(ctx.channel());
@@ -90,7 +90,7 @@
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
             connections.remove(ctx.channel());
-            watches.removeIf(watch -> watch.channel == ctx.channel());
+            pendingWatches.removeIf(watch -> watch.channel == ctx.channel());
         }
 
         @Override
@@ -98,30 +98,30 @@
             Channel channel = ctx.channel();
             if (request.method().equals(HttpMethod.POST)) {
                 for (String line : request.content().toString(StandardCharsets.UTF_8).split("\n")) {
-                    ledger.noticed(JSON.readTree(line).path("ref").asText());
+                    ledger.noticeReceived(JSON.readTree(line).path("ref").asText());
                 }
-                Http.answer(channel, HttpResponseStatus.NO_CONTENT, "");
+                StubHttpServer.respond(channel, HttpResponseStatus.NO_CONTENT, "");
                 return;
             }
-            if (silent) {
+            if (isDiscoveryDown) {
                 return;
             }
             QueryStringDecoder query = new QueryStringDecoder(request.uri());
             if (!query.parameters().containsKey("after")) {
-                send(channel, roster.whole());
+                sendList(channel, endpointList.fullList());
                 return;
             }
-            long after = Long.parseLong(query.parameters().get("after").get(0));
+            long afterGeneration = Long.parseLong(query.parameters().get("after").get(0));
             long waitMs = Long.parseLong(query.parameters().get("wait_ms").get(0));
-            if (after < roster.generation() || waitMs == 0) {
-                send(channel, roster.since(after));
+            if (afterGeneration < endpointList.generation() || waitMs == 0) {
+                sendList(channel, endpointList.changesSince(afterGeneration));
                 return;
             }
-            Watch watch = new Watch(channel, after);
-            watches.add(watch);
-            loop.schedule(() -> {
-                if (!silent && watches.remove(watch)) {
-                    send(channel, roster.since(after));
+            Watch watch = new Watch(channel, afterGeneration);
+            pendingWatches.add(watch);
+            eventLoop.schedule(() -> {
+                if (!isDiscoveryDown && pendingWatches.remove(watch)) {
+                    sendList(channel, endpointList.changesSince(afterGeneration));
                 }
             }, waitMs, TimeUnit.MILLISECONDS);
         }
@@ -134,7 +134,7 @@
 
     /** Lets go of its port and connections. */
     void close() {
-        listening.close();
+        serverChannel.close();
         List.copyOf(connections).forEach(Channel::close);
     }
 }
--- a/src/main/java/kestreldeal/scale/soak/Http.java
+++ b/src/main/java/kestreldeal/scale/soak/StubHttpServer.java
@@ -20,39 +20,39 @@
 import java.util.function.Supplier;
 
 /** What the stand-ins for the platform and for endpoints have in common. */
-final class Http {
-    private static final int LONGEST = 1 << 20;
-    private static final int BACKLOG = 256;
+final class StubHttpServer {
+    private static final int MAX_REQUEST_BYTES = 1 << 20;
+    private static final int ACCEPT_BACKLOG = 256;
 
-    private Http() {
+    private StubHttpServer() {
     }
 
     /** Listens on loopback, at a port of the system's choice if none is given; each connection has a handler of its own. */
-    static ChannelFuture listen(EventLoop loop, int port, Supplier<ChannelHandler> handler) {
-        return new ServerBootstrap().group(loop, loop).channel(NioServerSocketChannel.class)
-                .option(ChannelOption.SO_BACKLOG, BACKLOG).option(ChannelOption.SO_REUSEADDR, true)
+    static ChannelFuture listen(EventLoop eventLoop, int port, Supplier<ChannelHandler> newHandler) {
+        return new ServerBootstrap().group(eventLoop, eventLoop).channel(NioServerSocketChannel.class)
+                .option(ChannelOption.SO_BACKLOG, ACCEPT_BACKLOG).option(ChannelOption.SO_REUSEADDR, true)
                 .childOption(ChannelOption.TCP_NODELAY, true)
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
-                        channel.pipeline().addLast(new HttpServerCodec(), new HttpObjectAggregator(LONGEST),
-                                handler.get());
+                        channel.pipeline().addLast(new HttpServerCodec(), new HttpObjectAggregator(MAX_REQUEST_BYTES),
+                                newHandler.get());
                     }
                 }).bind("127.0.0.1", port);
     }
 
-    static int port(Channel listening) {
-        return ((InetSocketAddress) listening.localAddress()).getPort();
+    static int localPort(Channel serverChannel) {
+        return ((InetSocketAddress) serverChannel.localAddress()).getPort();
     }
 
-    static ChannelFuture answer(Channel to, HttpResponseStatus status, String body, String... headers) {
-        DefaultFullHttpResponse answer = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status,
+    static ChannelFuture respond(Channel channel, HttpResponseStatus status, String body, String... headers) {
+        DefaultFullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status,
                 Unpooled.copiedBuffer(body, StandardCharsets.UTF_8));
-        answer.headers().set(HttpHeaderNames.CONTENT_LENGTH, answer.content().readableBytes());
+        response.headers().set(HttpHeaderNames.CONTENT_LENGTH, response.content().readableBytes());
         for (int i = 0; i < headers.length; i += 2) {
-            answer.headers().set(headers[i], headers[i + 1]);
+            response.headers().set(headers[i], headers[i + 1]);
         }
-        return to.writeAndFlush(answer);
+        return channel.writeAndFlush(response);
     }
 
     /** Ends a connection as a crash would: the other side sees a reset. */
--- a/src/test/java/kestreldeal/scale/soak/LedgerTest.java
+++ b/src/test/java/kestreldeal/scale/soak/LedgerTest.java
@@ -22,126 +22,126 @@
         }
 
         @Override
-        public double lateMs() {
+        public double schedulingDelayMs() {
             return 0;
         }
     });
 
     LedgerTest() {
-        ledger.ready(SENDER);
+        ledger.senderReady(SENDER);
     }
 
-    private Ledger.Message taken(String id, String key, MessageClass type) {
-        Ledger.Message message = new Ledger.Message(id, key, type, DESTINATION, SENDER, nowMs, type.deadlineMs);
-        ledger.handedIn(message);
-        ledger.taken(message);
+    private Ledger.Message acceptedMessage(String id, String key, MessageClass messageClass) {
+        Ledger.Message message = new Ledger.Message(id, key, messageClass, DESTINATION, SENDER, nowMs, messageClass.deadlineMs);
+        ledger.messageSubmitted(message);
+        ledger.messageAccepted(message);
         return message;
     }
 
-    private Ledger.Message taken() {
-        return taken("id", "key", MessageClass.ORDER);
+    private Ledger.Message acceptedMessage() {
+        return acceptedMessage("id", "key", MessageClass.ORDER);
     }
 
-    private void assertBroken(Rule... rules) {
+    private void assertBreaches(Rule... rules) {
         assertEquals(List.of(rules), ledger.breaches().stream().map(Ledger.Breach::rule).toList());
     }
 
     @Test
-    void aMessageWithoutAnEndIsLostOnceItsTimeAndTheGraceAreUp() {
-        taken();
+    void messageWithoutResultIsLostAfterDeadlineAndGrace() {
+        acceptedMessage();
         nowMs += MessageClass.ORDER.deadlineMs + 350;
-        assertFalse(ledger.judge());
-        assertBroken();
+        assertFalse(ledger.checkResults());
+        assertBreaches();
         nowMs++;
-        assertTrue(ledger.judge());
-        assertBroken(Rule.LOST);
+        assertTrue(ledger.checkResults());
+        assertBreaches(Rule.LOST);
     }
 
     @Test
-    void deliveredAndNoticedOnesAreNotLostNorThoseThatWereNotTaken() {
-        ledger.delivered(taken("a", "a", MessageClass.ORDER));
-        taken("b", "b", MessageClass.ORDER);
-        ledger.noticed("b");
-        ledger.handedIn(new Ledger.Message("c", "c", MessageClass.ORDER, DESTINATION, SENDER, nowMs, 1000));
+    void deliveredNoticedAndUnacceptedMessagesAreNotLost() {
+        ledger.messageDelivered(acceptedMessage("a", "a", MessageClass.ORDER));
+        acceptedMessage("b", "b", MessageClass.ORDER);
+        ledger.noticeReceived("b");
+        ledger.messageSubmitted(new Ledger.Message("c", "c", MessageClass.ORDER, DESTINATION, SENDER, nowMs, 1000));
         nowMs += 60_000;
-        assertTrue(ledger.judge());
-        assertBroken();
+        assertTrue(ledger.checkResults());
+        assertBreaches();
     }
 
     @Test
-    void noEndIsOverdueWhileItsSenderIsAwayAndJustBack() {
-        taken();
-        ledger.ends(SENDER);
+    void resultIsNotOverdueWhileSenderRestartsAndJustAfter() {
+        acceptedMessage();
+        ledger.senderStopping(SENDER);
         nowMs += 60_000;
-        assertFalse(ledger.judge());
-        ledger.ready(SENDER);
+        assertFalse(ledger.checkResults());
+        ledger.senderReady(SENDER);
         nowMs += 1550;
-        assertFalse(ledger.judge());
-        assertBroken();
+        assertFalse(ledger.checkResults());
+        assertBreaches();
         nowMs++;
-        ledger.judge();
-        assertBroken(Rule.LOST);
+        ledger.checkResults();
+        assertBreaches(Rule.LOST);
     }
 
     @Test
-    void whatMustNotRunTwiceRunsOnceForItsKey() {
-        ledger.ran(taken("a", "key", MessageClass.PAYMENT));
-        ledger.ran(taken("b", "other", MessageClass.PAYMENT));
-        assertBroken();
-        ledger.ran(taken("c", "key", MessageClass.PAYMENT));
-        assertBroken(Rule.RAN_TWICE);
+    void unsafeMessageIsProcessedOncePerKey() {
+        ledger.messageProcessed(acceptedMessage("a", "key", MessageClass.PAYMENT));
+        ledger.messageProcessed(acceptedMessage("b", "other", MessageClass.PAYMENT));
+        assertBreaches();
+        ledger.messageProcessed(acceptedMessage("c", "key", MessageClass.PAYMENT));
+        assertBreaches(Rule.RAN_TWICE);
     }
 
     @Test
-    void aRepeatRunsInsideTheWindowOfTheFirst() {
-        Ledger.Message message = taken();
-        ledger.ran(message);
-        nowMs += MessageClass.ORDER.windowMs + 50;
-        ledger.ran(message);
-        assertBroken();
+    void repeatIsProcessedWithinDedupWindow() {
+        Ledger.Message message = acceptedMessage();
+        ledger.messageProcessed(message);
+        nowMs += MessageClass.ORDER.dedupWindowMs + 50;
+        ledger.messageProcessed(message);
+        assertBreaches();
         nowMs++;
-        ledger.ran(message);
-        assertBroken(Rule.REPEATED_PAST_ITS_WINDOW);
+        ledger.messageProcessed(message);
+        assertBreaches(Rule.REPEATED_PAST_ITS_WINDOW);
     }
 
     @Test
-    void nothingNewComesLaterThanTheGraceOfADrain() {
-        Ledger.Message message = taken();
-        ledger.called(message, DESTINATION, nowMs - 1050);
-        ledger.called(message, DESTINATION, Double.POSITIVE_INFINITY);
-        assertBroken();
-        ledger.called(message, DESTINATION, nowMs - 1051);
-        assertBroken(Rule.SENT_AFTER_DRAIN);
+    void noNewCallAfterDrainGrace() {
+        Ledger.Message message = acceptedMessage();
+        ledger.callReceived(message, DESTINATION, nowMs - 1050);
+        ledger.callReceived(message, DESTINATION, Double.POSITIVE_INFINITY);
+        assertBreaches();
+        ledger.callReceived(message, DESTINATION, nowMs - 1051);
+        assertBreaches(Rule.SENT_AFTER_DRAIN);
     }
 
     @Test
-    void aToldWaitIsKeptUntilItsEndOrARestart() {
-        Ledger.Message message = taken();
-        ledger.waitTold(SENDER, DESTINATION, 1000);
+    void retryAfterWaitIsKeptUntilItEndsOrTheSenderRestarts() {
+        Ledger.Message message = acceptedMessage();
+        ledger.retryAfterSent(SENDER, DESTINATION, 1000);
         nowMs += 300;
-        ledger.called(message, DESTINATION, Double.POSITIVE_INFINITY);
-        assertBroken();
+        ledger.callReceived(message, DESTINATION, Double.POSITIVE_INFINITY);
+        assertBreaches();
         nowMs++;
-        ledger.called(message, DESTINATION, Double.POSITIVE_INFINITY);
-        assertBroken(Rule.SENT_IN_A_WAIT);
-        ledger.gone(SENDER);
-        ledger.called(message, DESTINATION, Double.POSITIVE_INFINITY);
-        assertBroken(Rule.SENT_IN_A_WAIT);
+        ledger.callReceived(message, DESTINATION, Double.POSITIVE_INFINITY);
+        assertBreaches(Rule.SENT_IN_A_WAIT);
+        ledger.senderExited(SENDER);
+        ledger.callReceived(message, DESTINATION, Double.POSITIVE_INFINITY);
+        assertBreaches(Rule.SENT_IN_A_WAIT);
     }
 
     @Test
-    void aWaitIsOverAtItsEnd() {
-        Ledger.Message message = taken();
-        ledger.waitTold(SENDER, DESTINATION, 1000);
+    void callIsAllowedWhenRetryAfterWaitEnds() {
+        Ledger.Message message = acceptedMessage();
+        ledger.retryAfterSent(SENDER, DESTINATION, 1000);
         nowMs += 1000;
-        ledger.called(message, DESTINATION, Double.POSITIVE_INFINITY);
-        assertBroken();
+        ledger.callReceived(message, DESTINATION, Double.POSITIVE_INFINITY);
+        assertBreaches();
     }
 
     @Test
-    void aMessageGoesToItsOwnDestinationAndNoticesAreOfKnownMessages() {
-        ledger.called(taken(), DESTINATION + 1, Double.POSITIVE_INFINITY);
-        ledger.noticed("nobody's");
-        assertBroken(Rule.WRONG_DESTINATION, Rule.UNKNOWN_MESSAGE);
+    void wrongDestinationAndNoticeOfUnknownMessageAreBreaches() {
+        ledger.callReceived(acceptedMessage(), DESTINATION + 1, Double.POSITIVE_INFINITY);
+        ledger.noticeReceived("nobody's");
+        assertBreaches(Rule.WRONG_DESTINATION, Rule.UNKNOWN_MESSAGE);
     }
 }
