--- a/src/main/java/kestreldeal/scale/soak/EndpointList.java
+++ b/src/main/java/kestreldeal/scale/soak/EndpointList.java
@@ -6,7 +6,7 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** The list of endpoints as discovery has it, with its changes by generation. */
+/** The endpoint list of discovery, with a history of its changes. Each change starts a new generation. */
 final class EndpointList {
     private static final double ENTRY_WEIGHT = 20;
 
@@ -18,11 +18,11 @@
     private record Change(long generation, String entry) {
     }
 
-    /** Puts an endpoint on the list, or tells that its state is another. */
+    /** Adds an endpoint, or changes the lifecycle of one; with {@code DELETED} it is removed. */
     void put(String id, String hostPort, int destination, String lifecycle) {
         String entry = String.format(Locale.ROOT, "{\"instanceId\":\"%s\",\"hostPort\":\"%s\",\"zone\":\"a\","
-                + "\"machineType\":\"m\",\"cell\":%d,\"lifecycle\":\"%s\",\"weight\":%.1f,\"startedAtMs\":0}", id, hostPort,
-                destination, lifecycle, ENTRY_WEIGHT);
+                + "\"machineType\":\"m\",\"cell\":%d,\"lifecycle\":\"%s\",\"weight\":%.1f,\"startedAtMs\":0}", id,
+                hostPort, destination, lifecycle, ENTRY_WEIGHT);
         generation++;
         changes.add(new Change(generation, entry));
         if (lifecycle.equals("DELETED")) {
@@ -37,23 +37,24 @@
         return generation;
     }
 
-    /** Run after each change. */
+    /** Adds a listener that runs after each change. */
     void addChangeListener(Runnable listener) {
         listeners.add(listener);
     }
 
-    /** The whole list. */
+    /** The response with the full list. */
     String fullList() {
         return format(true, new ArrayList<>(entriesById.values()));
     }
 
-    /** What has changed since that generation. */
+    /** The response with the changes after a generation. */
     String changesSince(long afterGeneration) {
-        return format(false, changes.stream().filter(change -> change.generation > afterGeneration).map(Change::entry).toList());
+        return format(false, changes.stream().filter(change -> change.generation > afterGeneration)
+                .map(Change::entry).toList());
     }
 
     private String format(boolean isFullList, List<String> listEntries) {
-        return "{\"generation\":" + generation + ",\"reset\":" + isFullList + ",\"instances\":[" + String.join(",", listEntries)
-                + "]}";
+        return "{\"generation\":" + generation + ",\"reset\":" + isFullList + ",\"instances\":["
+                + String.join(",", listEntries) + "]}";
     }
 }
--- a/src/main/java/kestreldeal/scale/soak/FaultInjector.java
+++ b/src/main/java/kestreldeal/scale/soak/FaultInjector.java
@@ -12,23 +12,51 @@
 import kestreldeal.scale.soak.StubEndpoint.State;
 import kestreldeal.scale.soak.FaultLibrary.Control;
 
-/** What goes wrong in a run: troubles of all kinds at random times, so that two or three of them overlap. */
+/** Injects faults of all kinds at random times, often enough that two or three of them overlap. */
 final class FaultInjector {
+    /** The part of the run in which faults start, as shares of its length. */
     private static final double FAULTS_START_SHARE = 0.05;
     private static final double FAULTS_END_SHARE = 0.85;
     private static final long MIN_FAULT_MS = 500;
     private static final long MAX_FAULT_MS = 6000;
+    /** Longest time from the end of a process to the start of the next. */
     private static final long MAX_RESTART_DELAY_MS = 2000;
+    /** Longest time for which a process is suspended, or one of its writes delayed. */
     private static final long MAX_PAUSE_MS = 150;
+    /** Longest time from a fault until the sender is ended or killed in the middle of it. */
     private static final int MAX_OVERLAP_DELAY_MS = 1500;
     private static final int ALWAYS_PER_MILLION = 1_000_000;
     private static final long HOUR_MS = 3_600_000;
 
+    /** Kinds of faults. From {@link #WALL_STEPPED} on they need the fault library. */
     private enum FaultKind {
-        OUTAGE, REPLACED, SILENT_DISCOVERY, ENDED, KILLED, RELOADED, HELD_UP, BAD_CLIENTS, IDLE_CLOSED, WALL_STEPPED,
-        SOCKETS_FAIL, FOLDER_FAILS, SLOW_TRANSFERS;
-
-        /** The sender is often ended or killed in the middle of it. */
+        /** An outage of a destination or of one endpoint. */
+        OUTAGE,
+        /** Replacement of an endpoint by another. */
+        REPLACED,
+        SILENT_DISCOVERY,
+        /** SIGTERM and a restart. */
+        ENDED,
+        /** SIGKILL and a restart. */
+        KILLED,
+        /** SIGHUP with a changed configuration. */
+        RELOADED,
+        /** The process is suspended. */
+        HELD_UP,
+        /** Clients send invalid requests. */
+        BAD_CLIENTS,
+        /** Endpoints close connections. */
+        IDLE_CLOSED,
+        /** The wall clock is set forward or back. */
+        WALL_STEPPED,
+        /** System calls on sockets fail. */
+        SOCKETS_FAIL,
+        /** System calls on files of the state directory fail. */
+        FOLDER_FAILS,
+        /** Transfers on sockets are short or delayed, and waits are interrupted. */
+        SLOW_TRANSFERS;
+
+        /** Whether the sender is also ended or killed during half of the faults of this kind. */
         boolean mayOverlapWithExit() {
             return this == RELOADED || this == SILENT_DISCOVERY || needsFaultLibrary();
         }
@@ -50,8 +78,8 @@
     private final Map<FaultKind, Integer> countByKind = new EnumMap<>(FaultKind.class);
     private int replacementCount;
 
-    FaultInjector(EventLoop eventLoop, Random random, Ledger ledger, Ledger.Clock clock, EndpointList endpointList, List<SoakSender> senders,
-            List<SoakClients> clients, List<StubEndpoint> currentEndpoints) {
+    FaultInjector(EventLoop eventLoop, Random random, Ledger ledger, Ledger.Clock clock, EndpointList endpointList,
+            List<SoakSender> senders, List<SoakClients> clients, List<StubEndpoint> currentEndpoints) {
         this.eventLoop = eventLoop;
         this.random = random;
         this.ledger = ledger;
@@ -63,22 +91,23 @@
         this.systemCallsFaultyUntilMs = new double[senders.size()];
     }
 
-    /** So many troubles over a run of so many seconds from now on. */
+    /** Schedules faults at random times of a run that starts now. */
     void schedule(int faultCount, int seconds) {
         for (int i = 0; i < faultCount; i++) {
-            double delayMs = seconds * 1000 * (FAULTS_START_SHARE + (FAULTS_END_SHARE - FAULTS_START_SHARE) * random.nextDouble());
+            double delayMs = seconds * 1000
+                    * (FAULTS_START_SHARE + (FAULTS_END_SHARE - FAULTS_START_SHARE) * random.nextDouble());
             eventLoop.schedule(this::injectRandomFault, (long) delayMs, TimeUnit.MILLISECONDS);
         }
     }
 
-    /** How many of each kind there were. */
+    /** The number of faults injected so far, by kind. */
     Map<String, Integer> counts() {
         Map<String, Integer> countByName = new TreeMap<>();
         countByKind.forEach((kind, count) -> countByName.put(kind.name().toLowerCase(Locale.ROOT), count));
         return countByName;
     }
 
-    /** Whether this sender's own system calls fail, or did a moment ago. */
+    /** Whether system calls of this sender fail, or did a moment ago. */
     boolean areSystemCallsFaulty(int sender) {
         return clock.nowMs() < systemCallsFaultyUntilMs[sender] + MAX_PAUSE_MS;
     }
@@ -87,6 +116,7 @@
         return MIN_FAULT_MS + random.nextInt((int) (MAX_FAULT_MS - MIN_FAULT_MS));
     }
 
+    /** Injects a fault of a random kind into a random sender, unless that can't have it or is restarting. */
     private void injectRandomFault() {
         FaultKind kind = FaultKind.values()[random.nextInt(FaultKind.values().length)];
         SoakSender sender = senders.get(random.nextInt(senders.size()));
@@ -116,33 +146,36 @@
             case BAD_CLIENTS -> sendInvalidRequests(clients.get(sender.number));
             case IDLE_CLOSED -> currentEndpoints.forEach(StubEndpoint::closeSomeConnections);
             case WALL_STEPPED -> stepWallClock(sender);
-            case SOCKETS_FAIL -> injectSystemCallFaults(sender, drawDurationMs(), Map.of(Control.ACCEPT_FAILS, 50_000L, Control.CONNECT_FAILS, 200_000L,
-                    Control.SOCKET_FAILS, 50_000L, Control.READ_FAILS, 3000L));
-            case FOLDER_FAILS -> injectSystemCallFaults(sender, MIN_FAULT_MS + random.nextInt(2000), Map.of(Control.STATE_FAILS,
-                    random.nextBoolean() ? (long) ALWAYS_PER_MILLION : ALWAYS_PER_MILLION / 3L));
-            case SLOW_TRANSFERS -> injectSystemCallFaults(sender, drawDurationMs(), Map.of(Control.SHORT_TRANSFERS, 200_000L,
-                    Control.INTERRUPTED_WAITS, 50_000L, Control.HOLD_UPS, 10_000L, Control.HOLD_UP_MOST_MS,
-                    MAX_PAUSE_MS));
-            default -> throw new IllegalStateException("no such trouble: " + kind);
+            case SOCKETS_FAIL -> injectSystemCallFaults(sender, drawDurationMs(),
+                    Map.of(Control.ACCEPT_FAILS, 50_000L, Control.CONNECT_FAILS, 200_000L,
+                            Control.SOCKET_FAILS, 50_000L, Control.READ_FAILS, 3000L));
+            case FOLDER_FAILS -> injectSystemCallFaults(sender, MIN_FAULT_MS + random.nextInt(2000),
+                    Map.of(Control.STATE_FAILS,
+                            random.nextBoolean() ? (long) ALWAYS_PER_MILLION : ALWAYS_PER_MILLION / 3L));
+            case SLOW_TRANSFERS -> injectSystemCallFaults(sender, drawDurationMs(),
+                    Map.of(Control.SHORT_TRANSFERS, 200_000L, Control.INTERRUPTED_WAITS, 50_000L,
+                            Control.HOLD_UPS, 10_000L, Control.HOLD_UP_MOST_MS, MAX_PAUSE_MS));
+            default -> throw new IllegalStateException("unknown kind of fault: " + kind);
         }
     }
 
-    /** All endpoints of a destination, or one of them, are out in some way. */
+    /** Puts all endpoints of a destination, or one of them, into a random state of failure for some time. */
     private void startOutage() {
         StubEndpoint chosen = currentEndpoints.get(random.nextInt(currentEndpoints.size()));
         boolean wholeDestination = random.nextDouble() < 0.7;
         State outageState = State.values()[1 + random.nextInt(State.values().length - 1)];
-        List<StubEndpoint> affected = currentEndpoints.stream().filter(endpoint -> endpoint == chosen || wholeDestination && endpoint.destination == chosen.destination)
-                .toList();
+        List<StubEndpoint> affected = currentEndpoints.stream().filter(endpoint -> endpoint == chosen
+                || wholeDestination && endpoint.destination == chosen.destination).toList();
         affected.forEach(endpoint -> endpoint.changeState(outageState));
-        eventLoop.schedule(() -> affected.forEach(endpoint -> endpoint.changeState(State.SERVING)), drawDurationMs(), TimeUnit.MILLISECONDS);
+        eventLoop.schedule(() -> affected.forEach(endpoint -> endpoint.changeState(State.SERVING)), drawDurationMs(),
+                TimeUnit.MILLISECONDS);
     }
 
-    /** Another endpoint takes the place of one, which drains and then goes. */
+    /** Replaces an endpoint by a new one; the old one drains and is then removed. */
     private void replaceEndpoint() {
         StubEndpoint oldEndpoint = currentEndpoints.get(random.nextInt(currentEndpoints.size()));
-        StubEndpoint newEndpoint = new StubEndpoint("r-" + replacementCount++, oldEndpoint.destination, eventLoop, ledger,
-                new Random(random.nextLong()));
+        StubEndpoint newEndpoint = new StubEndpoint("r-" + replacementCount++, oldEndpoint.destination, eventLoop,
+                ledger, new Random(random.nextLong()));
         long drainMs = 2 * SoakSettings.DRAIN_GRACE_MS + random.nextInt(2000);
         Thread thread = new Thread(() -> {
             newEndpoint.open();
@@ -170,17 +203,19 @@
         }
     }
 
-    /** By seconds, or by an hour, forward or back. */
+    /** Sets the wall clock of the sender off by 1 to 11 seconds or by an hour, forward or back. */
     private void stepWallClock(SoakSender sender) {
         long stepMs = random.nextBoolean() ? HOUR_MS : 1000 + random.nextInt(10_000);
         sender.faultLibrary().get().set(Control.WALL_STEP_MS, random.nextBoolean() ? stepMs : -stepMs);
     }
 
-    private void injectSystemCallFaults(SoakSender sender, long durationMs, Map<Control, Long> ratesPerMillion) {
+    /** Makes system calls of a sender fail at the given rates for some time. */
+    private void injectSystemCallFaults(SoakSender sender, long durationMs, Map<Control, Long> controlValues) {
         FaultLibrary library = sender.faultLibrary().get();
-        systemCallsFaultyUntilMs[sender.number] = Math.max(systemCallsFaultyUntilMs[sender.number], clock.nowMs() + durationMs);
-        ratesPerMillion.forEach(library::set);
-        eventLoop.schedule(() -> new ArrayList<>(ratesPerMillion.keySet()).forEach(control -> library.set(control, 0)), durationMs,
-                TimeUnit.MILLISECONDS);
+        systemCallsFaultyUntilMs[sender.number] = Math.max(systemCallsFaultyUntilMs[sender.number],
+                clock.nowMs() + durationMs);
+        controlValues.forEach(library::set);
+        eventLoop.schedule(() -> new ArrayList<>(controlValues.keySet()).forEach(control -> library.set(control, 0)),
+                durationMs, TimeUnit.MILLISECONDS);
     }
 }
--- a/src/main/java/kestreldeal/scale/soak/FaultLibrary.java
+++ b/src/main/java/kestreldeal/scale/soak/FaultLibrary.java
@@ -13,15 +13,35 @@
 import java.util.Optional;
 import java.util.concurrent.TimeUnit;
 
-/** The library {@code faults.c} for one sender, and the file by which its faults are switched in the middle of a run. */
+/**
+ * The fault injection library {@code faults.c} for one sender. It is preloaded into the process (LD_PRELOAD) and reads
+ * its controls from a memory-mapped file, so that faults can be switched on and off while the process runs.
+ */
 final class FaultLibrary {
     private static final int BUILD_TIMEOUT_SECONDS = 60;
     private static final int CONTROL_COUNT = 11;
 
-    /** What can be switched, in the order of the library's file. Rates are calls in a million. */
+    /**
+     * The controls, in the order of the control file; faults.c has the same enum. All but the times and the seed are
+     * rates per million calls.
+     */
     enum Control {
-        WALL_STEP_MS, ACCEPT_FAILS, CONNECT_FAILS, SOCKET_FAILS, STATE_FAILS, SHORT_TRANSFERS, INTERRUPTED_WAITS, HOLD_UPS,
-        HOLD_UP_MOST_MS, READ_FAILS, SEED
+        /** Time by which the wall clock is set forward, or back if negative. */
+        WALL_STEP_MS,
+        ACCEPT_FAILS, CONNECT_FAILS, SOCKET_FAILS,
+        /** Failures of system calls on files of the state directory. */
+        STATE_FAILS,
+        /** Reads and writes on sockets that transfer only a part. */
+        SHORT_TRANSFERS,
+        /** Waits for events that return early with EINTR. */
+        INTERRUPTED_WAITS,
+        /** Writes on sockets that are delayed. */
+        HOLD_UPS,
+        /** Longest delay of a write. */
+        HOLD_UP_MOST_MS,
+        READ_FAILS,
+        /** Seed of the random numbers. */
+        SEED
     }
 
     private final Path libraryFile;
@@ -34,7 +54,7 @@
         this.controlValues = controlValues;
     }
 
-    /** Builds the library where there is a C compiler. */
+    /** Compiles the library; empty if that fails, for example because there is no C compiler. */
     static Optional<Path> build(Path directory) throws IOException, InterruptedException {
         Path source = directory.resolve("faults.c");
         Path libraryFile = directory.resolve("faults.so");
@@ -42,22 +62,22 @@
             Files.write(source, sourceStream.readAllBytes());
         }
         try {
-            Process compiler = new ProcessBuilder(List.of("cc", "-O2", "-Wall", "-Wextra", "-Werror", "-shared", "-fPIC",
-                    "-o", libraryFile.toString(), source.toString(), "-ldl")).inheritIO().start();
+            Process compiler = new ProcessBuilder(List.of("cc", "-O2", "-Wall", "-Wextra", "-Werror", "-shared",
+                    "-fPIC", "-o", libraryFile.toString(), source.toString(), "-ldl")).inheritIO().start();
             if (!compiler.waitFor(BUILD_TIMEOUT_SECONDS, TimeUnit.SECONDS) || compiler.exitValue() != 0) {
-                throw new IOException("the library for faults can't be built");
+                throw new IOException("the C compiler failed or timed out");
             }
             return Optional.of(libraryFile);
         } catch (IOException e) {
             if (Files.exists(libraryFile)) {
                 throw e;
             }
-            System.err.println("no faults of system calls: " + e.getMessage());
+            System.err.println("the fault library can't be built, so no system calls will fail: " + e.getMessage());
             return Optional.empty();
         }
     }
 
-    /** The library for a sender, with all faults off. */
+    /** The library for one sender, with all faults off. */
     static FaultLibrary forSender(Path libraryFile, Path controlFile, long seed) throws IOException {
         try (FileChannel channel = FileChannel.open(controlFile, StandardOpenOption.CREATE, StandardOpenOption.READ,
                 StandardOpenOption.WRITE)) {
@@ -69,12 +89,12 @@
         }
     }
 
-    /** What the sender's environment needs to have. */
+    /** The environment variables that load the library into the sender's process. */
     Map<String, String> environment() {
         return Map.of("LD_PRELOAD", libraryFile.toString(), "FAULTS_CONTROL", controlFile.toString());
     }
 
-    /** From now on. */
+    /** Sets a control; it takes effect immediately. */
     void set(Control control, long value) {
         controlValues.put(control.ordinal(), value);
     }
--- a/src/main/java/kestreldeal/scale/soak/Ledger.java
+++ b/src/main/java/kestreldeal/scale/soak/Ledger.java
@@ -9,30 +9,54 @@
 import kestreldeal.scale.soak.SoakSettings.MessageClass;
 
 /**
- * What became of each message as clients, endpoints and the platform saw it, and the rules judged on that. Times are
- * milliseconds of the test's own clock. All calls are of the one thread that plays the senders' surroundings.
+ * Records what clients, endpoints and the agent observe of each message, and reports breaches of the delivery rules.
+ * Times are milliseconds of the test's own clock. All methods are called on the event loop that runs the stubs.
  */
 final class Ledger {
-    /** The protocol's slack on every time limit. */
+    /** Tolerance that the protocol allows on every time limit. */
     private static final double PROTOCOL_SLACK_MS = 50;
-    /** From the end of a message's time until it is lost. */
+    /** Time after the deadline of a message in which its result may still arrive; then it counts as lost. */
     private static final double RESULT_GRACE_MS = 300;
-    /** Calls that come so soon after a wait is told are let through; a sender may be held up for some time at its write. */
+    /**
+     * Calls received this soon after a Retry-After response are allowed: 100 ms for calls on their way, and 150 ms for
+     * which an injected pause may delay the sender's write.
+     */
     private static final double RETRY_AFTER_GRACE_MS = 100 + 150;
-    /** Once it is ready again, a sender has so long for the ends that fell due while it was not. */
+    /** Time that a restarted sender has, once it is ready, for results that fell due while it was not in service. */
     private static final double RESTART_GRACE_MS = 1500;
 
-    /** A rule that was broken. */
+    /** The rules; each constant names the breach of one. */
     enum Rule {
-        LOST, RAN_TWICE, REPEATED_PAST_ITS_WINDOW, SENT_AFTER_DRAIN, SENT_IN_A_WAIT, WRONG_DESTINATION, UNKNOWN_MESSAGE,
-        UNANSWERED_REQUEST, BAD_CLIENT_LEFT, SENDER_ENDED, NOT_READY, REPORTED_BY_SENDER
+        /** An accepted message has no final result in time. */
+        LOST,
+        /** A message of an unsafe class was processed more than once. */
+        RAN_TWICE,
+        /** A repeat was processed after the time in which the destination drops repeats of its key. */
+        REPEATED_PAST_ITS_WINDOW,
+        /** A call was sent to an endpoint that drains or is removed. */
+        SENT_AFTER_DRAIN,
+        /** A call was sent to a destination during a Retry-After wait. */
+        SENT_IN_A_WAIT,
+        WRONG_DESTINATION,
+        /** A call or a notice is for a message that no client submitted. */
+        UNKNOWN_MESSAGE,
+        /** The sender closed a new connection without a response to its first request. */
+        UNANSWERED_REQUEST,
+        /** A client with an invalid request got neither a response nor a close. */
+        BAD_CLIENT_LEFT,
+        /** A sender's process exited unexpectedly, or could not be started, configured or sent a signal. */
+        SENDER_ENDED,
+        /** A sender was not ready in time after its start. */
+        NOT_READY,
+        /** The sender's own metric or log reports a fault. */
+        REPORTED_BY_SENDER
     }
 
-    /** One breach, with the sender and the message that it is about. */
+    /** A breach, with the number of the sender (-1 if unknown) and the id of the message ("-" if there is none). */
     record Breach(Rule rule, int sender, String id, double atMs, String detail) {
     }
 
-    /** A message under one id, as a client handed it in. */
+    /** A message that a client submitted, and what is known of it. A client that submits it again uses a new id. */
     static final class Message {
         final String id;
         final String key;
@@ -44,6 +68,7 @@
         boolean isAccepted;
         boolean isDelivered;
         boolean isNoticed;
+        /** Whether its result was checked, so that no breach for it can be found any more. */
         boolean isChecked;
 
         Message(String id, String key, MessageClass messageClass, int destination, int sender, double submittedAtMs,
@@ -58,7 +83,7 @@
         }
     }
 
-    /** Of a sender: whether it is in service, and since when. */
+    /** Whether a sender is in service, and when it last became ready. */
     private static final class SenderStatus {
         double readySinceMs;
         boolean isInService;
@@ -68,6 +93,7 @@
     private final List<Breach> breaches = new ArrayList<>();
     private final Map<String, Message> messagesById = new LinkedHashMap<>();
     private final Map<String, Double> firstProcessedMsByKey = new HashMap<>();
+    /** Start and end of the last Retry-After wait of a sender for a destination. */
     private final Map<Long, double[]> retryAfterWaits = new HashMap<>();
     private final SenderStatus[] senderStatuses;
     private long submittedCount;
@@ -75,10 +101,11 @@
     private long deliveredCount;
     private long noticedCount;
 
-    /** The test's clock, and how late the test itself was of late, which no sender answers for. */
+    /** The clock of the test. */
     interface Clock {
         double nowMs();
 
+        /** The recent scheduling delay of the test's own event loop, which is added to all time limits. */
         double schedulingDelayMs();
     }
 
@@ -102,14 +129,14 @@
         return PROTOCOL_SLACK_MS + clock.schedulingDelayMs();
     }
 
-    // ---- senders' lives ----
+    // ---- sender processes ----
 
-    /** It is told to end, or killed. */
+    /** The process of a sender is being terminated or killed. */
     void senderStopping(int sender) {
         senderStatuses[sender].isInService = false;
     }
 
-    /** Its process is gone: a restart ends told waits. */
+    /** The process of a sender has exited. Its Retry-After waits end, since the next process doesn't know them. */
     void senderExited(int sender) {
         retryAfterWaits.keySet().removeIf(key -> key >> 32 == sender);
     }
@@ -119,46 +146,53 @@
         senderStatuses[sender].readySinceMs = clock.nowMs();
     }
 
-    /** Whether it is in service, and was a moment ago. */
+    /** Whether a sender is ready, and is not being terminated or killed. */
     boolean isInService(int sender) {
         return senderStatuses[sender].isInService;
     }
 
     // ---- messages ----
 
-    /** The last byte of a request is written. */
+    /** A client submits a message. */
     void messageSubmitted(Message message) {
         submittedCount++;
         messagesById.put(message.id, message);
     }
 
-    /** Its client has read in time that it is taken on. */
+    /** The client got the response that its message is accepted, before its timeout. */
     void messageAccepted(Message message) {
         acceptedCount++;
         message.isAccepted = true;
     }
 
-    /** The sender and class of a message; null if no client handed it in. */
+    /** The message with this id, or null if no client submitted it. */
     Message findMessage(String id) {
         return messagesById.get(id);
     }
 
-    /** A call with this message has come, whole, to an endpoint of a destination that was last listed so long ago. */
+    /**
+     * An endpoint has received a complete call with this message.
+     *
+     * @param destination of the endpoint
+     * @param drainingSinceMs when the sender was notified that the endpoint drains; infinite if it does not drain
+     */
     void callReceived(Message message, int destination, double drainingSinceMs) {
         double nowMs = clock.nowMs();
         if (message.destination != destination) {
-            recordBreach(Rule.WRONG_DESTINATION, message.sender, message.id, "called at " + destination);
+            recordBreach(Rule.WRONG_DESTINATION, message.sender, message.id, "a call to destination " + destination);
         }
         if (drainingSinceMs + SoakSettings.DRAIN_GRACE_MS + slackMs() < nowMs) {
-            recordBreach(Rule.SENT_AFTER_DRAIN, message.sender, message.id, (long) (nowMs - drainingSinceMs) + " ms after the word");
+            recordBreach(Rule.SENT_AFTER_DRAIN, message.sender, message.id,
+                    (long) (nowMs - drainingSinceMs) + " ms after the notification");
         }
         double[] wait = retryAfterWaits.get(senderDestinationKey(message.sender, destination));
         if (wait != null && nowMs > wait[0] + RETRY_AFTER_GRACE_MS + slackMs() && nowMs < wait[1]) {
-            recordBreach(Rule.SENT_IN_A_WAIT, message.sender, message.id, (long) (wait[1] - nowMs) + " ms before its end");
+            recordBreach(Rule.SENT_IN_A_WAIT, message.sender, message.id,
+                    (long) (wait[1] - nowMs) + " ms before the wait ends");
         }
     }
 
-    /** It takes effect there, or may have. */
+    /** An endpoint has processed the message, whether or not the sender gets a response. */
     void messageProcessed(Message message) {
         double nowMs = clock.nowMs();
         Double firstMs = firstProcessedMsByKey.putIfAbsent(message.key, nowMs);
@@ -166,33 +200,36 @@
             return;
         }
         if (message.messageClass.isUnsafe()) {
-            recordBreach(Rule.RAN_TWICE, message.sender, message.id, (long) (nowMs - firstMs) + " ms after the first time");
+            recordBreach(Rule.RAN_TWICE, message.sender, message.id,
+                    (long) (nowMs - firstMs) + " ms after the first time");
         } else if (nowMs > firstMs + message.messageClass.dedupWindowMs + slackMs()) {
-            recordBreach(Rule.REPEATED_PAST_ITS_WINDOW, message.sender, message.id, (long) (nowMs - firstMs) + " ms after");
+            recordBreach(Rule.REPEATED_PAST_ITS_WINDOW, message.sender, message.id,
+                    (long) (nowMs - firstMs) + " ms after the first time");
         }
     }
 
-    /** An endpoint has written that it is delivered. */
+    /** An endpoint has sent the response that the message is delivered. */
     void messageDelivered(Message message) {
         deliveredCount += message.isDelivered ? 0 : 1;
         message.isDelivered = true;
     }
 
-    /** The platform has heard the end of a message by a notice. */
+    /** The agent has received the notice of the final result of a message. */
     void noticeReceived(String id) {
         Message message = messagesById.get(id);
         if (message == null) {
-            recordBreach(Rule.UNKNOWN_MESSAGE, -1, id, "a notice");
+            recordBreach(Rule.UNKNOWN_MESSAGE, -1, id, "a notice of its result");
             return;
         }
         noticedCount += message.isNoticed ? 0 : 1;
         message.isNoticed = true;
     }
 
-    /** An endpoint has written that this sender has to wait. */
+    /** An endpoint has sent this sender a response with Retry-After. */
     void retryAfterSent(int sender, int destination, double retryAfterMs) {
         double nowMs = clock.nowMs();
-        double[] wait = retryAfterWaits.computeIfAbsent(senderDestinationKey(sender, destination), absentKey -> new double[] {nowMs, nowMs});
+        double[] wait = retryAfterWaits.computeIfAbsent(senderDestinationKey(sender, destination),
+                absentKey -> new double[] {nowMs, nowMs});
         if (wait[1] < nowMs) {
             wait[0] = nowMs;
         }
@@ -203,9 +240,9 @@
         return (long) sender << 32 | destination;
     }
 
-    // ---- the judgement ----
+    // ---- check of results ----
 
-    /** Looks for messages that were taken on and have no end though it is due; true once none can be lost any more. */
+    /** Records a breach for each accepted message without a result that is overdue; true once all are checked. */
     boolean checkResults() {
         double nowMs = clock.nowMs();
         boolean anyUnchecked = false;
@@ -217,17 +254,18 @@
             SenderStatus status = senderStatuses[message.sender];
             if (!message.isAccepted || message.isDelivered || message.isNoticed) {
                 message.isChecked = nowMs > dueMs;
-            } else if (status.isInService && nowMs > Math.max(dueMs, status.readySinceMs + RESTART_GRACE_MS + slackMs())) {
+            } else if (status.isInService
+                    && nowMs > Math.max(dueMs, status.readySinceMs + RESTART_GRACE_MS + slackMs())) {
                 message.isChecked = true;
-                recordBreach(Rule.LOST, message.sender, message.id, message.messageClass + " handed in at " + (long) message.submittedAtMs
-                        + " with " + (long) message.budgetMs + " ms");
+                recordBreach(Rule.LOST, message.sender, message.id, message.messageClass + " submitted at "
+                        + (long) message.submittedAtMs + " ms with a deadline of " + (long) message.budgetMs + " ms");
             }
             anyUnchecked |= !message.isChecked;
         }
         return !anyUnchecked;
     }
 
-    /** Figures of the run, for its line of results. */
+    /** Counts of messages and breaches, for the result file. */
     Map<String, Object> summary() {
         Map<String, Object> summary = new LinkedHashMap<>();
         summary.put("handed_in", submittedCount);
--- a/src/main/java/kestreldeal/scale/soak/SoakClients.java
+++ b/src/main/java/kestreldeal/scale/soak/SoakClients.java
@@ -29,15 +29,19 @@
 import java.util.function.BooleanSupplier;
 import kestreldeal.scale.soak.SoakSettings.MessageClass;
 
-/** Clients of one sender: messages at random times over kept connections, and clients that do not behave. */
+/**
+ * The clients of one sender: a load generator that submits messages at random times over persistent connections, and
+ * clients that send invalid requests.
+ */
 final class SoakClients {
-    /** So long does a client wait for an answer. */
+    /** Time that a client waits for a connection or for a response. */
     private static final int RESPONSE_TIMEOUT_MS = 400;
     private static final int MAX_RESPONSE_BYTES = 1 << 16;
     private static final int MAX_BODY_BYTES = 600;
-    /** So long is one that sends no proper request owed an error or a close. */
+    /** Time in which the sender must respond to an invalid request, or close its connection. */
     private static final int INVALID_REQUEST_TIMEOUT_MS = 3000;
     private static final int TIMEOUT_SLACK_MS = 250;
+    /** Share of the messages with a deadline of at most the response timeout. */
     private static final double SHORT_DEADLINE_SHARE = 0.02;
     private static final double PAYMENT_SHARE = 0.35;
 
@@ -55,8 +59,8 @@
     private long rejectedCount;
     private long unansweredCount;
 
-    SoakClients(int senderNumber, InetSocketAddress senderAddress, EventLoop eventLoop, Ledger ledger, Ledger.Clock clock, Random random,
-            int destinationCount) {
+    SoakClients(int senderNumber, InetSocketAddress senderAddress, EventLoop eventLoop, Ledger ledger,
+            Ledger.Clock clock, Random random, int destinationCount) {
         this.senderNumber = senderNumber;
         this.senderAddress = senderAddress;
         this.eventLoop = eventLoop;
@@ -66,36 +70,38 @@
         this.destinationCount = destinationCount;
     }
 
+    /** Requests with a response that the message is not accepted. */
     long rejectedCount() {
         return rejectedCount;
     }
 
-    /** Requests whose client gave up, or found no connection. */
+    /** Requests without a response: the client timed out, could not connect, or its connection was closed. */
     long unansweredCount() {
         return unansweredCount;
     }
 
-    /** Hands in messages at this rate, at random times, until {@link #stop}. */
+    /** Submits messages at this mean rate, as a Poisson process, until {@link #stop}. */
     void start(double messagesPerSecond) {
         if (isStopped) {
             return;
         }
         long waitMicros = (long) (-Math.log(1 - random.nextDouble()) / messagesPerSecond * 1e6);
         eventLoop.schedule(() -> {
-            submit(random.nextDouble() < PAYMENT_SHARE ? MessageClass.PAYMENT : MessageClass.ORDER, Long.toHexString(
-                    random.nextLong()), random.nextInt(destinationCount), 1);
+            submit(random.nextDouble() < PAYMENT_SHARE ? MessageClass.PAYMENT : MessageClass.ORDER,
+                    Long.toHexString(random.nextLong()), random.nextInt(destinationCount), 1);
             start(messagesPerSecond);
         }, waitMicros, TimeUnit.MICROSECONDS);
     }
 
-    /** Hands in no more. */
+    /** Submits no more new messages. */
     void stop() {
         isStopped = true;
     }
 
-    /** A message under a new id; where it is refused it comes once more. */
+    /** Submits a message under a new id; if it is rejected, it is submitted again as often as tries are left. */
     private void submit(MessageClass messageClass, String key, int destination, int triesLeft) {
-        double budgetMs = random.nextDouble() < SHORT_DEADLINE_SHARE ? 1 + random.nextInt(RESPONSE_TIMEOUT_MS) : messageClass.deadlineMs;
+        double budgetMs = random.nextDouble() < SHORT_DEADLINE_SHARE ? 1 + random.nextInt(RESPONSE_TIMEOUT_MS)
+                : messageClass.deadlineMs;
         String id = String.format("%02x-%x-%08x", senderNumber, nextMessageNumber++, random.nextInt());
         Submission submission = new Submission(id, key, messageClass, destination, budgetMs, triesLeft);
         Connection connection = idleConnections.pollLast();
@@ -108,7 +114,8 @@
 
     private void connect(Submission submission) {
         new Bootstrap().group(eventLoop).channel(NioSocketChannel.class).option(ChannelOption.TCP_NODELAY, true)
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, RESPONSE_TIMEOUT_MS).handler(new ChannelInitializer<Channel>() {
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, RESPONSE_TIMEOUT_MS)
+                .handler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
                         channel.pipeline().addLast(new HttpClientCodec(), new HttpObjectAggregator(MAX_RESPONSE_BYTES),
@@ -123,15 +130,18 @@
                 });
     }
 
-    private record Submission(String id, String key, MessageClass messageClass, int destination, double budgetMs, int triesLeft) {
+    private record Submission(String id, String key, MessageClass messageClass, int destination, double budgetMs,
+            int triesLeft) {
     }
 
+    /** A persistent connection to the sender, with at most one request at a time. */
     private final class Connection extends SimpleChannelInboundHandler<FullHttpResponse> {
         private final Channel channel;
         private Submission pendingSubmission;
         private Ledger.Message message;
         private Future<?> responseTimeout;
         private boolean hasServedRequest;
+        /** Whether the sender was in service when the request was sent. */
         private boolean wasInService;
 
         Connection(Channel channel) {
@@ -149,11 +159,12 @@
             random.nextBytes(body);
             DefaultFullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.POST,
                     "/" + submission.messageClass.wireName, Unpooled.wrappedBuffer(body));
-            request.headers().set("Host", "app.svc").set("X-Call-Id", submission.id).set("X-Call-Class", submission.messageClass.wireName)
+            request.headers().set("Host", "app.svc").set("X-Call-Id", submission.id)
+                    .set("X-Call-Class", submission.messageClass.wireName)
                     .set("X-Budget-Ms", (long) submission.budgetMs).set("Idempotency-Key", submission.key)
                     .set("X-Envelope", "dest=" + submission.destination).set("Content-Length", body.length);
-            message = new Ledger.Message(submission.id, submission.key, submission.messageClass, submission.destination, senderNumber, clock.nowMs(),
-                    submission.budgetMs);
+            message = new Ledger.Message(submission.id, submission.key, submission.messageClass,
+                    submission.destination, senderNumber, clock.nowMs(), submission.budgetMs);
             ledger.messageSubmitted(message);
             channel.writeAndFlush(request);
             responseTimeout = eventLoop.schedule(() -> {
@@ -179,7 +190,8 @@
             } else {
                 rejectedCount++;
                 if (submission.triesLeft > 0 && (status == 503 || status == 429)) {
-                    // Handing it in again is harmless: so it must not have run.
+                    // A rejected message must not have been processed, so it may be submitted again under its key; the
+                    // ledger reports a breach if it was.
                     eventLoop.schedule(() -> submit(submission.messageClass, submission.key, submission.destination,
                             submission.triesLeft - 1), random.nextInt(1000), TimeUnit.MILLISECONDS);
                 }
@@ -201,13 +213,14 @@
             Submission submission = pendingSubmission;
             pendingSubmission = null;
             if (hasServedRequest) {
-                // It crossed the end of a resting connection: it is sent once more, on a new one.
+                // The sender closed the idle connection while the request was on its way: it is sent on a new one.
                 connect(submission);
                 return;
             }
             unansweredCount++;
             if (wasInService && ledger.isInService(senderNumber) && !areSocketsFaulty.getAsBoolean()) {
-                ledger.recordBreach(Ledger.Rule.UNANSWERED_REQUEST, senderNumber, submission.id, "its new connection was ended");
+                ledger.recordBreach(Ledger.Rule.UNANSWERED_REQUEST, senderNumber, submission.id,
+                        "its new connection was closed without a response");
             }
         }
 
@@ -217,14 +230,15 @@
         }
     }
 
-    /** Whether the sender's own system calls fail just now, so that its connections may break. */
+    /** Sets how to find out whether system calls of the sender fail now, so that its connections may break. */
     void setSocketsFaulty(BooleanSupplier socketsFaulty) {
         areSocketsFaulty = socketsFaulty;
     }
 
-    /** What a client sends that is no proper request. */
+    /** Incomplete or malformed requests. */
     enum InvalidRequest {
-        SILENT(""), HALF_A_LINE("POST /ord"), HALF_A_BODY("POST /order HTTP/1.1\r\nX-Call-Id: bad\r\nContent-Length: 90\r\n\r\nx"),
+        SILENT(""), HALF_A_LINE("POST /ord"),
+        HALF_A_BODY("POST /order HTTP/1.1\r\nX-Call-Id: bad\r\nContent-Length: 90\r\n\r\nx"),
         NOISE("\u0001\u0002\u0003\u0004\r\n\r\n"), NO_HEADERS("POST /order HTTP/1.1\r\nContent-Length: 0\r\n\r\n");
 
         private final String text;
@@ -234,7 +248,7 @@
         }
     }
 
-    /** One that sends this and stays: it is owed an error or a close. */
+    /** Sends an invalid request and stays connected: the sender must respond or close the connection in time. */
     void sendInvalidRequest(InvalidRequest invalidRequest) {
         new Bootstrap().group(eventLoop).channel(NioSocketChannel.class).handler(new ChannelInitializer<Channel>() {
             @Override
@@ -258,10 +272,12 @@
             boolean wasInService = ledger.isInService(senderNumber);
             responseTimeout = eventLoop.schedule(() -> {
                 if (wasInService && ledger.isInService(senderNumber)) {
-                    ledger.recordBreach(Ledger.Rule.BAD_CLIENT_LEFT, senderNumber, invalidRequest.name(), "neither an error nor a close");
+                    ledger.recordBreach(Ledger.Rule.BAD_CLIENT_LEFT, senderNumber, invalidRequest.name(),
+                            "neither a response nor a close in time");
                 }
                 ctx.close();
-            }, (long) (INVALID_REQUEST_TIMEOUT_MS + TIMEOUT_SLACK_MS + clock.schedulingDelayMs()), TimeUnit.MILLISECONDS);
+            }, (long) (INVALID_REQUEST_TIMEOUT_MS + TIMEOUT_SLACK_MS + clock.schedulingDelayMs()),
+                    TimeUnit.MILLISECONDS);
         }
 
         @Override
--- a/src/main/java/kestreldeal/scale/soak/SoakCommand.java
+++ b/src/main/java/kestreldeal/scale/soak/SoakCommand.java
@@ -13,50 +13,61 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** Runs the soak test, seed after seed, or measures what sixteen times the endpoints cost. */
-@Command(name = "soak", mixinStandardHelpOptions = true, description = "Real senders on loopback under troubles that overlap, "
-        + "judged by the rules. Run from the root of a checkout that is built.")
+/** Runs the soak test with consecutive seeds, or measures how resource use grows with 16 times as many endpoints. */
+@Command(name = "soak", mixinStandardHelpOptions = true, description = "Runs real senders on loopback, injects"
+        + " overlapping faults and checks the delivery rules. Must be run from the root of a checkout that is built.")
 public final class SoakCommand implements Callable<Integer> {
     private static final Path JAR = Path.of("target", "kestreldeal.jar");
     private static final Path CLASS_ARCHIVE = Path.of("target", "sender.jsa");
     private static final int GROWTH_FACTOR = 16;
     private static final int MAX_REPORT_LINES = 200;
 
-    @Option(names = "--senders", defaultValue = "24", description = "Processes (${DEFAULT-VALUE}).")
+    @Option(names = "--senders", defaultValue = "24",
+            description = "Number of sender processes. Default: ${DEFAULT-VALUE}.")
     private int senders;
-    @Option(names = "--destinations", defaultValue = "12", description = "Partners (${DEFAULT-VALUE}).")
+    @Option(names = "--destinations", defaultValue = "12",
+            description = "Number of destinations. Default: ${DEFAULT-VALUE}.")
     private int destinations;
-    @Option(names = "--endpoints-each", defaultValue = "2", description = "Endpoints of each partner (${DEFAULT-VALUE}).")
+    @Option(names = "--endpoints-each", defaultValue = "2",
+            description = "Endpoints of each destination. Default: ${DEFAULT-VALUE}.")
     private int endpointsEach;
-    @Option(names = "--rate", defaultValue = "10", description = "Messages a second for each sender (${DEFAULT-VALUE}).")
+    @Option(names = "--rate", defaultValue = "10",
+            description = "Mean messages per second for each sender. Default: ${DEFAULT-VALUE}.")
     private double rate;
-    @Option(names = "--seconds", defaultValue = "40", description = "Length of each run (${DEFAULT-VALUE}).")
+    @Option(names = "--seconds", defaultValue = "40",
+            description = "Seconds in which clients submit messages in each run. Default: ${DEFAULT-VALUE}.")
     private int seconds;
-    @Option(names = "--seed", defaultValue = "1", description = "The first seed (${DEFAULT-VALUE}).")
+    @Option(names = "--seed", defaultValue = "1", description = "Seed of the first run. Default: ${DEFAULT-VALUE}.")
     private long seed;
-    @Option(names = "--runs", defaultValue = "1", description = "Runs, each with the next seed (${DEFAULT-VALUE}).")
+    @Option(names = "--runs", defaultValue = "1",
+            description = "Number of runs, with consecutive seeds. Default: ${DEFAULT-VALUE}.")
     private int runs;
-    @Option(names = "--no-faults", description = "System calls don't fail; without a C compiler they don't either.")
+    @Option(names = "--no-faults", description = "Inject no failures of system calls, as is also the case without a C"
+            + " compiler; other faults are still injected.")
     private boolean noSystemCallFaults;
-    @Option(names = "--calm", description = "Nothing goes wrong.")
+    @Option(names = "--calm", description = "Inject no faults.")
     private boolean calm;
-    @Option(names = "--growth", description = "Two calm runs instead: with these endpoints, and with 16 times as many.")
+    @Option(names = "--growth", description = "Instead of the soak test, measure resource use in two runs without"
+            + " faults: with the given number of endpoints, and with 16 times as many.")
     private boolean measureGrowth;
-    @Option(names = "--out", description = "A file for the results, one JSON object a line.")
+    @Option(names = "--out", description = "File for the results, one JSON object per line.")
     private Optional<Path> out = Optional.empty();
 
-    /** Returns 0 if no rule was broken, else 1. */
+    /** Returns 0 if no rule was broken, else 1; a measurement of growth always returns 0. */
     @Override
     public Integer call() throws Exception {
         Path directory = Files.createTempDirectory("soak");
-        Optional<Path> faultLibrary = noSystemCallFaults || calm || measureGrowth ? Optional.empty() : FaultLibrary.build(directory);
+        Optional<Path> faultLibrary = noSystemCallFaults || calm || measureGrowth ? Optional.empty()
+                : FaultLibrary.build(directory);
         try (ResultWriter results = ResultWriter.open(out, "soak", seed, List.of(senders))) {
             return measureGrowth ? runGrowth(directory, results) : runSoak(directory, faultLibrary, results);
         }
     }
 
-    private SoakSettings settings(Path directory, long runSeed, int endpointsPerDestination, boolean injectFaults, boolean injectSystemCallFaults) throws IOException {
-        return new SoakSettings(senders, destinations, endpointsPerDestination, rate, seconds, runSeed, injectFaults, injectSystemCallFaults,
+    private SoakSettings settings(Path directory, long runSeed, int endpointsPerDestination, boolean injectFaults,
+            boolean injectSystemCallFaults) throws IOException {
+        return new SoakSettings(senders, destinations, endpointsPerDestination, rate, seconds, runSeed, injectFaults,
+                injectSystemCallFaults,
                 Files.createDirectories(directory.resolve("run-" + runSeed + "-" + endpointsPerDestination)));
     }
 
@@ -84,7 +95,8 @@
             try (SoakRun run = new SoakRun(settings, senderCommand())) {
                 Map<String, Object> summary = run.run(Optional.empty());
                 Map<String, Double> meanUse = run.meanResourceUse();
-                meanUse.put("served", ((Long) summary.get("delivered")).doubleValue() / (Long) summary.get("handed_in"));
+                meanUse.put("served", ((Long) summary.get("delivered")).doubleValue()
+                        / (Long) summary.get("handed_in"));
                 resourceUseByFactor.put(factor, meanUse);
                 Map<String, Object> result = new LinkedHashMap<>(summary);
                 result.putAll(meanUse);
@@ -92,12 +104,14 @@
                 System.out.println(result);
             }
         }
-        resourceUseByFactor.get(1).forEach((name, baseValue) -> System.out.printf("%s: %.2f, then %.2f (%.2f times)%n", name, baseValue,
-                resourceUseByFactor.get(GROWTH_FACTOR).get(name), resourceUseByFactor.get(GROWTH_FACTOR).get(name) / baseValue));
+        resourceUseByFactor.get(1).forEach((name, baseValue) -> System.out.printf(
+                "%s: %.2f, with 16 times as many endpoints %.2f (factor %.2f)%n", name, baseValue,
+                resourceUseByFactor.get(GROWTH_FACTOR).get(name),
+                resourceUseByFactor.get(GROWTH_FACTOR).get(name) / baseValue));
         return 0;
     }
 
-    /** As the deploy file starts a sender. */
+    /** Starts a sender in the same way as the deployment does. */
     private static List<String> senderCommand() throws IOException {
         List<String> command = new ArrayList<>(List.of("env", "--default-signal=HUP",
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(), "@deploy/java.options"));
--- a/src/main/java/kestreldeal/scale/soak/SoakRun.java
+++ b/src/main/java/kestreldeal/scale/soak/SoakRun.java
@@ -16,17 +16,18 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * One run: real senders on loopback, stand-ins for all that surrounds them, troubles that overlap, and the judgement.
- * All stand-ins are played by one thread, whose own lateness is measured and allowed for.
+ * One run of the soak test: real sender processes on loopback, stubs for their clients, endpoints and agents, randomly
+ * injected faults that overlap, and a ledger that checks the rules. All stubs run on one event loop; its own scheduling
+ * delay is measured and added to the ledger's time limits.
  */
 final class SoakRun implements Ledger.Clock, AutoCloseable {
     private static final long READY_TIMEOUT_MS = 30_000;
     private static final long RESULTS_TIMEOUT_MS = 30_000;
     private static final long CHECK_INTERVAL_MS = 200;
     private static final long TICK_INTERVAL_MS = 10;
-    /** Lateness of the test counts for so long. */
+    /** Time for which a scheduling delay of the event loop is added to time limits. */
     private static final long DELAY_HOLD_MS = 2000;
-    /** Seconds for each trouble of a sender. */
+    /** Mean time between two faults, per sender. */
     private static final double SECONDS_PER_SENDER_FAULT = 6;
 
     private final SoakSettings settings;
@@ -37,6 +38,7 @@
     private final Random random;
     private final Ledger ledger;
     private final EndpointList endpointList = new EndpointList();
+    /** Shared with the fault injector, which replaces endpoints. */
     private final List<StubEndpoint> currentEndpoints = new ArrayList<>();
     private final List<StubEndpoint> initialEndpoints = new ArrayList<>();
     private final List<SoakSender> senders = new ArrayList<>();
@@ -64,6 +66,7 @@
         return nowMs() - recentDelayAtMs < DELAY_HOLD_MS ? recentDelayMs : 0;
     }
 
+    /** Measures how late the event loop runs a timer, and keeps the longest delay of the last two seconds. */
     private void tick() {
         double nowMs = nowMs();
         double delayMs = Math.max(0, nowMs - nextTickDueMs);
@@ -76,7 +79,7 @@
         eventLoop.schedule(this::tick, TICK_INTERVAL_MS, TimeUnit.MILLISECONDS);
     }
 
-    /** Plays the run, and returns its figures. */
+    /** Executes the run, waits until all results are due, and returns a summary for the result file. */
     Map<String, Object> run(Optional<Path> faultLibrary) throws Exception {
         prepare(faultLibrary);
         eventLoop.submit(() -> {
@@ -116,12 +119,14 @@
         }
         initialEndpoints.addAll(currentEndpoints);
         for (int i = 0; i < settings.senderCount(); i++) {
-            SoakSender senderNumber = new SoakSender(i, settings, senderCommand, eventLoop, ledger, this, endpointList, faultLibrary);
-            senders.add(senderNumber);
-            clients.add(new SoakClients(i, senderNumber.clientAddress(), eventLoop, ledger, this, new Random(random.nextLong()),
-                    settings.destinationCount()));
+            SoakSender sender = new SoakSender(i, settings, senderCommand, eventLoop, ledger, this, endpointList,
+                    faultLibrary);
+            senders.add(sender);
+            clients.add(new SoakClients(i, sender.clientAddress(), eventLoop, ledger, this,
+                    new Random(random.nextLong()), settings.destinationCount()));
         }
-        faultInjector = new FaultInjector(eventLoop, new Random(random.nextLong()), ledger, this, endpointList, senders, clients, currentEndpoints);
+        faultInjector = new FaultInjector(eventLoop, new Random(random.nextLong()), ledger, this, endpointList,
+                senders, clients, currentEndpoints);
         for (int i = 0; i < settings.senderCount(); i++) {
             int senderNumber = i;
             clients.get(i).setSocketsFaulty(() -> faultInjector.areSystemCallsFaulty(senderNumber));
@@ -132,6 +137,7 @@
         boolean holds();
     }
 
+    /** Polls a condition on the event loop; returns false if it does not hold before the timeout. */
     private boolean await(long timeoutMs, Condition condition) throws Exception {
         long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(timeoutMs);
         while (!eventLoop.submit(condition::holds).get()) {
@@ -143,13 +149,16 @@
         return true;
     }
 
+    /** Adds breaches that the senders themselves reported in metrics and logs, and puts the summary together. */
     private Map<String, Object> summarize(boolean allChecked) throws Exception {
         for (SoakSender sender : senders) {
             long reportedBreaches = sender.metric("invariant_breaches_total");
-            List<String> faultLines = Files.readAllLines(sender.logFile()).stream().filter(SoakRun::reportsFault).toList();
+            List<String> faultLines = Files.readAllLines(sender.logFile()).stream().filter(SoakRun::reportsFault)
+                    .toList();
             if (reportedBreaches != 0 || !faultLines.isEmpty()) {
-                eventLoop.submit(() -> ledger.recordBreach(Ledger.Rule.REPORTED_BY_SENDER, sender.number, "-", reportedBreaches
-                        + " breaches by its own count; " + faultLines.stream().limit(3).toList())).sync();
+                eventLoop.submit(() -> ledger.recordBreach(Ledger.Rule.REPORTED_BY_SENDER, sender.number, "-",
+                        reportedBreaches + " breaches in its metric; lines of its log: "
+                                + faultLines.stream().limit(3).toList())).sync();
             }
         }
         Map<String, Object> summary = new LinkedHashMap<>();
@@ -172,7 +181,7 @@
                 || line.contains("OutOfMemory");
     }
 
-    /** Breaches, each with what its sender traced of the message. */
+    /** The breaches as text, each followed by the sender's trace of the message. */
     List<String> formatBreaches() throws IOException {
         List<String> lines = new ArrayList<>();
         for (Ledger.Breach breach : ledger.breaches()) {
@@ -184,7 +193,10 @@
         return lines;
     }
 
-    /** What it cost each sender in the mean: processor seconds, most memory, descriptors, connections, bytes of lists. */
+    /**
+     * The mean per sender of CPU seconds, peak memory, open file descriptors, connections to endpoints, and bytes of
+     * endpoint lists from the agent. Connections to endpoints that replaced others are not counted.
+     */
     Map<String, Double> meanResourceUse() throws IOException {
         double[] sums = new double[3];
         for (SoakSender sender : senders) {
@@ -197,8 +209,10 @@
         means.put("cpu_s", sums[0] / senders.size());
         means.put("peak_mb", sums[1] / senders.size());
         means.put("descriptors", sums[2] / senders.size());
-        means.put("connections", initialEndpoints.stream().mapToLong(StubEndpoint::acceptedConnections).sum() / (double) senders.size());
-        means.put("list_bytes", senders.stream().mapToLong(s -> s.agent().listBytes()).sum() / (double) senders.size());
+        means.put("connections", initialEndpoints.stream().mapToLong(StubEndpoint::acceptedConnections).sum()
+                / (double) senders.size());
+        means.put("list_bytes", senders.stream().mapToLong(sender -> sender.agent().listBytes()).sum()
+                / (double) senders.size());
         return means;
     }
 
--- a/src/main/java/kestreldeal/scale/soak/SoakSender.java
+++ b/src/main/java/kestreldeal/scale/soak/SoakSender.java
@@ -22,18 +22,25 @@
 import java.util.stream.Stream;
 import kestreldeal.scale.soak.SoakSettings.MessageClass;
 
-/** One real sender as the platform starts it, in life after life, with its agent and its faults. */
+/**
+ * One real sender, started as the platform starts it and restarted over and over, with its stub agent and the faults
+ * that are injected into its process. Its directory and ports stay the same across restarts.
+ */
 final class SoakSender {
     private static final int SOCKET_TIMEOUT_MS = 1000;
     private static final int READY_POLL_INTERVAL_MS = 20;
+    /** Time that a sender may take from its start until it is ready. */
     private static final int MAX_START_MS = 10_000;
+    /** Time from SIGTERM to SIGKILL. */
     private static final long KILL_DELAY_MS = 3700;
-    /** After SIGHUP what discovery has to tell counts as told so long later. */
+    /** After SIGHUP the sender switches to another agent: list changes in this time count as notified at its end. */
     private static final double RELOAD_GRACE_MS = 4000;
     private static final long CLOCK_TICKS_PER_SECOND = 100;
-    /** Below those that Linux gives out by itself. */
+    /** Ports below this are outside the range from which Linux assigns ephemeral ports. */
     private static final int PORT_LIMIT = 32_000;
-    private static final AtomicInteger NEXT_PORT = new AtomicInteger(20_000 + (int) (ProcessHandle.current().pid() % 8000));
+    /** Starts at a port that depends on the process, so that soak tests in parallel rarely collide. */
+    private static final AtomicInteger NEXT_PORT = new AtomicInteger(20_000
+            + (int) (ProcessHandle.current().pid() % 8000));
 
     final int number;
     private final SoakSettings settings;
@@ -46,6 +53,7 @@
     private final List<String> command;
     private final Optional<FaultLibrary> faultLibrary;
     private final EndpointList endpointList;
+    /** Start and end of the times in which list changes did not reach the sender, by the reason. */
     private final List<double[]> reloadSpans = new ArrayList<>();
     private final List<double[]> outageSpans = new ArrayList<>();
     private StubAgent agent;
@@ -53,8 +61,8 @@
     private boolean isExitExpected;
     private boolean isRestarting;
 
-    SoakSender(int number, SoakSettings settings, List<String> command, EventLoop eventLoop, Ledger ledger, Ledger.Clock clock,
-            EndpointList endpointList, Optional<Path> faultLibraryFile) throws IOException {
+    SoakSender(int number, SoakSettings settings, List<String> command, EventLoop eventLoop, Ledger ledger,
+            Ledger.Clock clock, EndpointList endpointList, Optional<Path> faultLibraryFile) throws IOException {
         this.number = number;
         this.settings = settings;
         this.command = command;
@@ -67,11 +75,15 @@
         this.clientPort = freePort();
         this.operatorPort = freePort();
         this.faultLibrary = faultLibraryFile.isEmpty() ? Optional.empty()
-                : Optional.of(FaultLibrary.forSender(faultLibraryFile.get(), directory.resolve("faults"), settings.seed() * 1000 + number + 1));
+                : Optional.of(FaultLibrary.forSender(faultLibraryFile.get(), directory.resolve("faults"),
+                        settings.seed() * 1000 + number + 1));
         this.agent = new StubAgent(eventLoop, endpointList, ledger);
     }
 
-    /** One that the system gives to nobody by itself: a sender has the same in each life. */
+    /**
+     * A free port that the system does not assign as an ephemeral port: a sender keeps its ports across restarts, and
+     * nothing else may get them while it is down.
+     */
     private static int freePort() throws IOException {
         for (int port = NEXT_PORT.getAndIncrement(); port < PORT_LIMIT; port = NEXT_PORT.getAndIncrement()) {
             try (ServerSocket socket = new ServerSocket(port, 1, InetAddress.getLoopbackAddress())) {
@@ -95,7 +107,7 @@
         return agent;
     }
 
-    /** Whether a life of it is ending or beginning: then nothing else is done to it. */
+    /** Whether its process is being stopped or restarted by a fault; no other fault is injected into it meanwhile. */
     boolean isRestarting() {
         return isRestarting;
     }
@@ -104,8 +116,10 @@
         StringBuilder classes = new StringBuilder();
         for (MessageClass messageClass : MessageClass.values()) {
             classes.append(classes.length() == 0 ? "" : ",").append(String.format(Locale.ROOT, "{\"name\":\"%s\","
-                    + "\"aim_ms\":%d,\"give_up_ms\":%d,\"repeat\":\"%s\",\"window_ms\":%d,\"worth\":1,\"late_worth\":0.3}",
-                    messageClass.wireName, messageClass.targetLatencyMs, messageClass.deadlineMs, messageClass.isUnsafe() ? "unsafe" : "keyed", messageClass.dedupWindowMs));
+                    + "\"aim_ms\":%d,\"give_up_ms\":%d,\"repeat\":\"%s\",\"window_ms\":%d,\"worth\":1,"
+                    + "\"late_worth\":0.3}",
+                    messageClass.wireName, messageClass.targetLatencyMs, messageClass.deadlineMs,
+                    messageClass.isUnsafe() ? "unsafe" : "keyed", messageClass.dedupWindowMs));
         }
         Files.writeString(directory.resolve("config.json"), String.format(Locale.ROOT, """
                 {"name":"soak-%d","discovery":"%s","seed":"%x","limits":{"memory_mb":192,"sockets":512,"disk_mb":3},
@@ -118,7 +132,7 @@
                 SoakSettings.MAX_ATTEMPTS));
     }
 
-    /** Begins its first life; when it is ready the ledger is told. */
+    /** Starts its first process, without waiting; the ledger is notified when the sender is ready. */
     void start() throws IOException {
         writeConfiguration();
         startProcess();
@@ -128,8 +142,8 @@
         ProcessBuilder builder = new ProcessBuilder(command).redirectErrorStream(true)
                 .redirectOutput(ProcessBuilder.Redirect.appendTo(logFile().toFile()));
         builder.environment().putAll(Map.of("GW_NAME", "soak-" + number, "GW_CONFIG",
-                directory.resolve("config.json").toString(), "GW_STATE", directory.resolve("state").toString(), "GW_LISTEN",
-                "127.0.0.1:" + clientPort, "GW_OPS", "127.0.0.1:" + operatorPort, "GW_TRACE",
+                directory.resolve("config.json").toString(), "GW_STATE", directory.resolve("state").toString(),
+                "GW_LISTEN", "127.0.0.1:" + clientPort, "GW_OPS", "127.0.0.1:" + operatorPort, "GW_TRACE",
                 directory.resolve("trace").toString()));
         faultLibrary.ifPresent(library -> builder.environment().putAll(library.environment()));
         isExitExpected = false;
@@ -142,15 +156,17 @@
     private void processExited(Process exited) {
         ledger.senderExited(number);
         if (!isExitExpected && exited == process) {
-            ledger.recordBreach(Ledger.Rule.SENDER_ENDED, number, "-", "exit " + exited.exitValue());
+            ledger.recordBreach(Ledger.Rule.SENDER_ENDED, number, "-",
+                    "unexpected exit with code " + exited.exitValue());
         }
     }
 
-    /** Asked on a thread of its own, since it may take long to be answered. */
+    /** Polls the health check on a separate thread, because a response may take long, and notifies the ledger. */
     private void awaitReady(Process started, double startedAtMs) {
         Thread thread = new Thread(() -> {
-            while (started.isAlive() && !query(clientPort, "GET /healthz HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
-                    .startsWith("HTTP/1.1 200")) {
+            while (started.isAlive()
+                    && !query(clientPort, "GET /healthz HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
+                            .startsWith("HTTP/1.1 200")) {
                 try {
                     Thread.sleep(READY_POLL_INTERVAL_MS);
                 } catch (InterruptedException e) {
@@ -163,7 +179,8 @@
                     ledger.senderReady(number);
                     isRestarting = false;
                     if (startMs > MAX_START_MS) {
-                        ledger.recordBreach(Ledger.Rule.NOT_READY, number, "-", (long) startMs + " ms");
+                        ledger.recordBreach(Ledger.Rule.NOT_READY, number, "-",
+                                (long) startMs + " ms from the start until it was ready");
                     }
                 }
             });
@@ -172,6 +189,7 @@
         thread.start();
     }
 
+    /** Sends a request and reads until the sender closes the connection; empty if there is no complete response. */
     private static String query(int port, String request) {
         try (Socket socket = new Socket()) {
             socket.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), port), SOCKET_TIMEOUT_MS);
@@ -183,7 +201,7 @@
         }
     }
 
-    /** SIGKILL, and the next life a little later. */
+    /** Kills the process with SIGKILL, and starts the next one after the given time. */
     void kill(long downMs) {
         isRestarting = true;
         isExitExpected = true;
@@ -192,7 +210,7 @@
         scheduleTask(downMs, this::startProcess);
     }
 
-    /** SIGTERM, SIGKILL once its time is over, and the next life a little later. */
+    /** Sends SIGTERM, then SIGKILL after a delay, and starts the next process after the given further time. */
     void terminate(long downMs) {
         isRestarting = true;
         isExitExpected = true;
@@ -214,12 +232,16 @@
             try {
                 task.run();
             } catch (IOException e) {
-                ledger.recordBreach(Ledger.Rule.SENDER_ENDED, number, "-", "can't be started: " + e.getMessage());
+                ledger.recordBreach(Ledger.Rule.SENDER_ENDED, number, "-",
+                        "the process can't be started: " + e.getMessage());
             }
         }, delayMs, TimeUnit.MILLISECONDS);
     }
 
-    /** A new configuration names another agent; called off the loop, as that one has to listen first. */
+    /**
+     * Switches the sender to a new agent: rewrites its configuration and sends SIGHUP. Must not be called on the event
+     * loop, because creating the agent waits until it listens.
+     */
     void reload() {
         StubAgent newAgent = new StubAgent(eventLoop, endpointList, ledger);
         eventLoop.execute(() -> {
@@ -232,7 +254,8 @@
             try {
                 writeConfiguration();
             } catch (IOException e) {
-                ledger.recordBreach(Ledger.Rule.SENDER_ENDED, number, "-", "no configuration: " + e.getMessage());
+                ledger.recordBreach(Ledger.Rule.SENDER_ENDED, number, "-",
+                        "the configuration can't be written: " + e.getMessage());
             }
             reloadSpans.add(new double[] {clock.nowMs(), clock.nowMs() + RELOAD_GRACE_MS});
             sendSignal("HUP");
@@ -240,7 +263,7 @@
         });
     }
 
-    /** Discovery is silent for it for so long. */
+    /** Makes discovery of its agent unavailable for the given time. */
     void stopDiscovery(long durationMs) {
         StubAgent stoppedAgent = agent;
         stoppedAgent.setDiscoveryDown(true);
@@ -252,14 +275,17 @@
         }, durationMs, TimeUnit.MILLISECONDS);
     }
 
-    /** When a change that discovery had at that time counted as told to it. */
+    /**
+     * The time at which the sender counts as notified of a change of the list: the time of the change, or the end of
+     * the reload or outage of discovery in which it occurred.
+     */
     double notifiedAtMs(double changedAtMs) {
         return Stream.concat(reloadSpans.stream(), outageSpans.stream())
                 .filter(span -> span[0] <= changedAtMs && changedAtMs < span[1]).mapToDouble(span -> span[1]).max()
                 .orElse(changedAtMs);
     }
 
-    /** The process does not run for a moment. */
+    /** Suspends the process (SIGSTOP) for the given time. */
     void suspend(long durationMs) {
         sendSignal("STOP");
         eventLoop.schedule(() -> sendSignal("CONT"), durationMs, TimeUnit.MILLISECONDS);
@@ -269,23 +295,26 @@
         try {
             new ProcessBuilder("kill", "-" + signalName, Long.toString(process.pid())).start();
         } catch (IOException e) {
-            ledger.recordBreach(Ledger.Rule.SENDER_ENDED, number, "-", "can't be signalled: " + e.getMessage());
+            ledger.recordBreach(Ledger.Rule.SENDER_ENDED, number, "-",
+                    "the process can't be sent a signal: " + e.getMessage());
         }
     }
 
-    /** The sum of the figures of that name as operators see them, over all reasons; -1 if it does not answer. */
+    /** The sum of a metric over all its labels, from the operators' port; -1 if the sender does not respond. */
     long metric(String name) {
         String text = query(operatorPort, "telemetry\n");
         return text.isEmpty() ? -1 : text.lines().filter(line -> line.startsWith("edge_gw_" + name))
                 .mapToLong(line -> Long.parseLong(line.substring(line.lastIndexOf(' ') + 1))).sum();
     }
 
-    /** Processor time of this life in seconds, most memory in megabytes, and descriptors now. */
+    /** CPU seconds and peak memory in megabytes of the current process, and its number of open file descriptors. */
     double[] resourceUse() throws IOException {
         Path proc = Path.of("/proc", Long.toString(process.pid()));
         String stat = Files.readString(proc.resolve("stat"));
+        // The second field (the command) may contain spaces, but ends with the last closing parenthesis.
         String[] fields = stat.substring(stat.lastIndexOf(')') + 2).split(" ");
-        double cpuSeconds = (Long.parseLong(fields[11]) + Long.parseLong(fields[12])) / (double) CLOCK_TICKS_PER_SECOND;
+        double cpuSeconds = (Long.parseLong(fields[11]) + Long.parseLong(fields[12]))
+                / (double) CLOCK_TICKS_PER_SECOND;
         double peakMb = Files.readAllLines(proc.resolve("status")).stream().filter(line -> line.startsWith("VmHWM:"))
                 .mapToDouble(line -> Double.parseDouble(line.replaceAll("\\D", "")) / 1024).sum();
         try (Stream<Path> descriptors = Files.list(proc.resolve("fd"))) {
@@ -297,7 +326,7 @@
         return directory.resolve("log");
     }
 
-    /** The steps of one message, over all lives. */
+    /** The lines of the sender's trace file for one message, from all its processes. */
     List<String> trace(String messageId) throws IOException {
         Path file = directory.resolve("trace");
         if (!Files.exists(file)) {
@@ -309,7 +338,7 @@
         }
     }
 
-    /** Ends its life at once, and its agent. */
+    /** Kills the process, and closes its agent. */
     void close() throws InterruptedException {
         isExitExpected = true;
         if (process != null) {
--- a/src/main/java/kestreldeal/scale/soak/SoakSettings.java
+++ b/src/main/java/kestreldeal/scale/soak/SoakSettings.java
@@ -3,28 +3,28 @@
 import java.nio.file.Path;
 
 /**
- * One run of the soak test.
+ * Settings of one run of the soak test.
  *
- * @param senders real processes
- * @param destinations that messages are for
- * @param endpointsEach of every destination
- * @param messagesPerSecond for each sender
- * @param seconds in which messages are handed in and troubles begin
- * @param seed of all that is drawn
- * @param troubles whether anything goes wrong
- * @param faults whether system calls fail too, which needs a C compiler
- * @param folder for what the senders need and say
+ * @param senderCount number of sender processes
+ * @param destinationCount number of destinations of messages
+ * @param endpointsPerDestination endpoints of each destination
+ * @param messagesPerSenderSecond mean rate at which clients submit messages to each sender
+ * @param seconds time in which clients submit messages and faults start
+ * @param seed of all random numbers
+ * @param injectFaults whether faults are injected at all
+ * @param injectSystemCallFaults whether system calls of the senders fail too, which needs a C compiler
+ * @param directory for the configuration, state, logs and traces of the senders
  */
-record SoakSettings(int senderCount, int destinationCount, int endpointsPerDestination, double messagesPerSenderSecond, int seconds, long seed,
-                    boolean injectFaults, boolean injectSystemCallFaults, Path directory) {
-    /** Classes of messages, as the senders' settings have them. */
+record SoakSettings(int senderCount, int destinationCount, int endpointsPerDestination, double messagesPerSenderSecond,
+                    int seconds, long seed, boolean injectFaults, boolean injectSystemCallFaults, Path directory) {
+    /** The message classes in the senders' configuration. */
     enum MessageClass {
         ORDER("order", 1500, 8000, 3000), PAYMENT("payment", 2000, 7000, 0);
 
         final String wireName;
         final int targetLatencyMs;
         final int deadlineMs;
-        /** For so long repeats are dropped; 0 if it must not run twice. */
+        /** Time in which destinations drop repeats of a key; 0 if a message must not be processed twice at all. */
         final int dedupWindowMs;
 
         MessageClass(String wireName, int targetLatencyMs, int deadlineMs, int dedupWindowMs) {
@@ -34,12 +34,13 @@
             this.dedupWindowMs = dedupWindowMs;
         }
 
+        /** Whether destinations don't drop repeats, so that a message must not be sent again once it may have run. */
         boolean isUnsafe() {
             return dedupWindowMs == 0;
         }
     }
 
-    /** Nothing new goes to an endpoint so long after word that it drains or is gone. */
+    /** Time after the notification that an endpoint drains or is removed in which it may still receive new calls. */
     static final int DRAIN_GRACE_MS = 1000;
     static final int MAX_ATTEMPTS = 12;
 }
--- a/src/main/java/kestreldeal/scale/soak/StubAgent.java
+++ b/src/main/java/kestreldeal/scale/soak/StubAgent.java
@@ -17,10 +17,13 @@
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 
-/** A stand-in for the platform's agent on one sender's machine: the list, watches and notices. */
+/**
+ * A stub of the platform's agent on one sender's machine: serves the endpoint list, holds watch requests until the list
+ * changes, and receives notices of final results.
+ */
 final class StubAgent {
     private static final JsonMapper JSON = JsonMapper.builder().build();
-    /** From word of another address until the old one ends its connections. */
+    /** Time from the reload that switches to another agent until this one closes its connections. */
     private static final long OLD_ADDRESS_GRACE_MS = 1500;
 
     private final EventLoop eventLoop;
@@ -32,10 +35,11 @@
     private boolean isDiscoveryDown;
     private long listBytes;
 
+    /** A pending request for the changes after a generation of the list. */
     private record Watch(Channel channel, long afterGeneration) {
     }
 
-    /** One that listens; not made on the loop. */
+    /** Waits until it listens, so it must not be called on the event loop. */
     StubAgent(EventLoop eventLoop, EndpointList endpointList, Ledger ledger) {
         this.eventLoop = eventLoop;
         this.endpointList = endpointList;
@@ -48,12 +52,15 @@
         return "127.0.0.1:" + StubHttpServer.localPort(serverChannel);
     }
 
-    /** Bytes of lists that it has sent. */
+    /** Length of all lists that it has sent, in bytes. */
     long listBytes() {
         return listBytes;
     }
 
-    /** Discovery is down for it, or is back: then it answers what is asked from then on, and watches. */
+    /**
+     * Makes discovery unavailable or available again. A request for the list that arrives while it is unavailable never
+     * gets a response; a watch that was pending before gets one once discovery is available and the list has changed.
+     */
     void setDiscoveryDown(boolean down) {
         isDiscoveryDown = down;
         if (!isDiscoveryDown) {
@@ -61,17 +68,19 @@
         }
     }
 
-    /** Another address takes its place. */
+    /** Stops listening, because another agent replaces this one, and closes its connections a little later. */
     void retire() {
         serverChannel.close();
-        eventLoop.schedule(() -> List.copyOf(connections).forEach(Channel::close), OLD_ADDRESS_GRACE_MS, TimeUnit.MILLISECONDS);
+        eventLoop.schedule(() -> List.copyOf(connections).forEach(Channel::close), OLD_ADDRESS_GRACE_MS,
+                TimeUnit.MILLISECONDS);
     }
 
     private void respondToWatches() {
         if (isDiscoveryDown) {
             return;
         }
-        List<Watch> outdated = pendingWatches.stream().filter(watch -> watch.afterGeneration < endpointList.generation()).toList();
+        List<Watch> outdated = pendingWatches.stream()
+                .filter(watch -> watch.afterGeneration < endpointList.generation()).toList();
         pendingWatches.removeAll(outdated);
         outdated.forEach(watch -> sendList(watch.channel, endpointList.changesSince(watch.afterGeneration)));
     }
@@ -132,7 +141,7 @@
         }
     }
 
-    /** Lets go of its port and connections. */
+    /** Stops listening, and closes all connections. */
     void close() {
         serverChannel.close();
         List.copyOf(connections).forEach(Channel::close);
--- a/src/main/java/kestreldeal/scale/soak/StubEndpoint.java
+++ b/src/main/java/kestreldeal/scale/soak/StubEndpoint.java
@@ -16,27 +16,29 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.IntToDoubleFunction;
 
-/** A stand-in for one endpoint of a partner, on a port of its own. */
+/** A stub of one endpoint of a destination, on a port of its own. */
 final class StubEndpoint {
     private static final int MIN_PROCESSING_MS = 20;
     private static final int PROCESSING_RANGE_MS = 150;
+    /** Share of the rejected calls whose response has Retry-After. */
     private static final double RETRY_AFTER_SHARE = 0.7;
     private static final int MIN_RETRY_AFTER_MS = 200;
     private static final int RETRY_AFTER_RANGE_MS = 1500;
+    /** Share of the messages in failed calls that are processed all the same. */
     private static final double PROCESSED_SHARE = 0.5;
 
-    /** What it is like. */
+    /** How the endpoint handles calls. */
     enum State {
         SERVING,
-        /** Nobody listens. */
+        /** It does not listen, so connections are refused. */
         REFUSING,
-        /** It takes calls and never answers. */
+        /** It never responds; some messages are processed. */
         HUNG,
-        /** It answers with errors, of which some have run. */
+        /** It responds with an error; some messages are processed all the same. */
         FAILING,
-        /** It turns all away. */
+        /** It rejects all calls, most of them with Retry-After. */
         SHUT,
-        /** It resets connections under calls. */
+        /** It resets the connection on each call; some messages are processed all the same. */
         RESETTING
     }
 
@@ -46,7 +48,7 @@
     private final Ledger ledger;
     private final Random random;
     private final Set<Channel> connections = new LinkedHashSet<>();
-    /** Since when it drains or is gone, as far as that sender was told. */
+    /** By sender number: when that sender was notified that this endpoint drains; infinite if it does not drain. */
     private IntToDoubleFunction drainingSinceMs = sender -> Double.POSITIVE_INFINITY;
     private Channel serverChannel;
     private int port;
@@ -61,7 +63,7 @@
         this.random = random;
     }
 
-    /** Begins to listen, and waits until it does; not on the loop. */
+    /** Starts to listen, and waits until it does; must not be called on the event loop. */
     void open() {
         serverChannel = StubHttpServer.listen(eventLoop, 0, RequestHandler::new).syncUninterruptibly().channel();
         port = StubHttpServer.localPort(serverChannel);
@@ -71,12 +73,11 @@
         return "127.0.0.1:" + port;
     }
 
-    /** Connections that were made to it. */
+    /** Number of connections accepted so far. */
     long acceptedConnections() {
         return acceptedConnections;
     }
 
-    /** From now on it is like this. */
     void changeState(State newState) {
         if (state == State.REFUSING && newState != State.REFUSING) {
             serverChannel = StubHttpServer.listen(eventLoop, port, RequestHandler::new).channel();
@@ -88,12 +89,12 @@
         state = newState;
     }
 
-    /** Word is out that it takes nothing new: when each sender was told. */
+    /** Takes no new calls from now on; the function has the time at which each sender is notified. */
     void startDraining(IntToDoubleFunction notifiedAtMs) {
         drainingSinceMs = notifiedAtMs;
     }
 
-    /** Closes connections that rest. */
+    /** Closes half of the connections, chosen at random. */
     void closeSomeConnections() {
         List.copyOf(connections).stream().filter(channel -> random.nextBoolean()).forEach(Channel::close);
     }
@@ -119,7 +120,7 @@
             for (String messageId : ids) {
                 Ledger.Message message = ledger.findMessage(messageId);
                 if (message == null) {
-                    ledger.recordBreach(Ledger.Rule.UNKNOWN_MESSAGE, -1, messageId, "called at " + id);
+                    ledger.recordBreach(Ledger.Rule.UNKNOWN_MESSAGE, -1, messageId, "a call to endpoint " + id);
                 } else {
                     ledger.callReceived(message, destination, drainingSinceMs.applyAsDouble(message.sender));
                     messages.add(message);
@@ -160,7 +161,8 @@
         }
 
         private void processSome(List<Ledger.Message> messages) {
-            messages.stream().filter(message -> random.nextDouble() < PROCESSED_SHARE).forEach(ledger::messageProcessed);
+            messages.stream().filter(message -> random.nextDouble() < PROCESSED_SHARE)
+                    .forEach(ledger::messageProcessed);
         }
 
         private void rejectCall(Channel channel, int sender) {
@@ -180,7 +182,10 @@
         }
     }
 
-    /** The ids in the body of several: each line of id, key and length is followed by so many bytes and a line's end. */
+    /**
+     * The ids in the body of a batch call. Each message has a line with id, key and length, then as many bytes as the
+     * length says and a line break.
+     */
     private static List<String> parseBatchIds(String body) {
         List<String> ids = new ArrayList<>();
         for (int position = 0; position < body.length();) {
@@ -192,7 +197,7 @@
         return ids;
     }
 
-    /** Lets go of its port and connections. */
+    /** Stops listening, and closes all connections. */
     void close() {
         serverChannel.close();
         List.copyOf(connections).forEach(Channel::close);
--- a/src/main/java/kestreldeal/scale/soak/StubHttpServer.java
+++ b/src/main/java/kestreldeal/scale/soak/StubHttpServer.java
@@ -19,7 +19,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.function.Supplier;
 
-/** What the stand-ins for the platform and for endpoints have in common. */
+/** HTTP server functions that the stubs of agents and endpoints share. */
 final class StubHttpServer {
     private static final int MAX_REQUEST_BYTES = 1 << 20;
     private static final int ACCEPT_BACKLOG = 256;
@@ -27,7 +27,7 @@
     private StubHttpServer() {
     }
 
-    /** Listens on loopback, at a port of the system's choice if none is given; each connection has a handler of its own. */
+    /** Listens on loopback, on an ephemeral port if the port is 0; each connection gets a new handler. */
     static ChannelFuture listen(EventLoop eventLoop, int port, Supplier<ChannelHandler> newHandler) {
         return new ServerBootstrap().group(eventLoop, eventLoop).channel(NioServerSocketChannel.class)
                 .option(ChannelOption.SO_BACKLOG, ACCEPT_BACKLOG).option(ChannelOption.SO_REUSEADDR, true)
@@ -45,6 +45,7 @@
         return ((InetSocketAddress) serverChannel.localAddress()).getPort();
     }
 
+    /** Sends a response; headers alternate between names and values. */
     static ChannelFuture respond(Channel channel, HttpResponseStatus status, String body, String... headers) {
         DefaultFullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status,
                 Unpooled.copiedBuffer(body, StandardCharsets.UTF_8));
@@ -55,7 +56,7 @@
         return channel.writeAndFlush(response);
     }
 
-    /** Ends a connection as a crash would: the other side sees a reset. */
+    /** Closes a connection with a TCP reset, as after a crash. */
     static void reset(Channel channel) {
         channel.config().setOption(ChannelOption.SO_LINGER, 0);
         channel.close();
