--- a/deploy/Training.java
+++ b/deploy/Training.java
@@ -11,22 +11,23 @@
 import java.util.concurrent.Executors;
 
 /**
- * The world of the sender whose classes {@code archive.sh} archives: agent, one endpoint, and a client with a
- * few messages. What no message has passed through is not in the archive, and is loaded and linked anew in the
- * first seconds under load of each life.
+ * Exercises the sender whose loaded classes {@code archive.sh} archives (class data sharing): a stub of the agent and
+ * of one endpoint, and a client that submits a few messages. Classes that these messages don't use are not in the
+ * archive, so each process has to load and link them in its first seconds under load.
  */
 public final class Training {
-    private static final String SENDER = "http://127.0.0.1:47979/";
-    private static final int PORT = 47980;
-    private static final String LIST = "{\"generation\":2,\"reset\":true,\"instances\":[" + entry("e", PORT, 1) + ","
-            + entry("shut", 1, 2) + "]}";
+    private static final String SENDER_URL = "http://127.0.0.1:47979/";
+    private static final int STUB_PORT = 47980;
+    /** Nothing listens at the second endpoint, so that messages to destination 2 fail and lead to notices. */
+    private static final String ENDPOINT_LIST = "{\"generation\":2,\"reset\":true,\"instances\":["
+            + listEntry("e", STUB_PORT, 1) + "," + listEntry("shut", 1, 2) + "]}";
 
-    private static String entry(String id, int port, int cell) {
+    private static String listEntry(String id, int port, int destination) {
         return "{\"instanceId\":\"" + id + "\",\"hostPort\":\"127.0.0.1:" + port + "\",\"zone\":\"a\",\"machineType\":"
-                + "\"m\",\"cell\":" + cell + ",\"lifecycle\":\"SERVING\",\"weight\":9.0,\"startedAtMs\":0}";
+                + "\"m\",\"cell\":" + destination + ",\"lifecycle\":\"SERVING\",\"weight\":9.0,\"startedAtMs\":0}";
     }
 
-    private static void answer(HttpExchange exchange, int status, String body) throws IOException {
+    private static void respond(HttpExchange exchange, int status, String body) throws IOException {
         byte[] bytes = body.getBytes(StandardCharsets.UTF_8);
         exchange.getRequestBody().readAllBytes();
         exchange.getResponseHeaders().set("X-Load-Report", "TEXT x0=0.5, x1=20");
@@ -35,33 +36,34 @@
         exchange.close();
     }
 
-    private static void watch(HttpExchange exchange) throws IOException {
+    /** Responds with the list: to the first request immediately, to a request for changes after a delay. */
+    private static void respondWithList(HttpExchange exchange) throws IOException {
         try {
             Thread.sleep(exchange.getRequestURI().getQuery() == null ? 0 : 300);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        answer(exchange, 200, LIST);
+        respond(exchange, 200, ENDPOINT_LIST);
     }
 
     private static HttpRequest.Builder request(String path) {
-        return HttpRequest.newBuilder(URI.create(SENDER + path)).timeout(Duration.ofSeconds(5));
+        return HttpRequest.newBuilder(URI.create(SENDER_URL + path)).timeout(Duration.ofSeconds(5));
     }
 
     public static void main(String[] args) throws Exception {
-        HttpServer world = HttpServer.create(new InetSocketAddress("127.0.0.1", PORT), 0);
-        world.setExecutor(Executors.newCachedThreadPool());
-        world.createContext("/v1/servers", Training::watch);
-        world.createContext("/v1/messages", exchange -> answer(exchange, 200, "{}"));
-        world.createContext("/reports", exchange -> answer(exchange, 204, ""));
-        world.start();
+        HttpServer stubServer = HttpServer.create(new InetSocketAddress("127.0.0.1", STUB_PORT), 0);
+        stubServer.setExecutor(Executors.newCachedThreadPool());
+        stubServer.createContext("/v1/servers", Training::respondWithList);
+        stubServer.createContext("/v1/messages", exchange -> respond(exchange, 200, "{}"));
+        stubServer.createContext("/reports", exchange -> respond(exchange, 204, ""));
+        stubServer.start();
         HttpClient client = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
-        HttpRequest ready = request("healthz").build();
-        for (int tries = 0; tries < 100; tries++) {
+        HttpRequest healthCheck = request("healthz").build();
+        for (int attempts = 0; attempts < 100; attempts++) {
             try {
-                client.send(ready, BodyHandlers.discarding());
+                client.send(healthCheck, BodyHandlers.discarding());
                 break;
-            } catch (IOException notYet) {
+            } catch (IOException notReady) {
                 Thread.sleep(100);
             }
         }
@@ -71,7 +73,7 @@
                     .header("Idempotency-Key", "key-" + i).header("X-Envelope", "dest=" + (1 + i % 2))
                     .POST(HttpRequest.BodyPublishers.ofString("{}")).build(), BodyHandlers.discarding());
         }
-        // Until the notices of what could not be delivered are out.
+        // Waits until the sender has sent the notices of the messages that could not be delivered.
         Thread.sleep(2000);
         System.exit(0);
     }
--- a/src/test/java/kestreldeal/scale/soak/LedgerTest.java
+++ b/src/test/java/kestreldeal/scale/soak/LedgerTest.java
@@ -9,7 +9,7 @@
 import kestreldeal.scale.soak.SoakSettings.MessageClass;
 import org.junit.jupiter.api.Test;
 
-/** Each rule that the soak judges, broken and kept. */
+/** Tests that the ledger reports a breach of each delivery rule, and none while the rule is kept. */
 class LedgerTest {
     private static final int SENDER = 0;
     private static final int DESTINATION = 3;
@@ -32,7 +32,8 @@
     }
 
     private Ledger.Message acceptedMessage(String id, String key, MessageClass messageClass) {
-        Ledger.Message message = new Ledger.Message(id, key, messageClass, DESTINATION, SENDER, nowMs, messageClass.deadlineMs);
+        Ledger.Message message = new Ledger.Message(id, key, messageClass, DESTINATION, SENDER, nowMs,
+                messageClass.deadlineMs);
         ledger.messageSubmitted(message);
         ledger.messageAccepted(message);
         return message;
