--- a/src/main/java/kestreldeal/scale/soak/FaultInjector.java
+++ b/src/main/java/kestreldeal/scale/soak/FaultInjector.java
@@ -9,8 +9,8 @@
 import java.util.Random;
 import java.util.TreeMap;
 import java.util.concurrent.TimeUnit;
-import kestreldeal.scale.soak.StubEndpoint.State;
 import kestreldeal.scale.soak.FaultLibrary.Control;
+import kestreldeal.scale.soak.StubEndpoint.State;
 
 /** Injects faults of all kinds at random times, often enough that two or three of them overlap. */
 final class FaultInjector {
@@ -25,7 +25,7 @@
     private static final long MAX_PAUSE_MS = 150;
     /** Longest time from a fault until the sender is ended or killed in the middle of it. */
     private static final int MAX_OVERLAP_DELAY_MS = 1500;
-    private static final int ALWAYS_PER_MILLION = 1_000_000;
+    private static final int ALWAYS_RATE_PER_MILLION = 1_000_000;
     private static final long HOUR_MS = 3_600_000;
 
     /** Kinds of faults. From {@link #WALL_STEPPED} on they need the fault library. */
@@ -34,6 +34,7 @@
         OUTAGE,
         /** Replacement of an endpoint by another. */
         REPLACED,
+        /** The agent does not respond to requests for the endpoint list. */
         SILENT_DISCOVERY,
         /** SIGTERM and a restart. */
         ENDED,
@@ -116,7 +117,10 @@
         return MIN_FAULT_MS + random.nextInt((int) (MAX_FAULT_MS - MIN_FAULT_MS));
     }
 
-    /** Injects a fault of a random kind into a random sender, unless that can't have it or is restarting. */
+    /**
+     * Injects a fault of a random kind into a random sender, unless the sender is restarting, or the fault needs the
+     * fault library and the sender has none.
+     */
     private void injectRandomFault() {
         FaultKind kind = FaultKind.values()[random.nextInt(FaultKind.values().length)];
         SoakSender sender = senders.get(random.nextInt(senders.size()));
@@ -151,7 +155,7 @@
                             Control.SOCKET_FAILS, 50_000L, Control.READ_FAILS, 3000L));
             case FOLDER_FAILS -> injectSystemCallFaults(sender, MIN_FAULT_MS + random.nextInt(2000),
                     Map.of(Control.STATE_FAILS,
-                            random.nextBoolean() ? (long) ALWAYS_PER_MILLION : ALWAYS_PER_MILLION / 3L));
+                            random.nextBoolean() ? (long) ALWAYS_RATE_PER_MILLION : ALWAYS_RATE_PER_MILLION / 3L));
             case SLOW_TRANSFERS -> injectSystemCallFaults(sender, drawDurationMs(),
                     Map.of(Control.SHORT_TRANSFERS, 200_000L, Control.INTERRUPTED_WAITS, 50_000L,
                             Control.HOLD_UPS, 10_000L, Control.HOLD_UP_MOST_MS, MAX_PAUSE_MS));
@@ -203,13 +207,13 @@
         }
     }
 
-    /** Sets the wall clock of the sender off by 1 to 11 seconds or by an hour, forward or back. */
+    /** Sets the wall clock of the sender forward or back, by 1 to 11 seconds or by an hour. */
     private void stepWallClock(SoakSender sender) {
         long stepMs = random.nextBoolean() ? HOUR_MS : 1000 + random.nextInt(10_000);
         sender.faultLibrary().get().set(Control.WALL_STEP_MS, random.nextBoolean() ? stepMs : -stepMs);
     }
 
-    /** Makes system calls of a sender fail at the given rates for some time. */
+    /** Sets controls of the sender's fault library for some time, and then to 0. */
     private void injectSystemCallFaults(SoakSender sender, long durationMs, Map<Control, Long> controlValues) {
         FaultLibrary library = sender.faultLibrary().get();
         systemCallsFaultyUntilMs[sender.number] = Math.max(systemCallsFaultyUntilMs[sender.number],
--- a/src/main/java/kestreldeal/scale/soak/Ledger.java
+++ b/src/main/java/kestreldeal/scale/soak/Ledger.java
@@ -18,8 +18,8 @@
     /** Time after the deadline of a message in which its result may still arrive; then it counts as lost. */
     private static final double RESULT_GRACE_MS = 300;
     /**
-     * Calls received this soon after a Retry-After response are allowed: 100 ms for calls on their way, and 150 ms for
-     * which an injected pause may delay the sender's write.
+     * Calls received this soon after a Retry-After response are allowed: within 100 ms, plus 150 ms for which an
+     * injected fault may delay the sender at a write.
      */
     private static final double RETRY_AFTER_GRACE_MS = 100 + 150;
     /** Time that a restarted sender has, once it is ready, for results that fell due while it was not in service. */
@@ -64,9 +64,11 @@
         final int destination;
         final int sender;
         final double submittedAtMs;
+        /** Time from the submission to the deadline. */
         final double budgetMs;
         boolean isAccepted;
         boolean isDelivered;
+        /** Whether the agent received the notice of its final result. */
         boolean isNoticed;
         /** Whether its result was checked, so that no breach for it can be found any more. */
         boolean isChecked;
--- a/src/main/java/kestreldeal/scale/soak/SoakClients.java
+++ b/src/main/java/kestreldeal/scale/soak/SoakClients.java
@@ -40,6 +40,7 @@
     private static final int MAX_BODY_BYTES = 600;
     /** Time in which the sender must respond to an invalid request, or close its connection. */
     private static final int INVALID_REQUEST_TIMEOUT_MS = 3000;
+    /** Tolerance on that time. */
     private static final int TIMEOUT_SLACK_MS = 250;
     /** Share of the messages with a deadline of at most the response timeout. */
     private static final double SHORT_DEADLINE_SHARE = 0.02;
@@ -98,7 +99,7 @@
         isStopped = true;
     }
 
-    /** Submits a message under a new id; if it is rejected, it is submitted again as often as tries are left. */
+    /** Submits a message under a new id; if it is rejected, it is submitted again until no tries are left. */
     private void submit(MessageClass messageClass, String key, int destination, int triesLeft) {
         double budgetMs = random.nextDouble() < SHORT_DEADLINE_SHARE ? 1 + random.nextInt(RESPONSE_TIMEOUT_MS)
                 : messageClass.deadlineMs;
@@ -230,12 +231,12 @@
         }
     }
 
-    /** Sets how to find out whether system calls of the sender fail now, so that its connections may break. */
+    /** Sets the check for whether system calls of the sender fail now, in which case its connections may break. */
     void setSocketsFaulty(BooleanSupplier socketsFaulty) {
         areSocketsFaulty = socketsFaulty;
     }
 
-    /** Incomplete or malformed requests. */
+    /** What clients send instead of a valid request; nothing at all in the case of {@link #SILENT}. */
     enum InvalidRequest {
         SILENT(""), HALF_A_LINE("POST /ord"),
         HALF_A_BODY("POST /order HTTP/1.1\r\nX-Call-Id: bad\r\nContent-Length: 90\r\n\r\nx"),
--- a/src/main/java/kestreldeal/scale/soak/SoakCommand.java
+++ b/src/main/java/kestreldeal/scale/soak/SoakCommand.java
@@ -17,7 +17,7 @@
 @Command(name = "soak", mixinStandardHelpOptions = true, description = "Runs real senders on loopback, injects"
         + " overlapping faults and checks the delivery rules. Must be run from the root of a checkout that is built.")
 public final class SoakCommand implements Callable<Integer> {
-    private static final Path JAR = Path.of("target", "kestreldeal.jar");
+    private static final Path SENDER_JAR = Path.of("target", "kestreldeal.jar");
     private static final Path CLASS_ARCHIVE = Path.of("target", "sender.jsa");
     private static final int GROWTH_FACTOR = 16;
     private static final int MAX_REPORT_LINES = 200;
@@ -118,7 +118,7 @@
         if (Files.isReadable(CLASS_ARCHIVE)) {
             command.add("-XX:SharedArchiveFile=" + CLASS_ARCHIVE);
         }
-        command.addAll(List.of("-jar", JAR.toString(), "serve", "--alone"));
+        command.addAll(List.of("-jar", SENDER_JAR.toString(), "serve", "--alone"));
         return command;
     }
 }
--- a/src/main/java/kestreldeal/scale/soak/SoakRun.java
+++ b/src/main/java/kestreldeal/scale/soak/SoakRun.java
@@ -40,6 +40,7 @@
     private final EndpointList endpointList = new EndpointList();
     /** Shared with the fault injector, which replaces endpoints. */
     private final List<StubEndpoint> currentEndpoints = new ArrayList<>();
+    /** The endpoints at the start of the run. */
     private final List<StubEndpoint> initialEndpoints = new ArrayList<>();
     private final List<SoakSender> senders = new ArrayList<>();
     private final List<SoakClients> clients = new ArrayList<>();
@@ -79,7 +80,7 @@
         eventLoop.schedule(this::tick, TICK_INTERVAL_MS, TimeUnit.MILLISECONDS);
     }
 
-    /** Executes the run, waits until all results are due, and returns a summary for the result file. */
+    /** Executes the run, waits until the results of all messages are checked, and returns a summary of the run. */
     Map<String, Object> run(Optional<Path> faultLibrary) throws Exception {
         prepare(faultLibrary);
         eventLoop.submit(() -> {
--- a/src/main/java/kestreldeal/scale/soak/SoakSender.java
+++ b/src/main/java/kestreldeal/scale/soak/SoakSender.java
@@ -35,6 +35,7 @@
     private static final long KILL_DELAY_MS = 3700;
     /** After SIGHUP the sender switches to another agent: list changes in this time count as notified at its end. */
     private static final double RELOAD_GRACE_MS = 4000;
+    /** Unit of the CPU times in /proc. */
     private static final long CLOCK_TICKS_PER_SECOND = 100;
     /** Ports below this are outside the range from which Linux assigns ephemeral ports. */
     private static final int PORT_LIMIT = 32_000;
@@ -53,11 +54,12 @@
     private final List<String> command;
     private final Optional<FaultLibrary> faultLibrary;
     private final EndpointList endpointList;
-    /** Start and end of the times in which list changes did not reach the sender, by the reason. */
+    /** Start and end of each reload and discovery outage, during which list changes may not reach the sender. */
     private final List<double[]> reloadSpans = new ArrayList<>();
     private final List<double[]> outageSpans = new ArrayList<>();
     private StubAgent agent;
     private Process process;
+    /** Whether the exit of the current process is part of the test. */
     private boolean isExitExpected;
     private boolean isRestarting;
 
@@ -116,8 +118,7 @@
         StringBuilder classes = new StringBuilder();
         for (MessageClass messageClass : MessageClass.values()) {
             classes.append(classes.length() == 0 ? "" : ",").append(String.format(Locale.ROOT, "{\"name\":\"%s\","
-                    + "\"aim_ms\":%d,\"give_up_ms\":%d,\"repeat\":\"%s\",\"window_ms\":%d,\"worth\":1,"
-                    + "\"late_worth\":0.3}",
+                    + "\"aim_ms\":%d,\"give_up_ms\":%d,\"repeat\":\"%s\",\"window_ms\":%d,\"worth\":1,\"late_worth\":0.3}",
                     messageClass.wireName, messageClass.targetLatencyMs, messageClass.deadlineMs,
                     messageClass.isUnsafe() ? "unsafe" : "keyed", messageClass.dedupWindowMs));
         }
--- a/src/main/java/kestreldeal/scale/soak/StubEndpoint.java
+++ b/src/main/java/kestreldeal/scale/soak/StubEndpoint.java
@@ -89,7 +89,7 @@
         state = newState;
     }
 
-    /** Takes no new calls from now on; the function has the time at which each sender is notified. */
+    /** Marks the endpoint as draining. The function returns when the sender of that number counts as notified. */
     void startDraining(IntToDoubleFunction notifiedAtMs) {
         drainingSinceMs = notifiedAtMs;
     }
--- a/src/test/java/kestreldeal/scale/soak/LedgerTest.java
+++ b/src/test/java/kestreldeal/scale/soak/LedgerTest.java
@@ -9,7 +9,7 @@
 import kestreldeal.scale.soak.SoakSettings.MessageClass;
 import org.junit.jupiter.api.Test;
 
-/** Tests that the ledger reports a breach of each delivery rule, and none while the rule is kept. */
+/** Tests that the ledger reports breaches of the rules that it checks itself, and none while they are kept. */
 class LedgerTest {
     private static final int SENDER = 0;
     private static final int DESTINATION = 3;
