--- /dev/null
+++ b/src/main/java/kestreldeal/scale/soak/StubEndpoint.java
@@ -0,0 +1,205 @@
+package kestreldeal.scale.soak;
+
+import io.netty.channel.Channel;
+import io.netty.channel.ChannelHandlerContext;
+import io.netty.channel.EventLoop;
+import io.netty.channel.SimpleChannelInboundHandler;
+import io.netty.handler.codec.http.FullHttpRequest;
+import io.netty.handler.codec.http.HttpResponseStatus;
+import java.nio.charset.StandardCharsets;
+import java.util.ArrayList;
+import java.util.LinkedHashSet;
+import java.util.List;
+import java.util.Locale;
+import java.util.Random;
+import java.util.Set;
+import java.util.concurrent.TimeUnit;
+import java.util.function.IntToDoubleFunction;
+
+/** A stub of one endpoint of a destination, on a port of its own. */
+final class StubEndpoint {
+    private static final int MIN_PROCESSING_MS = 20;
+    private static final int PROCESSING_RANGE_MS = 150;
+    /** Share of the rejected calls whose response has Retry-After. */
+    private static final double RETRY_AFTER_SHARE = 0.7;
+    private static final int MIN_RETRY_AFTER_MS = 200;
+    private static final int RETRY_AFTER_RANGE_MS = 1500;
+    /** Share of the messages in failed calls that are processed all the same. */
+    private static final double PROCESSED_SHARE = 0.5;
+
+    /** How the endpoint handles calls. */
+    enum State {
+        SERVING,
+        /** It does not listen, so connections are refused. */
+        REFUSING,
+        /** It never responds; some messages are processed. */
+        HUNG,
+        /** It responds with an error; some messages are processed all the same. */
+        FAILING,
+        /** It rejects all calls, most of them with Retry-After. */
+        SHUT,
+        /** It resets the connection on each call; some messages are processed all the same. */
+        RESETTING
+    }
+
+    final String id;
+    final int destination;
+    private final EventLoop eventLoop;
+    private final Ledger ledger;
+    private final Random random;
+    private final Set<Channel> connections = new LinkedHashSet<>();
+    /** By sender number: when that sender was notified that this endpoint drains; infinite if it does not drain. */
+    private IntToDoubleFunction drainingSinceMs = sender -> Double.POSITIVE_INFINITY;
+    private Channel serverChannel;
+    private int port;
+    private State state = State.SERVING;
+    private long acceptedConnections;
+
+    StubEndpoint(String id, int destination, EventLoop eventLoop, Ledger ledger, Random random) {
+        this.id = id;
+        this.destination = destination;
+        this.eventLoop = eventLoop;
+        this.ledger = ledger;
+        this.random = random;
+    }
+
+    /** Starts to listen, and waits until it does; must not be called on the event loop. */
+    void open() {
+        serverChannel = StubHttpServer.listen(eventLoop, 0, RequestHandler::new).syncUninterruptibly().channel();
+        port = StubHttpServer.localPort(serverChannel);
+    }
+
+    String hostPort() {
+        return "127.0.0.1:" + port;
+    }
+
+    /** Number of connections accepted so far. */
+    long acceptedConnections() {
+        return acceptedConnections;
+    }
+
+    void changeState(State newState) {
+        if (state == State.REFUSING && newState != State.REFUSING) {
+            serverChannel = StubHttpServer.listen(eventLoop, port, RequestHandler::new).channel();
+        }
+        if (newState == State.REFUSING && state != State.REFUSING) {
+            serverChannel.close();
+            List.copyOf(connections).forEach(StubHttpServer::reset);
+        }
+        state = newState;
+    }
+
+    /** Marks the endpoint as draining. The function returns when the sender of that number counts as notified. */
+    void startDraining(IntToDoubleFunction notifiedAtMs) {
+        drainingSinceMs = notifiedAtMs;
+    }
+
+    /** Closes half of the connections, chosen at random. */
+    void closeSomeConnections() {
+        List.copyOf(connections).stream().filter(channel -> random.nextBoolean()).forEach(Channel::close);
+    }
+
+    private final class RequestHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
+        @Override
+        public void channelActive(ChannelHandlerContext ctx) {
+            acceptedConnections++;
+            connections.add(ctx.channel());
+        }
+
+        @Override
+        public void channelInactive(ChannelHandlerContext ctx) {
+            connections.remove(ctx.channel());
+        }
+
+        @Override
+        protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
+            boolean isBatch = request.uri().equals("/v1/messages:batch");
+            List<String> ids = isBatch ? parseBatchIds(request.content().toString(StandardCharsets.ISO_8859_1))
+                    : List.of(request.headers().get("X-Call-Id", ""));
+            List<Ledger.Message> messages = new ArrayList<>();
+            for (String messageId : ids) {
+                Ledger.Message message = ledger.findMessage(messageId);
+                if (message == null) {
+                    ledger.recordBreach(Ledger.Rule.UNKNOWN_MESSAGE, -1, messageId, "a call to endpoint " + id);
+                } else {
+                    ledger.callReceived(message, destination, drainingSinceMs.applyAsDouble(message.sender));
+                    messages.add(message);
+                }
+            }
+            if (!messages.isEmpty()) {
+                respondByState(ctx.channel(), messages, isBatch);
+            }
+        }
+
+        private void respondByState(Channel channel, List<Ledger.Message> messages, boolean isBatch) {
+            switch (state) {
+                case SERVING -> processAndRespond(channel, messages, isBatch);
+                case FAILING -> {
+                    processSome(messages);
+                    StubHttpServer.respond(channel, HttpResponseStatus.INTERNAL_SERVER_ERROR, "");
+                }
+                case SHUT -> rejectCall(channel, messages.get(0).sender);
+                case RESETTING -> {
+                    processSome(messages);
+                    StubHttpServer.reset(channel);
+                }
+                default -> processSome(messages);
+            }
+        }
+
+        private void processAndRespond(Channel channel, List<Ledger.Message> messages, boolean isBatch) {
+            messages.forEach(ledger::messageProcessed);
+            eventLoop.schedule(() -> {
+                if (!channel.isActive() || state == State.HUNG) {
+                    return;
+                }
+                StringBuilder body = new StringBuilder();
+                messages.forEach(message -> body.append(message.id).append(" accepted\r\n"));
+                StubHttpServer.respond(channel, HttpResponseStatus.OK, isBatch ? body.toString() : "");
+                messages.forEach(ledger::messageDelivered);
+            }, MIN_PROCESSING_MS + random.nextInt(PROCESSING_RANGE_MS), TimeUnit.MILLISECONDS);
+        }
+
+        private void processSome(List<Ledger.Message> messages) {
+            messages.stream().filter(message -> random.nextDouble() < PROCESSED_SHARE)
+                    .forEach(ledger::messageProcessed);
+        }
+
+        private void rejectCall(Channel channel, int sender) {
+            if (random.nextDouble() >= RETRY_AFTER_SHARE) {
+                StubHttpServer.respond(channel, HttpResponseStatus.SERVICE_UNAVAILABLE, "");
+                return;
+            }
+            double retryAfterMs = MIN_RETRY_AFTER_MS + random.nextInt(RETRY_AFTER_RANGE_MS);
+            ledger.retryAfterSent(sender, destination, retryAfterMs);
+            StubHttpServer.respond(channel, HttpResponseStatus.TOO_MANY_REQUESTS, "", "Retry-After",
+                    String.format(Locale.ROOT, "%.3f", retryAfterMs / 1000));
+        }
+
+        @Override
+        public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
+            ctx.close();
+        }
+    }
+
+    /**
+     * The ids in the body of a batch call. Each message has a line with id, key and length, then as many bytes as the
+     * length says and a line break.
+     */
+    private static List<String> parseBatchIds(String body) {
+        List<String> ids = new ArrayList<>();
+        for (int position = 0; position < body.length();) {
+            int lineEnd = body.indexOf("\r\n", position);
+            String[] fields = body.substring(position, lineEnd).split(" ");
+            ids.add(fields[0]);
+            position = lineEnd + 2 + Integer.parseInt(fields[2]) + 2;
+        }
+        return ids;
+    }
+
+    /** Stops listening, and closes all connections. */
+    void close() {
+        serverChannel.close();
+        List.copyOf(connections).forEach(Channel::close);
+    }
+}
