--- a/src/test/java/kestreldeal/net/AcceptFailureTest.java
+++ b/src/test/java/kestreldeal/net/AcceptFailureTest.java
@@ -47,7 +47,7 @@
 
     @BeforeEach
     void open() {
-        ClientServer server = new ClientServer(group.next(), MAX_CLIENTS, new AcceptingSubmissionHandler(),
+        ClientServer server = new ClientServer(group.next(), MAX_CLIENTS, new ReadySubmissionHandler(),
                 FailingListener::new, () -> descriptorsAvailable);
         address = (InetSocketAddress) server.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))
                 .syncUninterruptibly().channel().localAddress();
--- a/src/test/java/kestreldeal/net/ClientServerTest.java
+++ b/src/test/java/kestreldeal/net/ClientServerTest.java
@@ -24,7 +24,7 @@
     private static final int MAX_CLIENTS = 10;
 
     /** Knows every class and destination, rejects every submission, and records the ids submitted. */
-    private static final class RecordingHandler extends AcceptingSubmissionHandler {
+    private static final class RecordingHandler extends ReadySubmissionHandler {
         private final List<String> submittedIds = new CopyOnWriteArrayList<>();
         /** Runs when the server asks whether the sender is ready. */
         private volatile Runnable onReady = () -> { };
@@ -118,7 +118,7 @@
         List<Socket> sockets = new ArrayList<>();
         try {
             EventLoop loop = group.next();
-            ClientServer server = new ClientServer(loop, MAX_CLIENTS, new AcceptingSubmissionHandler());
+            ClientServer server = new ClientServer(loop, MAX_CLIENTS, new ReadySubmissionHandler());
             InetSocketAddress address = listen(server);
             CountDownLatch releaseLoop = new CountDownLatch(1);
             blockLoop(loop, releaseLoop);
@@ -144,7 +144,7 @@
     void connectionWithAPartialRequestIsNotClosedForANewClient() throws Exception {
         EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         try (Socket first = new Socket(); Socket second = new Socket(); Socket newClient = new Socket()) {
-            InetSocketAddress address = listen(new ClientServer(group.next(), 2, new AcceptingSubmissionHandler()));
+            InetSocketAddress address = listen(new ClientServer(group.next(), 2, new ReadySubmissionHandler()));
             for (Socket client : List.of(first, second)) {
                 client.connect(address);
                 // The partial request is read together with the one before it, so it is known once that is answered.
@@ -166,7 +166,7 @@
         EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         try (Socket slow = new Socket(); Socket newClient = new Socket()) {
             EventLoop loop = group.next();
-            ClientServer server = new ClientServer(loop, 1, new AcceptingSubmissionHandler());
+            ClientServer server = new ClientServer(loop, 1, new ReadySubmissionHandler());
             InetSocketAddress address = listen(server);
             slow.connect(address);
             StubServer.write(slow, HEALTH.substring(0, 10));
--- a/src/test/java/kestreldeal/net/AcceptingSubmissionHandler.java
+++ b/src/test/java/kestreldeal/net/ReadySubmissionHandler.java
@@ -4,7 +4,7 @@
 import java.util.Optional;
 
 /** A handler that is ready but knows no class, tenant or destination and accepts no message. */
-class AcceptingSubmissionHandler implements ClientServer.SubmissionHandler {
+class ReadySubmissionHandler implements ClientServer.SubmissionHandler {
     @Override
     public boolean ready() {
         return true;
