--- a/src/main/java/kestreldeal/DeliveryScheduler.java
+++ b/src/main/java/kestreldeal/DeliveryScheduler.java
@@ -28,7 +28,7 @@
  * first delivery wins and the other attempts are cancelled; when all attempts of a round have ended and the
  * message may still be sent, it waits for a new round. {@link #finishUndelivered} rejects or fails a message.
  *
- * <p>{@link Delivery} is a message with its attempts, {@link Call} a request on the wire that may carry
+ * <p>{@link TrackedMessage} is a message with its attempts, {@link Call} a request on the wire that may carry
  * several attempts, {@link RateLimiter} the rate limit of a destination, or of one endpoint where these are
  * separate routes, {@link TrackedEndpoint} an endpoint with its health, and {@link IdleConnectionReuse} the
  * reuse policy for idle connections. Times are in milliseconds, rates in calls per millisecond.
@@ -52,7 +52,7 @@
 
     // Timeouts: a multiple of the target latency, or the mean latency plus deviations if that is longer.
     private static final double TIMEOUT_TARGET_FACTOR = 1.25;
-    private static final double TIMEOUT_DEVIATIONS = 8;
+    private static final double TIMEOUT_DEVIATION_FACTOR = 8;
     /** Minimum timeout of an unsafe message, as a share of its deadline: it can't be repeated after one. */
     private static final double UNSAFE_TIMEOUT_SHARE = 0.33;
     private static final double LATENCY_SAMPLE_WEIGHT = 0.15;
@@ -73,8 +73,8 @@
     private static final double RATE_GROWTH_PER_DELIVERY = 0.05;
     /** If answers report it, the rate is steered to keep this share left: gain per second, longest step. */
     private static final double TARGET_SHARE_LEFT = 0.5;
-    private static final double SHARE_LEFT_GAIN_PER_S = 0.6;
-    private static final double MAX_SHARE_LEFT_STEP_S = 3;
+    private static final double SHARE_LEFT_GAIN = 0.6;
+    private static final double MAX_SHARE_LEFT_GAIN_FACTOR = 3;
     /**
      * Longest interval between sends after a refusal, so that rare messages don't wait long, and its growth
      * with further ones. Not used at a known rate: for a hundred senders together it would be too short.
@@ -85,15 +85,15 @@
     /** Lowest allowed rate, as a share of the rate of messages that this sender accepts for a destination. */
     private static final double MIN_RATE_DEMAND_SHARE = 0.2;
     /** Lowest rate as a share of the sender's fair share of the listed rate, which may be 50% too high. */
-    private static final double LISTED_RATE_SHARE = 0.5;
+    private static final double MIN_LISTED_RATE_SHARE = 0.5;
     /**
      * Lowest rate as a share of the sender's fair share of the reported rate, divided further with each
      * refusal, as other senders may use more. Without it a rate cut by a burst stays low at few deliveries.
      */
-    private static final double REPORTED_RATE_SHARE = 0.9;
+    private static final double MIN_REPORTED_RATE_SHARE = 0.9;
     /** Weight of a new report in the average reported rate, and the factor by which it may differ. */
     private static final double REPORTED_RATE_WEIGHT = 0.2;
-    private static final double REPORTED_RATE_MAX_STEP = 2;
+    private static final double REPORTED_RATE_MAX_RATIO = 2;
     /** After this time without a send a destination's rate limit is dropped. */
     private static final double RATE_RESET_IDLE_MS = 60_000;
 
@@ -109,14 +109,14 @@
     private static final double DOWN_SCORE = 0.6;
     /** Number of overdue calls, without any answer since they were sent, that mark an endpoint as down. */
     private static final int DOWN_OVERDUE_CALLS = 2;
-    private static final double OVERDUE_DEVIATIONS = 4;
+    private static final double OVERDUE_DEVIATION_FACTOR = 4;
     /** This many failures or refusals in a row, over at least this time, mark an endpoint as down. */
     private static final int DOWN_FAILURES = 3;
     private static final double MIN_OUTAGE_MS = 2500;
     /** Shortest interval between probes of a down endpoint; times the number of senders, also the longest. */
     private static final double MIN_PROBE_INTERVAL_MS = 500;
     /** Upper bound of the interval between probes, in ramp-up times of the slow start. */
-    private static final double MAX_PROBE_INTERVAL_RAMPS = 4;
+    private static final double MAX_PROBE_INTERVAL_RAMP_UPS = 4;
     /** Share of the load permitted to a recovering endpoint that slow start uses; the rest is for bursts. */
     private static final double SLOW_START_LOAD_SHARE = 0.7;
     /** Averaging of the rates of sends and deliveries, and of the demand. */
@@ -131,7 +131,7 @@
     private static final double MIN_IDLE_MS = 100;
     /** After a loss: share of its idle time up to which connections are reused, and how long that holds. */
     private static final double REUSE_IDLE_SHARE = 0.25;
-    private static final double IDLE_LOSS_MEMORY_MS = 30_000;
+    private static final double IDLE_LOSS_RETENTION_MS = 30_000;
 
     // Priorities.
     /** Priority is the value lost by waiting this much longer, about the delay of a queue under load. */
@@ -139,17 +139,17 @@
     /** Weight of the value itself in the priority, to break ties of messages that lose no value yet. */
     private static final double PRIORITY_VALUE_WEIGHT = 0.01;
     /** Latency that costs as much as a zone fee of one point, by the value that a message loses in it. */
-    private static final double MS_PER_FEE_POINT = 25_000;
-    private static final Comparator<Delivery> OLDEST_FIRST =
-            Comparator.comparingDouble((Delivery d) -> d.targetAt).thenComparingLong(d -> d.queuePosition);
-    private static final Comparator<Delivery> NEWEST_FIRST =
-            Comparator.comparingDouble((Delivery d) -> -d.targetAt).thenComparingLong(d -> d.queuePosition);
-    private static final Comparator<Delivery> HIGHEST_PRIORITY_FIRST =
-            Comparator.comparingDouble((Delivery d) -> -d.priority()).thenComparing(OLDEST_FIRST);
-    /** Segments of the priority curve, see {@link Delivery#currentSegment}: sums of the bits that follow. */
+    private static final double LATENCY_MS_PER_FEE_POINT = 25_000;
+    private static final Comparator<TrackedMessage> OLDEST_FIRST = Comparator
+            .comparingDouble((TrackedMessage d) -> d.targetAt).thenComparingLong(d -> d.queuePosition);
+    private static final Comparator<TrackedMessage> NEWEST_FIRST = Comparator
+            .comparingDouble((TrackedMessage d) -> -d.targetAt).thenComparingLong(d -> d.queuePosition);
+    private static final Comparator<TrackedMessage> HIGHEST_PRIORITY_FIRST =
+            Comparator.comparingDouble((TrackedMessage d) -> -d.priority()).thenComparing(OLDEST_FIRST);
+    /** Segments of the priority curve, see {@link TrackedMessage#currentSegment}: sums of these bits. */
     private static final int SEGMENTS = 8;
     private static final int TARGET_PASSED = 1;
-    private static final int JUMP_PASSED = 2;
+    private static final int DEADLINE_IN_HORIZON = 2;
     private static final int MIN_VALUE_REACHED = 4;
     /** Eligibility of a group: it may be sent in a new call, or even join a call that this turn started. */
     private static final int ELIGIBLE = 1;
@@ -171,17 +171,17 @@
     private final Map<Long, Destination> destinations = new HashMap<>();
     /** Learned state of a previous process, by endpoint, to be restored when a list names the endpoint. */
     private final Map<Long, Consumer<TrackedEndpoint>> pendingRestores = new LinkedHashMap<>();
-    private final Map<Long, Delivery> deliveries = new HashMap<>();
+    private final Map<Long, TrackedMessage> messages = new HashMap<>();
     /** Messages that may be sent once an endpoint is ready, by class and segment; refused messages last. */
-    final GroupedQueues<Delivery> waiting;
+    final GroupedQueues<TrackedMessage> waiting;
     private final EventRate.Total totalDemand = new EventRate.Total();
     private final Set<Attempt> inFlightAttempts = new LinkedHashSet<>();
     private final TimestampQueue firstSends = new TimestampQueue();
     private final SendBudget hedgeBudget = new SendBudget(HEDGES_ALWAYS_ALLOWED, HEDGES_PER_FIRST_SEND);
-    private final SendBudget retryBudget = new SendBudget(RETRIES_ALWAYS_ALLOWED, RETRIES_PER_FIRST_SEND);
+    private final SendBudget refusedBudget = new SendBudget(RETRIES_ALWAYS_ALLOWED, RETRIES_PER_FIRST_SEND);
     private final IdleConnectionReuse connectionReuse = new IdleConnectionReuse();
     /** Ordered messages by key: one at a time, with a cool-down after an attempt that may still run. */
-    final KeyQueues<Delivery> keyQueues;
+    final KeyQueues<TrackedMessage> keyQueues;
     private final Timers timers;
     private int slotsUsed;
     private long turn;
@@ -194,14 +194,14 @@
         this.actions = actions;
         this.random = new Random(seed);
         this.timers = new Timers(CLOCK_MARGIN_MS, actions::wakeAt);
-        this.keyQueues = new KeyQueues<>(timers, this::requeue);
+        this.keyQueues = new KeyQueues<>(timers, this::updateGroup);
         int queueCount = 2 * settings.classes().size() * SEGMENTS;
         this.waiting = new GroupedQueues<>(
                 IntStream.range(0, queueCount).mapToObj(DeliveryScheduler::queueOrder).toList(), JOINABLE,
-                Delivery::segmentEnd);
+                TrackedMessage::segmentEnd);
     }
 
-    private static Comparator<Delivery> queueOrder(int queue) {
+    private static Comparator<TrackedMessage> queueOrder(int queue) {
         return (queue & (TARGET_PASSED | MIN_VALUE_REACHED)) == TARGET_PASSED ? NEWEST_FIRST : OLDEST_FIRST;
     }
 
@@ -216,7 +216,7 @@
         for (Endpoint entry : entries) {
             TrackedEndpoint endpoint = endpoints.computeIfAbsent(entry.id(), k -> new TrackedEndpoint(entry));
             Optional.ofNullable(pendingRestores.remove(entry.id())).ifPresent(r -> r.accept(endpoint));
-            endpoint.limiter.listedRate = settings.ratesListed() ? entry.listedRate() / 1000 : 0;
+            endpoint.limiter.listedRate = settings.ratesListed() ? entry.listedRatePerSecond() / 1000 : 0;
             if (entry.removed()) {
                 endpoint.markRemoved();
             } else {
@@ -243,7 +243,7 @@
     @Override
     public void messageRestored(double nowMs, Message message, List<EarlierAttempt> attempts) {
         advanceClock(nowMs);
-        Delivery d = accept(message);
+        TrackedMessage d = accept(message);
         d.destination.endpoints.forEach(e -> e.limiter.messageRestored());
         d.destination.markChanged();
         for (EarlierAttempt earlier : attempts) {
@@ -259,9 +259,9 @@
             d.keyQueue.ifPresent(queue -> queue.coolDown(clock + settings.keyCoolDownMs()));
         }
         if (!attempts.isEmpty() && d.inFlight == 0) {
-            finishWithoutFurtherAttempt(d);
+            finishIfNoFurtherAttempt(d);
         }
-        requeue(d);
+        updateGroup(d);
     }
 
     @Override
@@ -275,7 +275,7 @@
         advanceClock(nowMs);
         state.firstSendsAgo().forEach(ago -> firstSends.add(clock - ago));
         state.copiesAgo().forEach(ago -> hedgeBudget.recordSend(clock - ago));
-        state.retriesAgo().forEach(ago -> retryBudget.recordSend(clock - ago));
+        state.retriesAgo().forEach(ago -> refusedBudget.recordSend(clock - ago));
         state.endpoints().forEach(learned -> restoreWhenListed(learned.endpoint(), e -> e.restore(learned)));
     }
 
@@ -294,7 +294,7 @@
         advanceClock(nowMs);
         return new LearnedState(endpoints.values().stream().map(TrackedEndpoint::learnedState).toList(),
                 firstSends.ages(clock), hedgeBudget.extraSends.ages(clock),
-                retryBudget.extraSends.ages(clock));
+                refusedBudget.extraSends.ages(clock));
     }
 
     @Override
@@ -310,25 +310,25 @@
         return new EndpointCounts(listed.size(), (int) (listed.size() - available));
     }
 
-    private Delivery accept(Message message) {
+    private TrackedMessage accept(Message message) {
         if (message.messageClass() < 0 || message.messageClass() >= settings.classes().size()) {
             throw new IllegalArgumentException("unknown message class " + message.messageClass());
         }
-        if (deliveries.containsKey(message.id())) {
+        if (messages.containsKey(message.id())) {
             throw new IllegalArgumentException("message " + message.id() + " was already accepted");
         }
-        Delivery d = new Delivery(message);
-        deliveries.put(message.id(), d);
+        TrackedMessage d = new TrackedMessage(message);
+        messages.put(message.id(), d);
         d.keyQueue.ifPresent(queue -> queue.add(d));
-        timers.set(d, d.deadline - RESULT_MARGIN_MS);
-        requeue(d);
+        timers.set(d, d.deadlineAt - RESULT_MARGIN_MS);
+        updateGroup(d);
         return d;
     }
 
     @Override
     public void attemptCompleted(double nowMs, AttemptResult result) {
         advanceClock(nowMs);
-        Delivery d = deliveries.get(result.message());
+        TrackedMessage d = messages.get(result.message());
         if (d == null || result.attempt() < 0 || result.attempt() >= d.attempts.size()) {
             throw new IllegalArgumentException("unknown attempt " + result.attempt() + " of message "
                     + result.message());
@@ -341,7 +341,7 @@
         inFlightAttempts.remove(attempt);
         timers.remove(attempt);
         attempt.mayHaveRun = result.outcome().mayHaveRun();
-        d.refused = result.outcome() == Outcome.FULL;
+        d.wasRefused = result.outcome() == Outcome.FULL;
         attempt.call.ifPresent(call -> call.attemptCompleted(result));
         if (attempt.mayHaveRun && result.outcome() != Outcome.ERROR) {
             d.keyQueue.ifPresent(queue -> queue.coolDown(clock + settings.keyCoolDownMs()));
@@ -374,7 +374,7 @@
     @Override
     public void messageCancelled(double nowMs, long message) {
         advanceClock(nowMs);
-        Optional.ofNullable(deliveries.get(message)).ifPresent(this::complete);
+        Optional.ofNullable(messages.get(message)).ifPresent(this::complete);
     }
 
     @Override
@@ -394,7 +394,7 @@
     /** Lowest rate of probes by one sender: all senders together still notice a recovery in time. */
     private double minProbeRate() {
         return 1 / Math.min(MIN_PROBE_INTERVAL_MS * settings.senderCount(),
-                MAX_PROBE_INTERVAL_RAMPS * settings.slowStart().rampUpMs());
+                MAX_PROBE_INTERVAL_RAMP_UPS * settings.slowStart().rampUpMs());
     }
 
     private Destination destination(long id) {
@@ -416,26 +416,26 @@
      * would not end before the shutdown.
      */
     private void dispatch() {
-        waiting.requeueExpired(clock, this::requeue);
+        waiting.requeueExpired(clock, this::updateGroup);
         waiting.updateEligibility(clock);
-        List<Group<Delivery>> setAside = new ArrayList<>();
-        for (Group<Delivery> group = nextGroup(); group != null; group = nextGroup()) {
-            Delivery d = group.first();
+        List<Group<TrackedMessage>> setAside = new ArrayList<>();
+        for (Group<TrackedMessage> group = nextGroup(); group != null; group = nextGroup()) {
+            TrackedMessage d = group.first();
             Optional<TrackedEndpoint> endpoint = chooseEndpoint(d, false);
             if (endpoint.isPresent()) {
                 send(d, endpoint.get(), false);
                 waiting.updateEligibility(clock);
-            } else if (!mayRepeat(d)) {
-                requeue(d);
+            } else if (!safeToSend(d)) {
+                updateGroup(d);
             } else {
                 group.setLevel(0);
                 setAside.add(group);
             }
         }
-        boolean slotsScarce = settings.cancellation() && slotsUsed >= settings.slots() - 1;
+        boolean slotsScarce = settings.cancellation() && slotsUsed >= settings.slotCount() - 1;
         if (slotsScarce && (setAside.stream().anyMatch(this::lacksOnlySlot)
                 || waiting.groups(servedQueues(), ELIGIBLE).anyMatch(this::lacksOnlySlot))) {
-            cancelSlowestCall();
+            cancelSlowestAttempt();
         }
         setAside.forEach(group -> group.owner.markChanged());
         // The calls of this turn can't be joined in the next turn.
@@ -443,26 +443,26 @@
     }
 
     /** The next group to serve, or null. Without a free slot messages can only join calls of this turn. */
-    private Group<Delivery> nextGroup() {
-        return waiting.first(servedQueues(), slotsUsed < settings.slots() ? ELIGIBLE : JOINABLE,
+    private Group<TrackedMessage> nextGroup() {
+        return waiting.first(servedQueues(), slotsUsed < settings.slotCount() ? ELIGIBLE : JOINABLE,
                 HIGHEST_PRIORITY_FIRST);
     }
 
     /** The number of queues to serve: those of refused messages, which are last, only within the budget. */
     private int servedQueues() {
-        return settings.classes().size() * SEGMENTS * (retryBudget.allowsSend() ? 2 : 1);
+        return settings.classes().size() * SEGMENTS * (refusedBudget.allowsSend() ? 2 : 1);
     }
 
     /** Whether only the lack of a free slot keeps messages of this group from being sent. */
-    private boolean lacksOnlySlot(Group<Delivery> group) {
-        return group.stream().filter(this::mayRepeat).limit(1).anyMatch(d -> d.destination.endpoints.stream()
+    private boolean lacksOnlySlot(Group<TrackedMessage> group) {
+        return group.stream().filter(this::safeToSend).limit(1).anyMatch(d -> d.destination.endpoints.stream()
                 .anyMatch(e -> e.isReady() && !e.slotAvailable() && sendConditionsMet(d, e)));
     }
 
     /** Puts a message into the group in which it has to wait now, or into none if it may not be sent. */
-    private void requeue(Delivery d) {
-        if (!d.completed && d.inFlight == 0 && d.notBefore <= clock && keyOrderAllows(d) && mayRepeat(d)) {
-            int classIndex = d.message.messageClass() + (d.refused ? settings.classes().size() : 0);
+    private void updateGroup(TrackedMessage d) {
+        if (!d.completed && d.inFlight == 0 && d.notBefore <= clock && keyOrderAllows(d) && safeToSend(d)) {
+            int classIndex = d.message.messageClass() + (d.wasRefused ? settings.classes().size() : 0);
             d.segment = d.currentSegment();
             waiting.put(d, d.destination, classIndex * SEGMENTS + d.segment, d.allowedZone());
         } else {
@@ -470,7 +470,7 @@
         }
     }
 
-    private boolean keyOrderAllows(Delivery d) {
+    private boolean keyOrderAllows(TrackedMessage d) {
         return d.keyQueue.map(q -> q.first() == d && q.inFlight() == d.inFlight && q.coolDownUntil() <= clock)
                 .orElse(true);
     }
@@ -481,63 +481,63 @@
      * cancellation raises the limit for the next one there, as the endpoint may only be slow. The call counts
      * as overdue then, so that a silent endpoint is marked as down and does not take the slots again.
      */
-    private void cancelSlowestCall() {
+    private void cancelSlowestAttempt() {
         inFlightAttempts.stream()
-                .filter(a -> !a.cancelledForSlot && a.delivery.messageClass.effect() != Effect.UNSAFE)
-                .filter(a -> a.overdueRatio() > 1)
-                .max(Comparator.comparingDouble(Attempt::overdueRatio)).ifPresent(slowest -> {
+                .filter(a -> !a.cancelledForSlot && a.tracked.messageClass.repeat() != Repeat.UNSAFE)
+                .filter(a -> a.cancelLimitRatio() > 1)
+                .max(Comparator.comparingDouble(Attempt::cancelLimitRatio)).ifPresent(slowest -> {
                     slowest.cancelledForSlot = true;
-                    slowest.endpoint.get().cancelledForSlots++;
+                    slowest.endpoint.get().slotCancellations++;
                     slowest.call.ifPresent(Call::fire);
-                    actions.cancel(slowest.delivery.message.id(), slowest.delivery.attempts.indexOf(slowest));
+                    actions.cancel(slowest.tracked.message.id(), slowest.tracked.attempts.indexOf(slowest));
                 });
     }
 
     /** The cheapest endpoint that may be sent to; a hedged attempt goes to another endpoint if it can. */
-    private Optional<TrackedEndpoint> chooseEndpoint(Delivery d, boolean hedged) {
+    private Optional<TrackedEndpoint> chooseEndpoint(TrackedMessage d, boolean hedged) {
         List<TrackedEndpoint> candidates = d.destination.endpoints;
-        boolean elsewhere = hedged && candidates.stream().anyMatch(e -> e.serving && !d.isInFlightAt(e));
+        boolean otherServing = hedged && candidates.stream().anyMatch(e -> e.serving && !d.isInFlightAt(e));
         return candidates.stream()
-                .filter(e -> !(elsewhere && d.isInFlightAt(e) || hedged && e.state == EndpointState.DOWN)
+                .filter(e -> !(otherServing && d.isInFlightAt(e) || hedged && e.state == EndpointState.DOWN)
                 && canSend(d, e))
                 .min(Comparator.comparingDouble(e -> e.cost(d)));
     }
 
     /** The condition of every send: of first sends, hedged attempts and new rounds. */
-    private boolean canSend(Delivery d, TrackedEndpoint endpoint) {
+    private boolean canSend(TrackedMessage d, TrackedEndpoint endpoint) {
         return sendConditionsMet(d, endpoint) && (endpoint.canJoinCall()
                 || endpoint.slotAvailable() && endpoint.isReady());
     }
 
     /** The conditions that hold for a send whether it needs a slot of its own or joins a call. */
-    private boolean sendConditionsMet(Delivery d, TrackedEndpoint endpoint) {
+    private boolean sendConditionsMet(TrackedMessage d, TrackedEndpoint endpoint) {
         waiting.countOperation();
         return !d.completed && endpoint.serving
-                && clock < d.deadline - RESULT_MARGIN_MS
+                && clock < d.deadlineAt - RESULT_MARGIN_MS
                 && d.attempts.size() < settings.maxAttempts()
-                && mayRepeat(d, endpoint)
+                && safeToSend(d, endpoint)
                 && keyOrderAllows(d)
-                && (!d.refused || d.inFlight > 0 || retryBudget.allowsSend())
+                && (!d.wasRefused || d.inFlight > 0 || refusedBudget.allowsSend())
                 && endpoint.limiter.retryAfterUntil <= clock
-                && clock + endpoint.expectedDuration(d.messageClass) <= shutdownAt;
+                && clock + endpoint.requiredTimeLeft(d.messageClass) <= shutdownAt;
     }
 
     /** Whether one more attempt at this endpoint can't make the message take effect twice. */
-    private boolean mayRepeat(Delivery d, TrackedEndpoint endpoint) {
+    private boolean safeToSend(TrackedMessage d, TrackedEndpoint endpoint) {
         long zone = d.allowedZone();
-        return mayRepeat(d) && (zone == ANY_ZONE || zone == endpoint.entry.zone());
+        return safeToSend(d) && (zone == ANY_ZONE || zone == endpoint.entry.zone());
     }
 
     /** The same without regard to the endpoint: checks only the effect and the deduplication window. */
-    private boolean mayRepeat(Delivery d) {
-        double windowMs = d.messageClass.effect() == Effect.SAFE ? Double.POSITIVE_INFINITY
+    private boolean safeToSend(TrackedMessage d) {
+        double windowMs = d.messageClass.repeat() == Repeat.SAFE ? Double.POSITIVE_INFINITY
                 : d.messageClass.dedupWindowMs();
         return d.attempts.stream().filter(Attempt::mayTakeEffect)
-                .allMatch(a -> (!a.inFlight || settings.hedging()) && d.messageClass.effect() != Effect.UNSAFE
+                .allMatch(a -> (!a.inFlight || settings.hedging()) && d.messageClass.repeat() != Repeat.UNSAFE
                 && clock <= a.sentAt + windowMs - DEDUP_WINDOW_MARGIN_MS);
     }
 
-    private void send(Delivery d, TrackedEndpoint endpoint, boolean hedged) {
+    private void send(TrackedMessage d, TrackedEndpoint endpoint, boolean hedged) {
         Call call = endpoint.joinOrStartCall();
         Attempt attempt = new Attempt(d, Optional.of(endpoint), clock);
         if (hedged) {
@@ -545,22 +545,22 @@
         } else if (d.attempts.size() == 1) {
             firstSends.add(clock);
             firstSends.removeBefore(clock - BUDGET_PERIOD_MS);
-        } else if (d.refused) {
-            retryBudget.recordSend(clock);
+        } else if (d.wasRefused) {
+            refusedBudget.recordSend(clock);
         }
-        double timeout = Math.min(endpoint.timeout(d.messageClass), d.deadline - clock);
+        double timeout = Math.min(endpoint.timeout(d.messageClass), d.deadlineAt - clock);
         actions.send(d.message.id(), endpoint.entry.id(), timeout);
         attemptStarted(attempt, Optional.of(call), hedged);
     }
 
     /** Records an attempt as in flight, and sets the timers of its hedged attempt and its overdue call. */
     private void attemptStarted(Attempt attempt, Optional<Call> call, boolean hedged) {
-        Delivery d = attempt.delivery;
+        TrackedMessage d = attempt.tracked;
         attempt.call = call;
         attempt.inFlight = true;
         inFlightAttempts.add(attempt);
         d.inFlight++;
-        requeue(d);
+        updateGroup(d);
         d.keyQueue.ifPresent(queue -> queue.addInFlight(1));
         double hedgeDelay = d.messageClass.targetLatencyMs() * HEDGE_DELAY_SHARE;
         if (!hedged && clock <= attempt.sentAt + hedgeDelay) {
@@ -570,43 +570,43 @@
     }
 
     /** All attempts have ended without a delivery: waits for a new round, or finishes if none is allowed. */
-    private void scheduleNextRound(Delivery d) {
-        finishWithoutFurtherAttempt(d);
+    private void scheduleNextRound(TrackedMessage d) {
+        finishIfNoFurtherAttempt(d);
         if (d.completed) {
             return;
         }
         double backoff = BACKOFF_MS * Math.pow(BACKOFF_FACTOR, d.rounds) * (0.75 + 0.5 * random.nextDouble());
-        d.notBefore = clock + Math.min(backoff, (d.deadline - clock) / 2);
+        d.notBefore = clock + Math.min(backoff, (d.deadlineAt - clock) / 2);
         d.rounds++;
         d.queuePosition = nextQueuePosition++;
-        d.backoffTimer = timers.add(d.notBefore, () -> requeue(d));
+        d.backoffTimer = timers.add(d.notBefore, () -> updateGroup(d));
     }
 
     /** Finishes a message once no further attempt is possible: a result at its deadline would be useless. */
-    private void finishWithoutFurtherAttempt(Delivery d) {
+    private void finishIfNoFurtherAttempt(TrackedMessage d) {
         if (!furtherAttemptPossible(d)) {
             finishUndelivered(d);
-        } else if (d.messageClass.effect() == Effect.KEYED && d.windowTimer == null) {
+        } else if (d.messageClass.repeat() == Repeat.KEYED && d.dedupTimer == null) {
             d.attempts.stream().filter(a -> a.mayHaveRun).mapToDouble(a -> a.sentAt).min().ifPresent(first ->
-                    d.windowTimer = timers.add(
+                    d.dedupTimer = timers.add(
                             first + d.messageClass.dedupWindowMs() - DEDUP_WINDOW_MARGIN_MS + CLOCK_MARGIN_MS,
-                            () -> finishWithoutFurtherAttempt(d)));
+                            () -> finishIfNoFurtherAttempt(d)));
         }
     }
 
     /** Whether a further attempt may become possible, at a listed endpoint or, if none is, at a new one. */
-    private boolean furtherAttemptPossible(Delivery d) {
-        return d.attempts.size() < settings.maxAttempts() && clock < d.deadline - RESULT_MARGIN_MS
-                && (d.destination.endpoints.isEmpty() ? mayRepeat(d)
-                        : d.destination.endpoints.stream().anyMatch(e -> mayRepeat(d, e)));
+    private boolean furtherAttemptPossible(TrackedMessage d) {
+        return d.attempts.size() < settings.maxAttempts() && clock < d.deadlineAt - RESULT_MARGIN_MS
+                && (d.destination.endpoints.isEmpty() ? safeToSend(d)
+                        : d.destination.endpoints.stream().anyMatch(e -> safeToSend(d, e)));
     }
 
     /** Gives an undelivered message its final result: rejected if repeating it is harmless, else failed. */
-    private void finishUndelivered(Delivery d) {
+    private void finishUndelivered(TrackedMessage d) {
         if (d.completed || d.inFlight > 0) {
             return;
         }
-        boolean repeatable = d.messageClass.effect() != Effect.UNSAFE && !d.isDedupWithinZone();
+        boolean repeatable = d.messageClass.repeat() != Repeat.UNSAFE && !d.isDedupWithinZone();
         if (repeatable || d.attempts.stream().noneMatch(Attempt::mayTakeEffect)) {
             actions.reject(d.message.id(), Math.max(0, d.destination.nextReadyAt() - clock));
         } else {
@@ -616,13 +616,13 @@
     }
 
     /** Marks a message as completed and cancels its redundant attempts. */
-    private void complete(Delivery d) {
+    private void complete(TrackedMessage d) {
         if (d.completed) {
             return;
         }
         d.completed = true;
         waiting.remove(d);
-        timers.removeAll(d, d.windowTimer, d.backoffTimer);
+        timers.removeAll(d, d.dedupTimer, d.backoffTimer);
         d.keyQueue.ifPresent(queue -> queue.remove(d));
         for (int i = 0; i < d.attempts.size(); i++) {
             if (d.attempts.get(i).inFlight && settings.cancellation()) {
@@ -632,40 +632,40 @@
         removeUnlessInFlight(d);
     }
 
-    private void removeUnlessInFlight(Delivery d) {
+    private void removeUnlessInFlight(TrackedMessage d) {
         if (d.inFlight == 0) {
-            deliveries.remove(d.message.id());
+            messages.remove(d.message.id());
         }
     }
 
     // ---- nested types ----
 
-    private final class Delivery extends GroupedQueues.Element<Delivery> {
+    private final class TrackedMessage extends GroupedQueues.Element<TrackedMessage> {
         final Message message;
         final MessageClass messageClass;
         final Destination destination;
         final double targetAt;
-        final double deadline;
+        final double deadlineAt;
         List<Attempt> attempts = List.of();
         double notBefore = Double.NEGATIVE_INFINITY;
         /** Position in the order in which messages began to wait, or to wait again. */
         long queuePosition = nextQueuePosition++;
-        final Optional<KeyQueues<Delivery>.KeyQueue> keyQueue;
+        final Optional<KeyQueues<TrackedMessage>.KeyQueue> keyQueue;
         /** Timers for the end of the deduplication window and of the backoff; null until set. */
-        Timer windowTimer;
+        Timer dedupTimer;
         Timer backoffTimer;
         int segment;
         int rounds;
-        boolean refused;
+        boolean wasRefused;
         int inFlight;
         boolean completed;
 
-        Delivery(Message message) {
+        TrackedMessage(Message message) {
             this.message = message;
             this.messageClass = settings.classes().get(message.messageClass());
             this.destination = destination(message.destination());
-            this.deadline = clock + message.timeLeftMs();
-            this.targetAt = deadline - messageClass.deadlineMs() + messageClass.targetLatencyMs();
+            this.deadlineAt = clock + message.timeLeftMs();
+            this.targetAt = deadlineAt - messageClass.deadlineMs() + messageClass.targetLatencyMs();
             this.keyQueue = message.key().filter(key -> messageClass.ordered()).map(keyQueues::queue);
         }
 
@@ -675,7 +675,7 @@
         }
 
         boolean isDedupWithinZone() {
-            return messageClass.effect() == Effect.KEYED && messageClass.dedupWithinZone();
+            return messageClass.repeat() == Repeat.KEYED && messageClass.dedupWithinZone();
         }
 
         /** The zone of its earlier attempts if only that zone drops repeats of them. */
@@ -692,13 +692,13 @@
         }
 
         double valueAt(double timeMs) {
-            if (timeMs > deadline) {
+            if (timeMs > deadlineAt) {
                 return 0;
             }
             double late = Math.max(0, timeMs - targetAt);
-            double share = settings.valueDecay() == Decay.HALVING
-                    ? Math.max(messageClass.lateValue(), Math.pow(0.5, late / messageClass.targetLatencyMs()))
-                    : 1 - (1 - messageClass.lateValue()) * late / Math.max(1,
+            double share = settings.valueDecay() == Decay.HALVING ? Math.max(messageClass.minValueShare(),
+                    Math.pow(0.5, late / messageClass.targetLatencyMs()))
+                    : 1 - (1 - messageClass.minValueShare()) * late / Math.max(1,
                     messageClass.deadlineMs() - messageClass.targetLatencyMs());
             return messageClass.value() * share;
         }
@@ -715,29 +715,29 @@
          */
         int currentSegment() {
             return (clock > targetAt ? TARGET_PASSED : 0)
-                    + (clock > deadline - PRIORITY_HORIZON_MS ? JUMP_PASSED : 0)
+                    + (clock > deadlineAt - PRIORITY_HORIZON_MS ? DEADLINE_IN_HORIZON : 0)
                     + (clock > minValueAt() ? MIN_VALUE_REACHED : 0);
         }
 
         double segmentEnd() {
-            double jumpAt = (segment & JUMP_PASSED) > 0 ? Double.POSITIVE_INFINITY
-                    : deadline - PRIORITY_HORIZON_MS;
+            double horizonAt = (segment & DEADLINE_IN_HORIZON) > 0 ? Double.POSITIVE_INFINITY
+                    : deadlineAt - PRIORITY_HORIZON_MS;
             double minAt = (segment & MIN_VALUE_REACHED) > 0 ? Double.POSITIVE_INFINITY : minValueAt();
-            return (segment & TARGET_PASSED) > 0 ? Math.min(jumpAt, minAt) : Math.min(jumpAt, targetAt);
+            return (segment & TARGET_PASSED) > 0 ? Math.min(horizonAt, minAt) : Math.min(horizonAt, targetAt);
         }
 
         private double minValueAt() {
-            if (messageClass.value() <= 0 || messageClass.lateValue() >= 1) {
+            if (messageClass.value() <= 0 || messageClass.minValueShare() >= 1) {
                 return targetAt;
             }
             return settings.valueDecay() == Decay.LINEAR ? Double.POSITIVE_INFINITY : targetAt
-                    - messageClass.targetLatencyMs() * Math.log(messageClass.lateValue()) / Math.log(2);
+                    - messageClass.targetLatencyMs() * Math.log(messageClass.minValueShare()) / Math.log(2);
         }
     }
 
     /** An attempt. One of a previous process has no call unless in flight, and no endpoint unless listed. */
     private final class Attempt extends Timer {
-        final Delivery delivery;
+        final TrackedMessage tracked;
         final Optional<TrackedEndpoint> endpoint;
         final double sentAt;
         Optional<Call> call = Optional.empty();
@@ -745,22 +745,22 @@
         boolean mayHaveRun;
         boolean cancelledForSlot;
 
-        Attempt(Delivery delivery, Optional<TrackedEndpoint> endpoint, double sentAt) {
-            this.delivery = delivery;
+        Attempt(TrackedMessage tracked, Optional<TrackedEndpoint> endpoint, double sentAt) {
+            this.tracked = tracked;
             this.endpoint = endpoint;
             this.sentAt = sentAt;
-            if (delivery.attempts.isEmpty()) {
-                delivery.attempts = new ArrayList<>(2);
+            if (tracked.attempts.isEmpty()) {
+                tracked.attempts = new ArrayList<>(2);
             }
-            delivery.attempts.add(this);
+            tracked.attempts.add(this);
         }
 
         /** The hedging delay has passed: a hedged attempt may join the round. */
         @Override
         void fire() {
-            boolean hedge = inFlight && delivery.messageClass.effect() != Effect.UNSAFE && settings.hedging();
-            if (hedge && !delivery.completed && slotsUsed < settings.slots() && hedgeBudget.allowsSend()) {
-                chooseEndpoint(delivery, true).ifPresent(endpoint -> send(delivery, endpoint, true));
+            boolean hedge = inFlight && tracked.messageClass.repeat() != Repeat.UNSAFE && settings.hedging();
+            if (hedge && !tracked.completed && slotsUsed < settings.slotCount() && hedgeBudget.allowsSend()) {
+                chooseEndpoint(tracked, true).ifPresent(endpoint -> send(tracked, endpoint, true));
             }
         }
 
@@ -769,9 +769,9 @@
         }
 
         /** Its time in flight, relative to a limit that grows with each cancellation at its endpoint. */
-        double overdueRatio() {
+        double cancelLimitRatio() {
             return endpoint.map(e -> (clock - sentAt) / (Math.max(e.overdueAfter(), MIN_CANCEL_AGE_MS)
-                    * (1 + e.cancelledForSlots))).orElse(0.0);
+                    * (1 + e.slotCancellations))).orElse(0.0);
         }
     }
 
@@ -783,7 +783,7 @@
         /** Its id in the previous process, if that one sent it. */
         final OptionalLong previousId;
         final double connIdleMs;
-        int attempts;
+        int attemptCount;
         int attemptsInFlight;
         boolean resultRecorded;
         boolean overdue;
@@ -792,7 +792,7 @@
             this.endpoint = endpoint;
             this.sentAt = sentAt;
             this.previousId = previousId;
-            this.connIdleMs = connectionReuse.takeConnection(endpoint);
+            this.connIdleMs = connectionReuse.prepareConnection(endpoint);
             endpoint.lastUsedAt = clock;
             slotsUsed++;
             endpoint.calls.add(this);
@@ -837,7 +837,7 @@
     }
 
     /** A destination with its endpoints and, unless they are separate routes, their shared rate limiter. */
-    private final class Destination extends GroupedQueues.Owner<Delivery> {
+    private final class Destination extends GroupedQueues.Owner<TrackedMessage> {
         final List<TrackedEndpoint> endpoints = new ArrayList<>(2);
         final RateLimiter sharedLimiter = new RateLimiter(this);
         final EventRate demand = new EventRate(clock, RATE_AVERAGING, totalDemand);
@@ -850,14 +850,14 @@
         /** Sets the eligibility of each group, and returns the time at which the next endpoint is ready. */
         @Override
         double updateGroups() {
-            for (Group<Delivery> group : groups()) {
-                group.setLevel(endpoints.stream().filter(e -> e.allowsZone(group.tag))
+            for (Group<TrackedMessage> group : groups()) {
+                group.setLevel(endpoints.stream().filter(e -> e.readyForZone(group.tag))
                         .mapToInt(e -> e.canJoinCall() ? JOINABLE : ELIGIBLE).max().orElse(0));
             }
             return readyTimes().filter(at -> at > clock).min().orElse(Double.POSITIVE_INFINITY);
         }
 
-        long servingCount() {
+        long servingOrOne() {
             return Math.max(1, endpoints.stream().filter(e -> e.serving).count());
         }
 
@@ -907,8 +907,8 @@
         /** Many senders may restart at once: spreads the sends of their restored messages. */
         void messageRestored() {
             evidence.messageRestored();
-            if (allowedRate == Double.POSITIVE_INFINITY && fairShare(0) > 0) {
-                allowedRate = fairShare(0);
+            if (allowedRate == Double.POSITIVE_INFINITY && cautiousShare(0) > 0) {
+                allowedRate = cautiousShare(0);
                 nextSendAt = clock + random.nextDouble() / allowedRate;
             }
         }
@@ -925,8 +925,8 @@
             if (perSecond > 0 && perSecond < Double.POSITIVE_INFINITY) {
                 double perMs = perSecond / 1000;
                 reportedRate = reportedRate == 0 ? perMs : reportedRate + REPORTED_RATE_WEIGHT
-                        * (Math.max(reportedRate / REPORTED_RATE_MAX_STEP,
-                        Math.min(perMs, reportedRate * REPORTED_RATE_MAX_STEP)) - reportedRate);
+                        * (Math.max(reportedRate / REPORTED_RATE_MAX_RATIO,
+                        Math.min(perMs, reportedRate * REPORTED_RATE_MAX_RATIO)) - reportedRate);
             }
         }
 
@@ -942,7 +942,7 @@
             boolean limited = allowedRate < Double.POSITIVE_INFINITY;
             double currentRate = limited ? allowedRate : lastSecondSends.size() / 1000.0;
             // Where each sender has little traffic, the count of one second is too small to give a rate.
-            currentRate = limited || fairShare(0) > 0
+            currentRate = limited || cautiousShare(0) > 0
                     ? Math.min(currentRate, MAX_RATE_OVER_SENT * sendRate.perMs()) : currentRate;
             allowedRate = Math.max(minRate(), currentRate * RATE_CUT_FACTOR);
             refusalLevel = Math.min(refusalLevel + 1, MAX_REFUSAL_LEVEL);
@@ -955,9 +955,9 @@
 
         void adjustRate(double shareLeft) {
             refusalLevel = Math.max(refusalLevel - 1, 0);
-            double seconds = Math.min(MAX_SHARE_LEFT_STEP_S, Math.max(1, 1 / (1000 * allowedRate)));
+            double gainFactor = Math.min(MAX_SHARE_LEFT_GAIN_FACTOR, Math.max(1, 1 / (1000 * allowedRate)));
             boolean reported = shareLeft >= 0 && shareLeft <= 1;
-            allowedRate *= 1 + (reported ? SHARE_LEFT_GAIN_PER_S * seconds * (shareLeft - TARGET_SHARE_LEFT)
+            allowedRate *= 1 + (reported ? SHARE_LEFT_GAIN * gainFactor * (shareLeft - TARGET_SHARE_LEFT)
                     : RATE_GROWTH_PER_DELIVERY);
             allowedRate = Math.max(minRate(), allowedRate);
         }
@@ -1008,24 +1008,24 @@
         }
 
         /** Allowed rate of calls to all its endpoints not in full service; the given one is next. */
-        double recoveryRate(TrackedEndpoint next) {
-            double endpointShare = this == destination.sharedLimiter ? 1 : 1.0 / destination.servingCount();
+        double totalRecoveryRate(TrackedEndpoint endpoint) {
+            double endpointShare = this == destination.sharedLimiter ? 1 : 1.0 / destination.servingOrOne();
             double assumed = destination.demand.perMs() * endpointShare * ASSUMED_DEMAND_SHARE;
             double sustainedRate = endpoints().stream().mapToDouble(e -> e.sustainedRate.perMs()).sum();
             return Math.max(minProbeRate(),
-                    next.slowStartRate(Math.max(sustainedRate, Math.max(assumed, fairShare(0)))));
+                    endpoint.slowStartRate(Math.max(sustainedRate, Math.max(assumed, cautiousShare(0)))));
         }
 
         /** This sender's fair share of the listed or reported rate, at this refusal level; 0 if unknown. */
-        double fairShare(int level) {
-            double reportedShare = REPORTED_RATE_SHARE * reportedRate / (1 + level);
-            return Math.max(LISTED_RATE_SHARE * listedRate, reportedShare) / settings.senderCount();
+        double cautiousShare(int level) {
+            double reportedShare = MIN_REPORTED_RATE_SHARE * reportedRate / (1 + level);
+            return Math.max(MIN_LISTED_RATE_SHARE * listedRate, reportedShare) / settings.senderCount();
         }
 
         private double minRate() {
-            double fairShare = fairShare(refusalLevel);
+            double cautiousShare = cautiousShare(refusalLevel);
             return Math.max(MIN_RATE_DEMAND_SHARE * destination.demand.perMs(),
-                    fairShare > 0 ? fairShare
+                    cautiousShare > 0 ? cautiousShare
                     : 1 / (MAX_SEND_INTERVAL_MS * Math.pow(SEND_INTERVAL_GROWTH, refusalLevel)));
         }
     }
@@ -1050,16 +1050,16 @@
         double latencyDeviation = INITIAL_LATENCY_MS / 2;
         double failureScore;
         int overdueCalls;
-        int cancelledForSlots;
+        int slotCancellations;
         int consecutiveFailures;
         double firstFailureAt;
         double lastDeliveryAt = Double.NEGATIVE_INFINITY;
         final EventRate sustainedRate = new EventRate(clock, RATE_AVERAGING);
         double slowStartAt;
         double downAt;
-        boolean downOnlyOverdue;
+        boolean downByOverdueCalls;
         /** It answered with errors or refusals while down; lost connections may be the network's fault. */
-        boolean failedWhileDown;
+        boolean errorOrRefusalWhileDown;
         double nextSendAt = Double.NEGATIVE_INFINITY;
         double lastUsedAt = Double.NEGATIVE_INFINITY;
         double removedAt = Double.POSITIVE_INFINITY;
@@ -1105,7 +1105,7 @@
         }
 
         /** Whether a message with this allowed zone may be sent there, apart from slots. */
-        boolean allowsZone(long zone) {
+        boolean readyForZone(long zone) {
             return serving && (zone == ANY_ZONE || zone == entry.zone())
                     && (canJoinCall() || limiter.retryAfterUntil <= clock && isReady());
         }
@@ -1115,17 +1115,17 @@
          * penalties for recent failures and the zone fee. A down endpoint whose probe is due is the cheapest,
          * as it would stay down for ever without probes, but the most expensive for unsafe messages.
          */
-        double cost(Delivery d) {
+        double cost(TrackedMessage d) {
             if (state == EndpointState.DOWN) {
-                return (d.messageClass.effect() == Effect.UNSAFE ? 1 : -1) * Double.POSITIVE_INFINITY;
+                return (d.messageClass.repeat() == Repeat.UNSAFE ? 1 : -1) * Double.POSITIVE_INFINITY;
             }
-            double freeShare = 1 - (double) slotsUsed / settings.slots();
+            double freeShare = 1 - (double) slotsUsed / settings.slotCount();
             return meanLatency * (1 + calls.size()) + consecutiveFailures * MIN_OUTAGE_MS
-                    + zoneFee * MS_PER_FEE_POINT * freeShare;
+                    + zoneFee * LATENCY_MS_PER_FEE_POINT * freeShare;
         }
 
         boolean canJoinCall() {
-            return latestCall != null && latestCall.sentTurn == turn && latestCall.attempts < maxBatchSize
+            return latestCall != null && latestCall.sentTurn == turn && latestCall.attemptCount < maxBatchSize
                     && state != EndpointState.DOWN;
         }
 
@@ -1137,9 +1137,9 @@
             }
             destination.markChanged();
             if (!isInFullService()) {
-                limiter.nextRecoverySendAt = clock + 1 / limiter.recoveryRate(this);
+                limiter.nextRecoverySendAt = clock + 1 / limiter.totalRecoveryRate(this);
             }
-            latestCall.attempts++;
+            latestCall.attemptCount++;
             latestCall.attemptsInFlight++;
             return latestCall;
         }
@@ -1159,11 +1159,11 @@
          * starve the busiest one. Drawback: if it goes silent, this lasts until its second call is overdue.
          */
         boolean slotAvailable() {
-            int freeSlots = settings.slots() - slotsUsed;
+            int freeSlots = settings.slotCount() - slotsUsed;
             boolean fast = meanLatency <= FAST_LATENCY_MS && lastDeliveryAt > Double.NEGATIVE_INFINITY
                     && calls.stream().skip(DOWN_OVERDUE_CALLS - 1).limit(1)
                     .allMatch(c -> clock - c.sentAt <= overdueAfter());
-            double slotShare = settings.slots() * destination.demand.shareOfTotal();
+            double slotShare = settings.slotCount() * destination.demand.shareOfTotal();
             boolean belowShare = destination.callsInFlight + 1 + SHARE_TOLERANCE < slotShare;
             return fast && freeSlots > (belowShare ? 0 : 1)
                     || freeSlots > 0 && destination.callsInFlight < Math.max(1, freeSlots - 1);
@@ -1184,34 +1184,34 @@
 
         /** The longest usual latency; a call that takes longer is overdue. */
         double overdueAfter() {
-            return meanLatency + OVERDUE_DEVIATIONS * latencyDeviation;
+            return meanLatency + OVERDUE_DEVIATION_FACTOR * latencyDeviation;
         }
 
         /**
          * The time that must be left before the shutdown to start a call. An unsafe message must not be cut
          * off: it needs the slowest likely latency, but not its timeout, longer than any shutdown takes.
          */
-        double expectedDuration(MessageClass messageClass) {
-            return messageClass.effect() == Effect.UNSAFE ? slowestLatency() : overdueAfter();
+        double requiredTimeLeft(MessageClass messageClass) {
+            return messageClass.repeat() == Repeat.UNSAFE ? slowestLatency() : overdueAfter();
         }
 
         private double slowestLatency() {
-            return meanLatency + TIMEOUT_DEVIATIONS * latencyDeviation;
+            return meanLatency + TIMEOUT_DEVIATION_FACTOR * latencyDeviation;
         }
 
         double timeout(MessageClass messageClass) {
             double usual = Math.max(messageClass.targetLatencyMs() * TIMEOUT_TARGET_FACTOR, slowestLatency());
-            double unsafeMin = messageClass.effect() == Effect.UNSAFE
+            double unsafeMin = messageClass.repeat() == Repeat.UNSAFE
                     ? messageClass.deadlineMs() * UNSAFE_TIMEOUT_SHARE : 0;
             return Math.max(usual, unsafeMin);
         }
 
         /** Allowed rate while down or in slow start, from the share of the load that it had before. */
         double recoveryRate() {
-            double assumed = destination.demand.perMs() / destination.servingCount() * ASSUMED_DEMAND_SHARE;
-            double fairShare = limiter.fairShare(0)
-                    / (limiter == destination.sharedLimiter ? destination.servingCount() : 1);
-            double rate = slowStartRate(Math.max(sustainedRate.perMs(), Math.max(assumed, fairShare)));
+            double assumed = destination.demand.perMs() / destination.servingOrOne() * ASSUMED_DEMAND_SHARE;
+            double cautiousShare = limiter.cautiousShare(0)
+                    / (limiter == destination.sharedLimiter ? destination.servingOrOne() : 1);
+            double rate = slowStartRate(Math.max(sustainedRate.perMs(), Math.max(assumed, cautiousShare)));
             if (rate == 0) {
                 // There was no demand yet, only restored messages: the rate of probes, until there is some.
                 return minProbeRate();
@@ -1240,7 +1240,7 @@
                 case UNREACHABLE -> onFailure(UNREACHABLE_WEIGHT, "refuses connections");
                 case ERROR -> {
                     onFailure(FAILURE_WEIGHT, "answers with errors");
-                    failedWhileDown |= state == EndpointState.DOWN;
+                    errorOrRefusalWhileDown |= state == EndpointState.DOWN;
                 }
                 default -> {
                     connectionReuse.connectionLost(call);
@@ -1254,13 +1254,13 @@
 
         private void onDelivered(Call call, AttemptResult result) {
             // With deliveries this close together, no outage was long enough to require a slow start.
-            boolean briefFailure = !failedWhileDown && clock - lastDeliveryAt < MIN_OUTAGE_MS;
+            boolean briefFailure = !errorOrRefusalWhileDown && clock - lastDeliveryAt < MIN_OUTAGE_MS;
             boolean mayEndOutage = limiter.evidence.isSuspected(clock);
             limiter.endpointDelivered(mayEndOutage);
             connectionReuse.connectionWorked(call);
             failureScore *= DELIVERY_FACTOR;
             overdueCalls = 0;
-            cancelledForSlots = 0;
+            slotCancellations = 0;
             consecutiveFailures = 0;
             lastDeliveryAt = clock;
             latencyDeviation += LATENCY_SAMPLE_WEIGHT
@@ -1271,7 +1271,7 @@
             } else if (state == EndpointState.DOWN && limiter.isRecovering()) {
                 meanLatency = result.durationMs();
                 startSlowStart();
-            } else if (state == EndpointState.DOWN && downOnlyOverdue && call.sentAt < downAt
+            } else if (state == EndpointState.DOWN && downByOverdueCalls && call.sentAt < downAt
                     && result.durationMs() < MIN_OUTAGE_MS) {
                 markUp("was slow but did answer, is up again");
             } else if (state == EndpointState.DOWN && briefFailure) {
@@ -1293,7 +1293,7 @@
 
         private void markRefusing() {
             markDown("refuses all messages");
-            failedWhileDown = true;
+            errorOrRefusalWhileDown = true;
         }
 
         private boolean countFailure() {
@@ -1317,7 +1317,7 @@
             if (lastDeliveryAt < call.sentAt && ++overdueCalls >= DOWN_OVERDUE_CALLS) {
                 boolean wasDown = state == EndpointState.DOWN;
                 markDown("does not answer");
-                downOnlyOverdue = !wasDown;
+                downByOverdueCalls = !wasDown;
             }
         }
 
@@ -1339,10 +1339,10 @@
         }
 
         private void markDown(String reason) {
-            downOnlyOverdue = false;
+            downByOverdueCalls = false;
             if (state != EndpointState.DOWN) {
                 state = EndpointState.DOWN;
-                failedWhileDown = false;
+                errorOrRefusalWhileDown = false;
                 downAt = clock;
                 nextSendAt = Math.max(clock, limiter.retryAfterUntil) + random.nextDouble() / recoveryRate();
                 actions.log("endpoint " + entry.id() + " " + reason + ", only probes are sent");
@@ -1377,19 +1377,19 @@
         /** Of the calls lost on idle connections, the one whose connection was idle for the shortest time. */
         private Optional<Call> loss = Optional.empty();
         private double lastLossAt = Double.NEGATIVE_INFINITY;
-        private boolean confirmed;
+        private boolean lossConfirmed;
 
         /** Idle time of the connection that a new call will use: 0 for one in use, or a new one. */
-        double takeConnection(TrackedEndpoint endpoint) {
+        double prepareConnection(TrackedEndpoint endpoint) {
             double idleMs = !endpoint.calls.isEmpty() ? 0 : clock - endpoint.lastUsedAt;
-            if (clock > lastLossAt + IDLE_LOSS_MEMORY_MS) {
+            if (clock > lastLossAt + IDLE_LOSS_RETENTION_MS) {
                 loss = Optional.empty();
-                confirmed = false;
+                lossConfirmed = false;
             }
             if (idleMs < MIN_IDLE_MS || idleMs >= settings.keepAliveMs()) {
                 return 0;
             }
-            if (confirmed && loss.filter(l -> idleMs > l.connIdleMs * REUSE_IDLE_SHARE).isPresent()) {
+            if (lossConfirmed && loss.filter(l -> idleMs > l.connIdleMs * REUSE_IDLE_SHARE).isPresent()) {
                 actions.closeIdleConnections(endpoint.entry.id());
                 return 0;
             }
@@ -1398,7 +1398,7 @@
 
         void connectionLost(Call call) {
             if (call.connIdleMs > 0) {
-                confirmed |= loss.filter(l -> l.endpoint.destination != call.endpoint.destination)
+                lossConfirmed |= loss.filter(l -> l.endpoint.destination != call.endpoint.destination)
                         .isPresent();
                 loss = loss.filter(l -> l.connIdleMs < call.connIdleMs).or(() -> Optional.of(call));
                 lastLossAt = clock;
@@ -1407,7 +1407,7 @@
 
         void connectionWorked(Call call) {
             loss = loss.filter(l -> l != call && (call.overdue || call.connIdleMs < l.connIdleMs));
-            confirmed &= loss.isPresent();
+            lossConfirmed &= loss.isPresent();
         }
     }
 
--- a/src/main/java/kestreldeal/EventRate.java
+++ b/src/main/java/kestreldeal/EventRate.java
@@ -17,7 +17,7 @@
     }
 
     /** Time constant of the average, and the shortest observed time by which events are divided. */
-    record Averaging(double periodMs, double minPeriodMs) {
+    record Averaging(double timeConstantMs, double minObservedMs) {
     }
 
     /** No events yet, observed from now on. */
@@ -33,16 +33,16 @@
     }
 
     void addEvent(double nowMs) {
-        double decay = Math.exp((updatedAtMs - nowMs) / averaging.periodMs());
+        double decay = Math.exp((updatedAtMs - nowMs) / averaging.timeConstantMs());
         setEvents(weightedEvents * decay + 1);
-        weightedMs = weightedMs * decay + averaging.periodMs() * (1 - decay);
+        weightedMs = weightedMs * decay + averaging.timeConstantMs() * (1 - decay);
         updatedAtMs = nowMs;
     }
 
     /** Continues from a rate that a previous process recorded. */
     void restore(double perMs) {
-        setEvents(perMs * averaging.periodMs());
-        weightedMs = averaging.periodMs();
+        setEvents(perMs * averaging.timeConstantMs());
+        weightedMs = averaging.timeConstantMs();
     }
 
     /** Excludes the time since the last event from the observed time. */
@@ -68,6 +68,6 @@
     }
 
     double perMs() {
-        return weightedEvents / Math.max(weightedMs, averaging.minPeriodMs());
+        return weightedEvents / Math.max(weightedMs, averaging.minObservedMs());
     }
 }
--- a/src/main/java/kestreldeal/GroupedQueues.java
+++ b/src/main/java/kestreldeal/GroupedQueues.java
@@ -87,9 +87,9 @@
      * included in all levels up to its own. An element expires from its queue at the given time, which must rise or
      * fall monotonically along the order of the queue.
      */
-    GroupedQueues(List<Comparator<E>> orders, int levelCount, ToDoubleFunction<E> expiryOf) {
+    GroupedQueues(List<Comparator<E>> orders, int maxLevel, ToDoubleFunction<E> expiryOf) {
         this.expiryOf = expiryOf;
-        orders.forEach(order -> queues.add(new Queue<>(order, levelCount)));
+        orders.forEach(order -> queues.add(new Queue<>(order, maxLevel)));
     }
 
     /** Updates the eligibility of the groups of all owners that were marked as changed or whose update is due. */
@@ -181,9 +181,9 @@
         final Comparator<E> order;
         final List<TreeSet<Group<E>>> groupsByLevel = new ArrayList<>();
 
-        Queue(Comparator<E> order, int levelCount) {
+        Queue(Comparator<E> order, int maxLevel) {
             this.order = order;
-            for (int i = 0; i < levelCount; i++) {
+            for (int i = 0; i < maxLevel; i++) {
                 this.groupsByLevel.add(new TreeSet<>(Comparator.comparing(Group::first, order)));
             }
         }
--- a/src/main/java/kestreldeal/KeyQueues.java
+++ b/src/main/java/kestreldeal/KeyQueues.java
@@ -14,12 +14,12 @@
 final class KeyQueues<E> {
     private final Map<String, KeyQueue> queues = new HashMap<>();
     private final Timers timers;
-    private final Consumer<E> headChanged;
+    private final Consumer<E> recheckFirst;
 
     /** The listener gets the first element of a queue whenever it may have become eligible or ineligible. */
-    KeyQueues(Timers timers, Consumer<E> headChanged) {
+    KeyQueues(Timers timers, Consumer<E> recheckFirst) {
         this.timers = timers;
-        this.headChanged = headChanged;
+        this.recheckFirst = recheckFirst;
     }
 
     /** The queue of a key, which is created if there is none. */
@@ -82,7 +82,7 @@
         @Override
         void fire() {
             if (!elements.isEmpty()) {
-                headChanged.accept(first());
+                recheckFirst.accept(first());
             } else if (inFlight == 0 && dueAt() == Double.POSITIVE_INFINITY) {
                 queues.remove(key);
             }
--- a/src/main/java/kestreldeal/OutageEvidence.java
+++ b/src/main/java/kestreldeal/OutageEvidence.java
@@ -19,8 +19,8 @@
     private final double minOutageMs;
     private int consecutiveFailures;
     private double firstFailureAt;
-    private double score;
-    private int failedOrOverdue;
+    private double failureScore;
+    private int failuresAndOverdueCalls;
     private boolean everDelivered;
     /** Time of the last delivery, or at first of this object's creation. */
     private double lastDeliveryAt;
@@ -39,14 +39,14 @@
     void recordDelivery(double nowMs) {
         lastDeliveryAt = nowMs;
         everDelivered = true;
-        failedOrOverdue = 0;
+        failuresAndOverdueCalls = 0;
         consecutiveFailures = 0;
-        score *= DELIVERY_FACTOR;
+        failureScore *= DELIVERY_FACTOR;
     }
 
     void recordFailure(double nowMs) {
-        failedOrOverdue++;
-        score += (1 - score) * FAILURE_WEIGHT;
+        failuresAndOverdueCalls++;
+        failureScore += (1 - failureScore) * FAILURE_WEIGHT;
         if (consecutiveFailures++ == 0) {
             firstFailureAt = nowMs;
         }
@@ -54,16 +54,16 @@
 
     /** A call is overdue; it counts if nothing was delivered since it was sent. */
     void recordOverdue(double sentAt) {
-        failedOrOverdue += lastDeliveryAt < sentAt ? 1 : 0;
+        failuresAndOverdueCalls += lastDeliveryAt < sentAt ? 1 : 0;
     }
 
     /** Whether there may be an outage: recent calls failed, and the last delivery is long ago. */
     boolean isSuspected(double nowMs) {
-        return failedOrOverdue >= MIN_SUSPECT_FAILURES && nowMs - lastDeliveryAt >= minOutageMs;
+        return failuresAndOverdueCalls >= MIN_SUSPECT_FAILURES && nowMs - lastDeliveryAt >= minOutageMs;
     }
 
     boolean isOutage(double nowMs) {
-        return isSuspected(nowMs) && score >= OUTAGE_SCORE
+        return isSuspected(nowMs) && failureScore >= OUTAGE_SCORE
                 || consecutiveFailures >= OUTAGE_FAILURES && nowMs - firstFailureAt >= minOutageMs;
     }
 }
--- a/src/main/java/kestreldeal/Params.java
+++ b/src/main/java/kestreldeal/Params.java
@@ -19,14 +19,14 @@
         List<Relay.MessageClass> classes = new ArrayList<>();
         for (int i = 0; i < atLeastOne("classes.count"); i++) {
             String prefix = "classes." + i + ".";
-            Relay.Effect effect = switch (text(prefix + "repeat")) {
-                case "safe" -> Relay.Effect.SAFE;
-                case "keyed" -> Relay.Effect.KEYED;
-                case "unsafe" -> Relay.Effect.UNSAFE;
+            Relay.Repeat repeat = switch (text(prefix + "repeat")) {
+                case "safe" -> Relay.Repeat.SAFE;
+                case "keyed" -> Relay.Repeat.KEYED;
+                case "unsafe" -> Relay.Repeat.UNSAFE;
                 default -> throw new InvalidInputException("unknown value of " + prefix + "repeat");
             };
             classes.add(new Relay.MessageClass(atLeastOne(prefix + "aim_ms"), atLeastOne(prefix + "give_up_ms"),
-                    numberOrDefault(prefix + "worth", 1), numberOrDefault(prefix + "late_worth", 0), effect,
+                    numberOrDefault(prefix + "worth", 1), numberOrDefault(prefix + "late_worth", 0), repeat,
                     !textOrDefault(prefix + "dedup_scope", "all").equals("all"),
                     numberOrDefault(prefix + "window_ms", 0), flag(prefix + "sequential")));
         }
--- a/src/main/java/kestreldeal/Relay.java
+++ b/src/main/java/kestreldeal/Relay.java
@@ -60,7 +60,7 @@
     LearnedState learnedState(double nowMs);
 
     /** Restores the learned state of this instance's predecessor; called at most once, before its messages. */
-    void restoreLearnedState(double nowMs, LearnedState memory);
+    void restoreLearnedState(double nowMs, LearnedState state);
 
     /**
      * Announces that the sender will stop at {@code endMs}. From now on the instance starts no call that it does not
@@ -139,7 +139,7 @@
     }
 
     /** Whether it is safe to attempt a message more than once. */
-    enum Effect {
+    enum Repeat {
         /** Repeating the message is harmless. */
         SAFE,
         /** The destination drops repeats of the idempotency key for a time, within a group of endpoints. */
@@ -180,10 +180,10 @@
 
     /**
      * One entry of the endpoint list. The messages of a destination may go only to that destination's endpoints.
-     * {@code listedRate} is the listed rate limit in calls a second, for all senders together. An endpoint that is
+     * {@code listedRatePerSecond} is the listed rate limit in calls a second, for all senders together. An endpoint that is
      * removed, or that a full list does not contain, is forgotten after a while.
      */
-    record Endpoint(long id, long destination, int kind, int zone, boolean serving, double listedRate,
+    record Endpoint(long id, long destination, int kind, int zone, boolean serving, double listedRatePerSecond,
             boolean removed) {
         /** An endpoint that is not removed. */
         Endpoint(long id, long destination, int kind, int zone, boolean serving, double listedRate) {
@@ -205,8 +205,8 @@
      */
     record EarlierAttempt(long endpoint, double sentAtMs, boolean mayHaveRun, OptionalLong inFlightCallId) {
         /** An attempt that no process waits for any more. */
-        public EarlierAttempt(long endpoint, double sentAt, boolean mayHaveRun) {
-            this(endpoint, sentAt, mayHaveRun, OptionalLong.empty());
+        public EarlierAttempt(long endpoint, double sentAtMs, boolean mayHaveRun) {
+            this(endpoint, sentAtMs, mayHaveRun, OptionalLong.empty());
         }
     }
 
@@ -273,8 +273,9 @@
     record AttemptResult(long message, int attempt, Outcome outcome, double durationMs, boolean messageFinished,
             double retryAfterMs, LoadReport report) {
         /** A result without a load report. */
-        AttemptResult(long message, int attempt, Outcome outcome, double tookMs, boolean finished, double waitMs) {
-            this(message, attempt, outcome, tookMs, finished, waitMs, LoadReport.NONE);
+        AttemptResult(long message, int attempt, Outcome outcome, double durationMs, boolean messageFinished,
+                double retryAfterMs) {
+            this(message, attempt, outcome, durationMs, messageFinished, retryAfterMs, LoadReport.NONE);
         }
     }
 
@@ -287,12 +288,12 @@
     }
 
     /**
-     * A message class. {@code value} is the value of a delivery within the target latency, and {@code lateValue} the
+     * A message class. {@code value} is the value of a delivery within the target latency, and {@code minValueShare} the
      * smallest share of it that a later delivery has, see {@link Decay}. {@code dedupWindowMs} is the time for which
      * the destination drops repeats of a key, and {@code dedupWithinZone} tells whether it does so within one zone
      * only. The messages of an {@code ordered} class are delivered in order by key.
      */
-    record MessageClass(double targetLatencyMs, double deadlineMs, double value, double lateValue, Effect effect,
+    record MessageClass(double targetLatencyMs, double deadlineMs, double value, double minValueShare, Repeat repeat,
                         boolean dedupWithinZone, double dedupWindowMs, boolean ordered) {
     }
 
@@ -318,14 +319,14 @@
      * still run; an idle connection closes after {@code keepAliveMs}.
      */
     record Settings(List<MessageClass> classes, List<DestinationKind> kinds, boolean ratesListed, Decay valueDecay,
-                    List<Double> zoneFees, int senderCount, int slots, int maxAttempts, boolean hedging,
+                    List<Double> zoneFees, int senderCount, int slotCount, int maxAttempts, boolean hedging,
                     boolean cancellation, double keyCoolDownMs, double keepAliveMs, SlowStart slowStart) {
         /** Rejects settings that are invalid in any deployment. */
         public Settings {
             if (classes.isEmpty() || kinds.isEmpty()) {
                 throw new IllegalArgumentException("settings need at least one message class and destination kind");
             }
-            if (slots < 1 || maxAttempts < 1 || senderCount < 1) {
+            if (slotCount < 1 || maxAttempts < 1 || senderCount < 1) {
                 throw new IllegalArgumentException("the numbers of slots, attempts and senders must be at least 1");
             }
             classes = List.copyOf(classes);
--- a/src/main/java/kestreldeal/SimulatorAdapter.java
+++ b/src/main/java/kestreldeal/SimulatorAdapter.java
@@ -55,11 +55,11 @@
         return in.readLine();
     }
 
-    private void processBatch(Fields head) throws IOException, InvalidInputException {
-        head.expect("BATCH");
-        nowMs = head.number("clock");
-        long batch = head.wholeNumber("batch");
-        Set<String> touched = new LinkedHashSet<>();
+    private void processBatch(Fields header) throws IOException, InvalidInputException {
+        header.expect("BATCH");
+        nowMs = header.number("clock");
+        long batch = header.wholeNumber("batch");
+        Set<String> changedInstances = new LinkedHashSet<>();
         reply.setLength(0);
         for (String line = nextLine(); !"FLUSH".equals(line); line = nextLine()) {
             if (line == null) {
@@ -74,14 +74,14 @@
             String instance = fields.text("instance");
             if (name.equals("KILLED")) {
                 instances.remove(instance);
-                touched.remove(instance);
+                changedInstances.remove(instance);
                 continue;
             }
             Runnable event = parseEvent(name, instance, fields);
-            touched.add(instance);
+            changedInstances.add(instance);
             runGuarded(instance, event);
         }
-        for (String instance : touched) {
+        for (String instance : changedInstances) {
             runGuarded(instance, () -> relay(instance).endTurn(nowMs));
         }
         out.print(reply);
@@ -98,23 +98,23 @@
         }
     }
 
-    private Runnable parseEvent(String name, String instance, Fields f) throws InvalidInputException {
+    private Runnable parseEvent(String name, String instance, Fields fields) throws InvalidInputException {
         switch (name) {
             case "SPAWN": {
-                long seed = f.wholeNumber("entropy");
-                Params params = f.pairs();
+                long seed = fields.wholeNumber("entropy");
+                Params params = fields.settings();
                 Relay.Settings settings = params.settings();
                 reportFields.put(instance, params.reportFields());
                 return () -> instances.put(instance, Relay.create(settings, seed, new WireActions(instance)));
             }
             case "UPDATE":
-                return parseUpdate(instance, f);
+                return parseUpdate(instance, fields);
             case "SUBMIT":
-                return parseSubmit(instance, f);
+                return parseSubmit(instance, fields);
             case "ATTEMPT_END":
-                return parseAttemptEnd(instance, f);
+                return parseAttemptEnd(instance, fields);
             case "CLIENT_LEFT": {
-                long message = f.wholeNumber("req");
+                long message = fields.wholeNumber("req");
                 return () -> relay(instance).messageCancelled(nowMs, message);
             }
             case "TIMER":
@@ -136,9 +136,9 @@
         return relay;
     }
 
-    private void readEndpointList(Fields f) throws IOException, InvalidInputException {
-        int list = f.index("list");
-        long count = f.wholeNumber("entries");
+    private void readEndpointList(Fields fields) throws IOException, InvalidInputException {
+        int list = fields.index("list");
+        long count = fields.wholeNumber("entries");
         List<Relay.Endpoint> rows = new ArrayList<>();
         for (long i = 0; i < count; i++) {
             String line = nextLine();
@@ -152,20 +152,20 @@
             int kind = row.index("kind");
             long destination = row.wholeNumber("belongs_to");
             String condition = row.text("condition");
-            double rate = row.numberOr("scale", 0);
+            double rate = row.numberOrDefault("scale", 0);
             rows.add(new Relay.Endpoint(id, destination, kind, zone, condition.equals("SERVING"), rate,
                     condition.equals("DELETED")));
         }
         endpointLists.put(list, rows);
     }
 
-    private Runnable parseUpdate(String instance, Fields f) throws InvalidInputException {
-        String mode = f.text("mode");
+    private Runnable parseUpdate(String instance, Fields fields) throws InvalidInputException {
+        String mode = fields.text("mode");
         if (mode.equals("refused")) {
             return () -> relay(instance).wake(nowMs);
         }
-        f.text("serial");
-        List<Relay.Endpoint> entries = endpointLists.get(f.index("list"));
+        fields.text("serial");
+        List<Relay.Endpoint> entries = endpointLists.get(fields.index("list"));
         if (entries == null) {
             throw new InvalidInputException("UPDATE names a list that was not given");
         }
@@ -177,28 +177,28 @@
         return () -> relay(instance).endpointsChanged(nowMs, fullList, entries);
     }
 
-    private Runnable parseSubmit(String instance, Fields f) throws InvalidInputException {
-        long id = f.wholeNumber("req");
-        int messageClass = f.index("kind");
-        int tenant = (int) f.numberOr("billing", 0);
-        Optional<String> key = f.optional("affinity");
-        double timeLeftMs = f.number("time_left_ms");
-        f.text("predicted_ms");
-        long destination = f.wholeNumber("to_dest");
+    private Runnable parseSubmit(String instance, Fields fields) throws InvalidInputException {
+        long id = fields.wholeNumber("req");
+        int messageClass = fields.index("kind");
+        int tenant = (int) fields.numberOrDefault("billing", 0);
+        Optional<String> key = fields.optional("affinity");
+        double timeLeftMs = fields.number("time_left_ms");
+        fields.text("predicted_ms");
+        long destination = fields.wholeNumber("to_dest");
         Relay.Message message = new Relay.Message(id, messageClass, tenant, key, timeLeftMs, destination);
         return () -> relay(instance).messageAccepted(nowMs, message);
     }
 
-    private Runnable parseAttemptEnd(String instance, Fields f) throws InvalidInputException {
-        long message = f.wholeNumber("req");
-        int attempt = f.index("round_no");
-        f.text("endpoint");
-        Relay.Outcome outcome = parseOutcome(f.text("state_code"));
-        double durationMs = f.number("wait_time_ms");
-        boolean messageFinished = f.wholeNumber("no_more") != 0;
-        double holdMs = f.numberOr("hold_ms", 0);
+    private Runnable parseAttemptEnd(String instance, Fields fields) throws InvalidInputException {
+        long message = fields.wholeNumber("req");
+        int attempt = fields.index("round_no");
+        fields.text("endpoint");
+        Relay.Outcome outcome = parseOutcome(fields.text("state_code"));
+        double durationMs = fields.number("wait_time_ms");
+        boolean messageFinished = fields.wholeNumber("no_more") != 0;
+        double holdMs = fields.numberOrDefault("hold_ms", 0);
         double retryAfterMs = outcome == Relay.Outcome.FULL ? holdMs : 0;
-        Relay.LoadReport report = parseReport(instance, f.optional("server_stats"));
+        Relay.LoadReport report = parseReport(instance, fields.optional("server_stats"));
         Relay.AttemptResult result =
                 new Relay.AttemptResult(message, attempt, outcome, durationMs, messageFinished, retryAfterMs, report);
         return () -> relay(instance).attemptCompleted(nowMs, result);
@@ -327,10 +327,10 @@
             }
         }
 
-        double numberOr(String field, double absent) throws InvalidInputException {
+        double numberOrDefault(String field, double defaultValue) throws InvalidInputException {
             int from = position;
             if (optional(field).isEmpty()) {
-                return absent;
+                return defaultValue;
             }
             position = from;
             return number(field);
@@ -353,7 +353,7 @@
             return (int) value;
         }
 
-        Params pairs() throws InvalidInputException {
+        Params settings() throws InvalidInputException {
             Map<String, String> values = new HashMap<>();
             while (position < line.length()) {
                 String pair = text("setting");
--- a/src/main/java/kestreldeal/Timers.java
+++ b/src/main/java/kestreldeal/Timers.java
@@ -39,8 +39,8 @@
     }
 
     /** Requests a wake-up at the first timer or at this time, whichever is earlier, unless it is requested already. */
-    void requestWake(double nowMs, double otherwiseAt) {
-        double next = Math.min(otherwiseAt, nextDueAt());
+    void requestWake(double nowMs, double otherDueAt) {
+        double next = Math.min(otherDueAt, nextDueAt());
         if (requestedAt <= nowMs + marginMs || next < requestedAt) {
             requestedAt = next;
             if (next < Double.POSITIVE_INFINITY) {
--- a/src/main/java/kestreldeal/net/SendGuard.java
+++ b/src/main/java/kestreldeal/net/SendGuard.java
@@ -46,7 +46,7 @@
         if (message.attempts.size() >= settings.maxAttempts()) {
             return Optional.of(Invariants.Rule.ATTEMPT_LIMIT);
         }
-        boolean mayRunTwice = classOf(message).effect() == Relay.Effect.UNSAFE && message.mayHaveRun();
+        boolean mayRunTwice = classOf(message).repeat() == Relay.Repeat.UNSAFE && message.mayHaveRun();
         return mayRunTwice ? Optional.of(Invariants.Rule.SINGLE_EFFECT) : Optional.empty();
     }
 
@@ -60,7 +60,7 @@
             return Optional.of(SuppressionReason.ENDPOINT_CLOSED);
         }
         Relay.MessageClass messageClass = classOf(message);
-        boolean inWindow = messageClass.effect() != Relay.Effect.KEYED
+        boolean inWindow = messageClass.repeat() != Relay.Repeat.KEYED
                 || message.isInDedupWindow(attemptNumber, nowNanos,
                         messageClass.dedupWindowMs() - MAX_WRITE_DELAY_MS - MAX_NETWORK_DELAY_MS);
         return inWindow ? Optional.empty() : Optional.of(SuppressionReason.WINDOW_PASSED);
--- a/src/main/java/kestreldeal/net/Sender.java
+++ b/src/main/java/kestreldeal/net/Sender.java
@@ -186,7 +186,7 @@
         int descriptors = Math.max(config.maxSockets() - RESERVED_DESCRIPTORS, 64);
         maxClients = (int) (descriptors * CLIENT_DESCRIPTOR_SHARE);
         // Twice the slots: the connection of an abandoned call lingers while its slot is already in use again.
-        int maxIdleConnections = Math.max(1, descriptors - maxClients - 2 * config.settings().slots());
+        int maxIdleConnections = Math.max(1, descriptors - maxClients - 2 * config.settings().slotCount());
         endpointClient = new EndpointClient(loop, config.connectTimeoutMs(), config.settings().keepAliveMs(), maxIdleConnections,
                 new CallResults(), NioSocketChannel::new, machineClock);
         agentAddress = config.discoveryAddress();
@@ -662,8 +662,8 @@
 
         @Override
         public boolean needsKey(String messageClass) {
-            return config.settings().classes().get(config.classNames().indexOf(messageClass)).effect()
-                    == Relay.Effect.KEYED;
+            return config.settings().classes().get(config.classNames().indexOf(messageClass)).repeat()
+                    == Relay.Repeat.KEYED;
         }
 
         @Override
--- a/src/main/java/kestreldeal/scale/ModuleBenchmark.java
+++ b/src/main/java/kestreldeal/scale/ModuleBenchmark.java
@@ -75,7 +75,7 @@
 
     private static Relay.Settings settings(int slotCount) {
         Relay.MessageClass messageClass = new Relay.MessageClass(DEADLINE_MS / 2, DEADLINE_MS, 1, 0.5,
-                Relay.Effect.SAFE, false, 0, false);
+                Relay.Repeat.SAFE, false, 0, false);
         return new Relay.Settings(List.of(messageClass), List.of(new Relay.DestinationKind(false, 1)), true,
                 Relay.Decay.LINEAR, List.of(0.0), 100, slotCount, 4, true, true, 0, 15_000,
                 new Relay.SlowStart(0.2, 12_000, 2, 1500));
--- a/src/main/java/kestreldeal/scale/fleet/FleetModel.java
+++ b/src/main/java/kestreldeal/scale/fleet/FleetModel.java
@@ -106,8 +106,8 @@
     Relay.Settings relaySettings(int senderCount, double messagesPerSecond) {
         double messagesPerSecondOfSender = messagesPerSecond / senderCount;
         List<Relay.MessageClass> classes = List.of(
-                new Relay.MessageClass(2500, 20_000, 1, 0.3, Relay.Effect.KEYED, false, 8000, false),
-                new Relay.MessageClass(3000, 16_000, 2, 0.3, Relay.Effect.UNSAFE, false, 5000, false));
+                new Relay.MessageClass(2500, 20_000, 1, 0.3, Relay.Repeat.KEYED, false, 8000, false),
+                new Relay.MessageClass(3000, 16_000, 2, 0.3, Relay.Repeat.UNSAFE, false, 5000, false));
         List<Relay.DestinationKind> destinationKinds = kinds.stream()
                 .map(kind -> new Relay.DestinationKind(false, kind.maxBatchSize))
                 .toList();
--- a/src/main/java/kestreldeal/scale/fleet/InvariantChecker.java
+++ b/src/main/java/kestreldeal/scale/fleet/InvariantChecker.java
@@ -93,7 +93,7 @@
         if (message.attempts.size() >= settings.maxAttempts()) {
             throw violation(message, "sent more than " + settings.maxAttempts() + " times");
         }
-        boolean unsafe = messageClass(message).effect() == Relay.Effect.UNSAFE;
+        boolean unsafe = messageClass(message).repeat() == Relay.Repeat.UNSAFE;
         if (unsafe && message.attempts.stream().anyMatch(SimulatedMessage.Attempt::mayHaveRun)) {
             throw violation(message, "sent again, though it must not run twice and may have run");
         }
@@ -109,7 +109,7 @@
      */
     private void checkDedupWindow(SimulatedMessage message, int attemptNumber, String action) {
         Relay.MessageClass messageClass = messageClass(message);
-        if (messageClass.effect() != Relay.Effect.KEYED) {
+        if (messageClass.repeat() != Relay.Repeat.KEYED) {
             return;
         }
         double nowMs = clock.nowMs();
@@ -184,7 +184,7 @@
 
     void messageRejected(SimulatedMessage message) {
         finish(message);
-        boolean unsafe = messageClass(message).effect() == Relay.Effect.UNSAFE;
+        boolean unsafe = messageClass(message).repeat() == Relay.Repeat.UNSAFE;
         if (unsafe && message.attempts.stream().anyMatch(SimulatedMessage.Attempt::mayHaveRun)) {
             throw violation(message, "rejected, though it must not run twice and may have run");
         }
--- a/src/main/java/kestreldeal/scale/fleet/SimulatedSender.java
+++ b/src/main/java/kestreldeal/scale/fleet/SimulatedSender.java
@@ -323,7 +323,7 @@
             return false;
         }
         Relay.MessageClass messageClass = fleet.relaySettings().classes().get(message.request.messageClass);
-        return messageClass.effect() != Relay.Effect.KEYED || message.attempts.subList(0, item.attemptNumber()).stream()
+        return messageClass.repeat() != Relay.Repeat.KEYED || message.attempts.subList(0, item.attemptNumber()).stream()
                 .noneMatch(a -> a.mayHaveRun()
                         && clock.nowMs() > a.sentAtMs + messageClass.dedupWindowMs() - DEDUP_WINDOW_MARGIN_MS);
     }
--- a/src/test/java/kestreldeal/DeliverySchedulerEquivalenceTest.java
+++ b/src/test/java/kestreldeal/DeliverySchedulerEquivalenceTest.java
@@ -18,7 +18,7 @@
 import java.util.OptionalLong;
 import java.util.Random;
 import java.util.Set;
-import kestreldeal.Relay.Effect;
+import kestreldeal.Relay.Repeat;
 import kestreldeal.Relay.MessageClass;
 import kestreldeal.Relay.Outcome;
 import org.junit.jupiter.api.Test;
@@ -146,11 +146,11 @@
         private Relay.Settings settings() {
             List<MessageClass> classes = new ArrayList<>();
             for (int i = 1 + random.nextInt(5); i > 0; i--) {
-                Effect effect = Effect.values()[random.nextInt(3)];
+                Repeat repeat = Repeat.values()[random.nextInt(3)];
                 double aim = pick(300, 1000, 2000, 5000);
                 double deadline = aim * pick(1, 1.25, 3, 8) + pick(0, 0.5, 400);
-                classes.add(new MessageClass(aim, deadline, pick(0, 0.3, 1, 1, 4), pick(0, 0.1, 0.5, 0.9, 1), effect,
-                        effect == Effect.KEYED && random.nextBoolean(), pick(400, 1000, 4000, 60_000),
+                classes.add(new MessageClass(aim, deadline, pick(0, 0.3, 1, 1, 4), pick(0, 0.1, 0.5, 0.9, 1), repeat,
+                        repeat == Repeat.KEYED && random.nextBoolean(), pick(400, 1000, 4000, 60_000),
                         random.nextInt(3) == 0));
             }
             int batch = random.nextBoolean() ? 1 : 5;
@@ -374,7 +374,7 @@
             }
             answerAll();
             assertEquals(List.of(), reachable(logic).stream().map(o -> o.getClass().getName())
-                    .filter(name -> name.matches(".*\\$(Delivery|Attempt|Group)")).toList());
+                    .filter(name -> name.matches(".*\\$(TrackedMessage|Attempt|Group)")).toList());
             now += 60_000;
             turn();
             assertEquals(0, logic.keyQueues.size(), "lines of keys");
--- a/src/test/java/kestreldeal/DeliverySchedulerTest.java
+++ b/src/test/java/kestreldeal/DeliverySchedulerTest.java
@@ -11,7 +11,7 @@
 import java.util.Optional;
 import java.util.OptionalLong;
 import java.util.Random;
-import kestreldeal.Relay.Effect;
+import kestreldeal.Relay.Repeat;
 import kestreldeal.Relay.Outcome;
 import org.junit.jupiter.api.Test;
 
@@ -1252,9 +1252,9 @@
     }
 
     static final List<Relay.MessageClass> CLASSES = List.of(
-            new Relay.MessageClass(2000, 16_000, 1, 0.5, Effect.SAFE, false, 0, false),
-            new Relay.MessageClass(2000, 16_000, 1, 0.5, Effect.KEYED, false, 4000, false),
-            new Relay.MessageClass(2000, 16_000, 4, 0.3, Effect.UNSAFE, false, 0, true),
-            new Relay.MessageClass(2000, 16_000, 1, 0.5, Effect.KEYED, true, 15_000, false),
-            new Relay.MessageClass(16_000, 16_000, 8, 0, Effect.SAFE, false, 0, false));
+            new Relay.MessageClass(2000, 16_000, 1, 0.5, Repeat.SAFE, false, 0, false),
+            new Relay.MessageClass(2000, 16_000, 1, 0.5, Repeat.KEYED, false, 4000, false),
+            new Relay.MessageClass(2000, 16_000, 4, 0.3, Repeat.UNSAFE, false, 0, true),
+            new Relay.MessageClass(2000, 16_000, 1, 0.5, Repeat.KEYED, true, 15_000, false),
+            new Relay.MessageClass(16_000, 16_000, 8, 0, Repeat.SAFE, false, 0, false));
 }
--- a/src/test/java/kestreldeal/OutageRecoverySimulation.java
+++ b/src/test/java/kestreldeal/OutageRecoverySimulation.java
@@ -25,8 +25,8 @@
     private static final double END = 38_000;
     static final Relay.SlowStart COLD = new Relay.SlowStart(0.2, 12_000, 2, 3000);
     private static final List<Relay.MessageClass> CLASSES = List.of(
-            new Relay.MessageClass(2500, 20_000, 1, 0.3, Relay.Effect.KEYED, false, 8000, false),
-            new Relay.MessageClass(3000, 16_000, 2, 0.3, Relay.Effect.UNSAFE, false, 0, false));
+            new Relay.MessageClass(2500, 20_000, 1, 0.3, Relay.Repeat.KEYED, false, 8000, false),
+            new Relay.MessageClass(3000, 16_000, 2, 0.3, Relay.Repeat.UNSAFE, false, 0, false));
     private static final long DESTINATION = 1;
     /** Messages in one call weigh so much beside the call itself. */
     private static final double ITEM_WEIGHT = 0.1;
--- a/src/test/java/kestreldeal/ReferenceScheduler.java
+++ b/src/test/java/kestreldeal/ReferenceScheduler.java
@@ -120,7 +120,7 @@
         for (Endpoint entry : entries) {
             Target target = targets.computeIfAbsent(entry.id(), unknown -> new Target(entry));
             Optional.ofNullable(recalled.remove(entry.id())).ifPresent(known -> known.accept(target));
-            target.limit.listedRate = settings.ratesListed() ? entry.listedRate() / 1000 : 0;
+            target.limit.listedRate = settings.ratesListed() ? entry.listedRatePerSecond() / 1000 : 0;
             if (entry.removed()) {
                 target.leave();
             } else {
@@ -321,7 +321,7 @@
         List<Delivery> left = new ArrayList<>(ranked);
         for (int i = 0; i < left.size();) {
             Delivery d = left.get(i);
-            boolean may = (joins || slotsUsed < settings.slots()) && d.destination.isOpen();
+            boolean may = (joins || slotsUsed < settings.slotCount()) && d.destination.isOpen();
             Optional<Target> target = may ? choose(d, false) : Optional.empty();
             if (target.isPresent() || !d.refused) {
                 left.remove(i);
@@ -334,7 +334,7 @@
             }
         }
         lacking.addAll(ranked);
-        if (slotsUsed >= settings.slots() - 1 && lacking.stream().anyMatch(this::lacksSlot)) {
+        if (slotsUsed >= settings.slotCount() - 1 && lacking.stream().anyMatch(this::lacksSlot)) {
             freeSlot();
         }
     }
@@ -348,7 +348,7 @@
         if (!settings.cancellation()) {
             return;
         }
-        out.stream().filter(a -> !a.calledOff && a.delivery.type.effect() != Effect.UNSAFE)
+        out.stream().filter(a -> !a.calledOff && a.delivery.type.repeat() != Repeat.UNSAFE)
                 .filter(a -> a.overPatience() > 1)
                 .max(Comparator.comparingDouble(Attempt::overPatience)).ifPresent(most -> {
                     most.calledOff = true;
@@ -383,7 +383,7 @@
     }
 
     private boolean mayRepeat(Delivery d, Target target) {
-        return mayRepeat(d) && !(d.type.effect() == Effect.KEYED && d.type.dedupWithinZone()
+        return mayRepeat(d) && !(d.type.repeat() == Repeat.KEYED && d.type.dedupWithinZone()
                 && d.attempts.stream().anyMatch(a -> (a.out || a.mayHaveRun) && !a.isInZoneOf(target)));
     }
 
@@ -392,10 +392,10 @@
             if (!earlier.out && !earlier.mayHaveRun) {
                 continue;
             }
-            if (earlier.out && !settings.hedging() || d.type.effect() == Effect.UNSAFE) {
+            if (earlier.out && !settings.hedging() || d.type.repeat() == Repeat.UNSAFE) {
                 return false;
             }
-            if (d.type.effect() == Effect.KEYED
+            if (d.type.repeat() == Repeat.KEYED
                     && clock > earlier.sentAt + d.type.dedupWindowMs() - WINDOW_MARGIN_MS) {
                 return false;
             }
@@ -435,8 +435,8 @@
     }
 
     private void offsetPassed(Delivery d, Attempt attempt) {
-        boolean races = attempt.out && d.type.effect() != Effect.UNSAFE && settings.hedging();
-        if (races && !d.ended && slotsUsed < settings.slots() && copies.allows()) {
+        boolean races = attempt.out && d.type.repeat() != Repeat.UNSAFE && settings.hedging();
+        if (races && !d.ended && slotsUsed < settings.slotCount() && copies.allows()) {
             choose(d, true).ifPresent(target -> send(d, target, true));
         }
     }
@@ -456,7 +456,7 @@
     private void giveUpInTime(Delivery d) {
         if (!mayGoOn(d)) {
             finish(d);
-        } else if (d.type.effect() == Effect.KEYED) {
+        } else if (d.type.repeat() == Repeat.KEYED) {
             d.attempts.stream().filter(a -> a.mayHaveRun).mapToDouble(a -> a.sentAt).min().ifPresent(first ->
                     timers.add(first + d.type.dedupWindowMs() - WINDOW_MARGIN_MS + CLOCK_MARGIN_MS, () -> {
                         if (!mayGoOn(d)) {
@@ -476,8 +476,8 @@
         if (d.ended || d.out > 0) {
             return;
         }
-        boolean repeatable = d.type.effect() == Effect.SAFE
-                || d.type.effect() == Effect.KEYED && !d.type.dedupWithinZone();
+        boolean repeatable = d.type.repeat() == Repeat.SAFE
+                || d.type.repeat() == Repeat.KEYED && !d.type.dedupWithinZone();
         if (repeatable || d.attempts.stream().noneMatch(a -> a.out || a.mayHaveRun)) {
             actions.reject(d.message.id(), Math.max(0, d.destination.opensAt() - clock));
         } else {
@@ -544,8 +544,8 @@
             }
             double late = Math.max(0, time - aimAt);
             double share = settings.valueDecay() == Decay.HALVING
-                    ? Math.max(type.lateValue(), Math.pow(0.5, late / type.targetLatencyMs()))
-                    : 1 - (1 - type.lateValue()) * late / Math.max(1, type.deadlineMs() - type.targetLatencyMs());
+                    ? Math.max(type.minValueShare(), Math.pow(0.5, late / type.targetLatencyMs()))
+                    : 1 - (1 - type.minValueShare()) * late / Math.max(1, type.deadlineMs() - type.targetLatencyMs());
             return type.value() * share;
         }
         double rank() {
@@ -860,9 +860,9 @@
         }
         double cost(Delivery d) {
             if (state == EndpointState.DOWN) {
-                return (d.type.effect() == Effect.UNSAFE ? 1 : -1) * Double.POSITIVE_INFINITY;
+                return (d.type.repeat() == Repeat.UNSAFE ? 1 : -1) * Double.POSITIVE_INFINITY;
             }
-            double freeShare = 1 - (double) slotsUsed / settings.slots();
+            double freeShare = 1 - (double) slotsUsed / settings.slotCount();
             return latency * (1 + calls.size()) + fruitless * SHUT_MS + fee * FEE_MS * freeShare;
         }
         boolean mayJoin() {
@@ -890,10 +890,10 @@
             return call;
         }
         boolean hasSlot() {
-            int free = settings.slots() - slotsUsed;
+            int free = settings.slotCount() - slotsUsed;
             boolean quick = latency <= QUICK_MS && lastGood > Double.NEGATIVE_INFINITY && calls.stream()
                     .skip(SILENT_CALLS - 1).limit(1).allMatch(c -> clock - c.sentAt <= patience());
-            boolean lacks = destination.out + 1 + 1e-6 < settings.slots() * destination.part();
+            boolean lacks = destination.out + 1 + 1e-6 < settings.slotCount() * destination.part();
             return quick && free > (lacks ? 0 : 1) || free > 0 && destination.out < Math.max(1, free - 1);
         }
         boolean isOpen() {
@@ -910,14 +910,14 @@
             return latency + SILENT_DEVIATIONS * deviation;
         }
         double expectedEnd(MessageClass type) {
-            return type.effect() == Effect.UNSAFE ? slowest() : patience();
+            return type.repeat() == Repeat.UNSAFE ? slowest() : patience();
         }
         private double slowest() {
             return latency + TIMEOUT_DEVIATIONS * deviation;
         }
         double timeout(MessageClass type) {
             double base = Math.max(type.targetLatencyMs() * TIMEOUT_AIMS, slowest());
-            double patience = type.effect() == Effect.UNSAFE ? type.deadlineMs() * UNSAFE_PATIENCE : 0;
+            double patience = type.repeat() == Repeat.UNSAFE ? type.deadlineMs() * UNSAFE_PATIENCE : 0;
             return Math.max(base, patience);
         }
         double allowedRate() {
--- a/src/test/java/kestreldeal/SchedulerHarness.java
+++ b/src/test/java/kestreldeal/SchedulerHarness.java
@@ -14,7 +14,7 @@
 import java.util.PriorityQueue;
 import java.util.Set;
 import java.util.function.Consumer;
-import kestreldeal.Relay.Effect;
+import kestreldeal.Relay.Repeat;
 import kestreldeal.Relay.Outcome;
 
 /** A caller of the module for tests: a clock, recorded actions and, where strict, a check of the rules. */
@@ -222,8 +222,8 @@
             if (outcome != null && !outcome.mayHaveRun()) {
                 continue;
             }
-            assertFalse(type.effect() == Effect.UNSAFE, "an unsafe message may have run twice");
-            if (type.effect() == Effect.KEYED) {
+            assertFalse(type.repeat() == Repeat.UNSAFE, "an unsafe message may have run twice");
+            if (type.repeat() == Repeat.KEYED) {
                 assertTrue(now <= earlier.at + type.dedupWindowMs(), "outside the window");
                 assertTrue(!type.dedupWithinZone()
                         || endpoints.get(earlier.endpoint).zone() == endpoints.get(s.endpoint).zone());
@@ -263,8 +263,8 @@
     public void reject(long message, double waitMs) {
         waits.add(waitMs);
         if (strict) {
-            Effect effect = DeliverySchedulerTest.CLASSES.get(messages.get(message).messageClass()).effect();
-            for (int i = 0; effect == Effect.UNSAFE && i < attempts.getOrDefault(message, 0); i++) {
+            Repeat repeat = DeliverySchedulerTest.CLASSES.get(messages.get(message).messageClass()).repeat();
+            for (int i = 0; repeat == Repeat.UNSAFE && i < attempts.getOrDefault(message, 0); i++) {
                 assertFalse(ends.get(message + "/" + i).mayHaveRun(), "refused though it may have run");
             }
         }
--- a/src/test/java/kestreldeal/SimulatorAdapterTest.java
+++ b/src/test/java/kestreldeal/SimulatorAdapterTest.java
@@ -41,14 +41,14 @@
         return "BATCH " + clock + " " + number + "\n" + body + "FLUSH\n";
     }
 
-    private static String start(String instance) {
+    private static String startInstance(String instance) {
         return "SPAWN " + instance + " 5 " + SETTINGS + "\n" + LIST + "UPDATE " + instance
                 + " remembered 4 0";
     }
 
     @Test
-    void aConversation() {
-        String out = drill(batch(1, 8412.25) + batch(2, 8413.25, start("sender/0"))
+    void deliversAMessage() {
+        String out = drill(batch(1, 8412.25) + batch(2, 8413.25, startInstance("sender/0"))
                 + batch(3, 8414.5, "SUBMIT sender/0 9 0 - - 16000.0 - 7 0")
                 + batch(4, 8500.5, "ATTEMPT_END sender/0 9 0 51 success 86.0 1 - -"));
         assertEquals("YIELD 1\nYIELD 2\nSUBMIT_TO sender/0 9 2500.0 51\nNOTIFY_ME sender/0 9414.5 0\n"
@@ -59,7 +59,7 @@
 
     @Test
     void instancesShareNothing() {
-        String out = drill(batch(1, 1.0, start("sender/0"), start("sender/1"))
+        String out = drill(batch(1, 1.0, startInstance("sender/0"), startInstance("sender/1"))
                 + batch(2, 2.0, "SUBMIT sender/1 9 0 - - 16000.0 - 7 0",
                         "SUBMIT sender/0 9 0 - - 16000.0 - 7 0"));
         assertEquals("YIELD 1\nSUBMIT_TO sender/1 9 2500.0 51\nNOTIFY_ME sender/1 1002.0 0\n"
@@ -77,31 +77,31 @@
     }
 
     @Test
-    void aRefusedListLeavesTheOldOne() {
-        String out = drill(batch(1, 1.0, start("sender/0"))
+    void aRefusedListKeepsThePreviousOne() {
+        String out = drill(batch(1, 1.0, startInstance("sender/0"))
                 + batch(2, 2.0, "UPDATE sender/0 refused 4 -", "SUBMIT sender/0 9 0 - - 16000.0 - 7 0"));
         assertTrue(out.contains("SUBMIT_TO sender/0 9 2500.0 51"), out);
     }
 
     @Test
     void aRestartForgetsEverything() {
-        String out = drill(batch(1, 1.0, start("sender/0"), "SUBMIT sender/0 9 0 - - 16000.0 - 7 0")
-                + batch(2, 2.0, "KILLED sender/0", start("sender/0"),
+        String out = drill(batch(1, 1.0, startInstance("sender/0"), "SUBMIT sender/0 9 0 - - 16000.0 - 7 0")
+                + batch(2, 2.0, "KILLED sender/0", startInstance("sender/0"),
                         "SUBMIT sender/0 9 0 - - 16000.0 - 7 0"));
         assertEquals(2, out.split("SUBMIT_TO sender/0 9 ", -1).length - 1);
     }
 
     @Test
     void fieldsBeyondTheKnownOnesAreSkipped() {
-        String out = drill(batch(1, 1.0, start("sender/0"))
+        String out = drill(batch(1, 1.0, startInstance("sender/0"))
                 + batch(2, 2.0, "SUBMIT sender/0 9 0 - - 16000.0 - 7 0 more fields"));
         assertTrue(out.contains("SUBMIT_TO"), out);
         assertEquals(0, code);
     }
 
     @Test
-    void anExceptionInTheModuleBecomesTheFaultAction() {
-        String out = drill(batch(1, 1.0, start("sender/0"))
+    void anExceptionInTheModuleBecomesABugAction() {
+        String out = drill(batch(1, 1.0, startInstance("sender/0"))
                 + batch(2, 2.0, "ATTEMPT_END sender/0 9 0 51 success 86.0 1 - -"));
         String fault = "BUG sender/0 java.lang.IllegalArgumentException: unknown attempt 0 of message 9\n";
         assertTrue(out.contains(fault), out);
@@ -109,21 +109,21 @@
     }
 
     @Test
-    void badInputIsNamedByLineAndEndsTheRun() {
-        check("BATCH 1.0 1\nWHATEVER sender/0 1\nFLUSH\n", "line 2: unknown event WHATEVER");
-        check("BATCH 1.0 1\nSUBMIT sender/0 x\nFLUSH\n", "line 2: field req is not a whole number: x");
-        check("BATCH 1.0 1\nSUBMIT sender/0 4\nFLUSH\n", "line 2: field kind is missing");
-        check("BATCH 1.0 1\n", "line 2: input ends inside batch 1");
-        check("BATCH 1.0 1\nROSTER 0 2\nROW 51 0 0 7 SERVING 1 -\n", "line 4: input ends inside list 0");
-        check("BATCH one 1\n", "line 1: field clock is not a number: one");
-        check("HELLO\n", "line 1: expected BATCH, found HELLO");
-        check("BATCH 1.0 1\nSPAWN sender/0 5 classes.count=1\nFLUSH\n",
+    void invalidInputIsReportedWithItsLineAndEndsTheRun() {
+        assertFailure("BATCH 1.0 1\nWHATEVER sender/0 1\nFLUSH\n", "line 2: unknown event WHATEVER");
+        assertFailure("BATCH 1.0 1\nSUBMIT sender/0 x\nFLUSH\n", "line 2: field req is not a whole number: x");
+        assertFailure("BATCH 1.0 1\nSUBMIT sender/0 4\nFLUSH\n", "line 2: field kind is missing");
+        assertFailure("BATCH 1.0 1\n", "line 2: input ends inside batch 1");
+        assertFailure("BATCH 1.0 1\nROSTER 0 2\nROW 51 0 0 7 SERVING 1 -\n", "line 4: input ends inside list 0");
+        assertFailure("BATCH one 1\n", "line 1: field clock is not a number: one");
+        assertFailure("HELLO\n", "line 1: expected BATCH, found HELLO");
+        assertFailure("BATCH 1.0 1\nSPAWN sender/0 5 classes.count=1\nFLUSH\n",
                 "line 2: setting classes.0.repeat is missing");
-        check("BATCH 1.0 1\nUPDATE sender/0 all 4 3\nFLUSH\n",
+        assertFailure("BATCH 1.0 1\nUPDATE sender/0 all 4 3\nFLUSH\n",
                 "line 2: UPDATE names a list that was not given");
     }
 
-    private void check(String input, String message) {
+    private void assertFailure(String input, String message) {
         String out = drill(input);
         assertEquals(1, code);
         assertEquals(message + System.lineSeparator(), errors);
--- a/src/test/java/kestreldeal/net/SendGuardTest.java
+++ b/src/test/java/kestreldeal/net/SendGuardTest.java
@@ -12,8 +12,8 @@
     private static final long DESTINATION = 7;
     private static final int WINDOW_MS = 2000;
     private static final Relay.Settings SETTINGS = new Relay.Settings(
-            List.of(new Relay.MessageClass(1000, 8000, 1, 0, Relay.Effect.KEYED, false, WINDOW_MS, false),
-                    new Relay.MessageClass(1000, 8000, 1, 0, Relay.Effect.UNSAFE, false, 0, false)),
+            List.of(new Relay.MessageClass(1000, 8000, 1, 0, Relay.Repeat.KEYED, false, WINDOW_MS, false),
+                    new Relay.MessageClass(1000, 8000, 1, 0, Relay.Repeat.UNSAFE, false, 0, false)),
             List.of(new Relay.DestinationKind(false, 1)), false, Relay.Decay.LINEAR, List.of(), 1, 4, MAX_ATTEMPTS,
             true, true, 0, 15_000, new Relay.SlowStart(0.2, 12_000, 2, 3000));
 
--- a/src/test/java/kestreldeal/scale/fleet/InvariantCheckerTest.java
+++ b/src/test/java/kestreldeal/scale/fleet/InvariantCheckerTest.java
@@ -148,7 +148,7 @@
     void tooManyCallsInARecoveryAreCountedAndCauseACollapse() {
         FleetSimulation.RelayFactory overloadingFactory = (settings, seed, actions) ->
                 Relay.create(new Relay.Settings(settings.classes(), settings.kinds(), settings.ratesListed(),
-                        settings.valueDecay(), settings.zoneFees(), 1, settings.slots(), settings.maxAttempts(),
+                        settings.valueDecay(), settings.zoneFees(), 1, settings.slotCount(), settings.maxAttempts(),
                         settings.hedging(), settings.cancellation(), settings.keyCoolDownMs(), settings.keepAliveMs(),
                         new Relay.SlowStart(1, 12_000, 50, 3000)), seed, actions);
         FleetSettings withoutCollapse = new FleetSettings(60, 12, 8, 30, 5, Scenario.RETURN, false,
