--- a/src/main/java/kestreldeal/DeliveryScheduler.java
+++ b/src/main/java/kestreldeal/DeliveryScheduler.java
@@ -21,39 +21,39 @@
  * Decides when and to which endpoint each message is sent, and when it is sent again, rejected or failed. Its
  * interface, with all types, events and actions, is {@link Relay}.
  *
- * <p>A message waits in a group of similar messages until {@link #endTurn}. There the groups whose send
- * conditions are met are served in the order of their first messages' priority, and each message goes to the
- * cheapest endpoint for which {@link #canSend} holds; blocked groups cost no time. The send starts a round of
- * attempts. After a fixed delay a hedged attempt joins the round if the {@link SendBudget} allows it. The
- * first delivery wins and the other attempts are cancelled; when all attempts of a round have ended and the
- * message may still be sent, it waits for a new round. {@link #finishUndelivered} rejects or fails a message.
+ * <p>A message waits in a group with those of equal destination, class, segment and zone until {@link
+ * #endTurn}. There the groups whose send conditions are met are served in the order of their first messages'
+ * priority, and each message goes to the cheapest endpoint for which {@link #canSend} holds; blocked groups
+ * cost no time. The send starts a round of attempts. After a delay a hedged attempt joins it if the {@link
+ * SendBudget} allows it. The first delivery wins and the other attempts are cancelled; if all have ended and
+ * the message may be sent again, it waits for a new round. {@link #finishUndelivered} rejects or fails it.
  *
  * <p>{@link TrackedMessage} is a message with its attempts, {@link Call} a request on the wire that may carry
  * several attempts, {@link RateLimiter} the rate limit of a destination, or of one endpoint where these are
  * separate routes, {@link TrackedEndpoint} an endpoint with its health, and {@link IdleConnectionReuse} the
- * reuse policy for idle connections. Times are in milliseconds, rates in calls per millisecond.
+ * reuse policy for idle connections. Times are in milliseconds, and rates are per millisecond.
  */
 final class DeliveryScheduler implements Relay {
     // Rounds of attempts.
     /** Delay before a hedged attempt, as a share of the target latency. */
     private static final double HEDGE_DELAY_SHARE = 0.5;
-    /** Hedged attempts that are allowed in each budget period: this number, plus a share of first sends. */
+    /** Hedged attempts allowed in any BUDGET_PERIOD_MS: this number, plus a share of its first sends. */
     private static final double HEDGES_ALWAYS_ALLOWED = 1;
     private static final double HEDGES_PER_FIRST_SEND = 0.1;
     private static final double BUDGET_PERIOD_MS = 10_000;
     /** The same for new rounds of messages whose last attempt was refused. */
     private static final double RETRIES_ALWAYS_ALLOWED = 2;
     private static final double RETRIES_PER_FIRST_SEND = 0.3;
-    /** Backoff between rounds: fast errors or many senders at once would use up all attempts without it. */
+    /** Backoff after the first round: without it fast errors or many senders would use up all attempts. */
     private static final double BACKOFF_MS = 200;
     private static final double BACKOFF_FACTOR = 3;
-    /** A keyed repeat is sent this long before its deduplication window ends, to allow for transit time. */
+    /** A keyed message is repeated only until this long before its window ends, to allow for transit time. */
     private static final double DEDUP_WINDOW_MARGIN_MS = 300;
 
-    // Timeouts: a multiple of the target latency, or the mean latency plus deviations if that is longer.
+    // Timeouts: a multiple of the target latency, or mean latency plus a multiple of its deviation if longer.
     private static final double TIMEOUT_TARGET_FACTOR = 1.25;
     private static final double TIMEOUT_DEVIATION_FACTOR = 8;
-    /** Minimum timeout of an unsafe message, as a share of its deadline: it can't be repeated after one. */
+    /** Minimum timeout of an unsafe message, as a share of its deadline: it can't be sent again later. */
     private static final double UNSAFE_TIMEOUT_SHARE = 0.33;
     private static final double LATENCY_SAMPLE_WEIGHT = 0.15;
     private static final double INITIAL_LATENCY_MS = 250;
@@ -65,57 +65,57 @@
     private static final double MIN_CANCEL_AGE_MS = 200;
 
     // Send rate limits.
-    /** A refusal cuts the allowed rate to this share of it, or of the last second's sends if none was set. */
+    /** A refusal cuts the allowed rate to this share of it, or of the last second's sends if unlimited. */
     private static final double RATE_CUT_FACTOR = 0.7;
-    /** In a cut the old rate counts as at most this multiple of recent sends: an unused limit only grows. */
+    /** A cut starts from at most this multiple of the recent send rate: an unused limit only grows. */
     private static final double MAX_RATE_OVER_SENT = 1.3;
     /** Growth of the allowed rate with each delivery, if answers don't report the share of the limit left. */
     private static final double RATE_GROWTH_PER_DELIVERY = 0.05;
-    /** If answers report it, the rate is steered to keep this share left: gain per second, longest step. */
+    /** If they do, the rate is adjusted to keep this share left: gain per delivery, its largest multiple. */
     private static final double TARGET_SHARE_LEFT = 0.5;
     private static final double SHARE_LEFT_GAIN = 0.6;
     private static final double MAX_SHARE_LEFT_GAIN_FACTOR = 3;
     /**
      * Longest interval between sends after a refusal, so that rare messages don't wait long, and its growth
-     * with further ones. Not used at a known rate: for a hundred senders together it would be too short.
+     * with further ones. Not used if a rate is known: a hundred senders at this interval may exceed it.
      */
     private static final double MAX_SEND_INTERVAL_MS = 500;
     private static final double SEND_INTERVAL_GROWTH = 3;
     private static final int MAX_REFUSAL_LEVEL = 4;
     /** Lowest allowed rate, as a share of the rate of messages that this sender accepts for a destination. */
     private static final double MIN_RATE_DEMAND_SHARE = 0.2;
-    /** Lowest rate as a share of the sender's fair share of the listed rate, which may be 50% too high. */
+    /** Lowest rate, as a part of the sender's fair share of the listed rate, which may be 50% too high. */
     private static final double MIN_LISTED_RATE_SHARE = 0.5;
     /**
-     * Lowest rate as a share of the sender's fair share of the reported rate, divided further with each
-     * refusal, as other senders may use more. Without it a rate cut by a burst stays low at few deliveries.
+     * Lowest rate, as a part of the fair share of the reported rate, divided further with each refusal, as
+     * other senders may use more. Without it a rate that a burst has cut stays low: only deliveries raise it.
      */
     private static final double MIN_REPORTED_RATE_SHARE = 0.9;
-    /** Weight of a new report in the average reported rate, and the factor by which it may differ. */
+    /** Weight of a new report in the average reported rate, and the largest factor by which it may differ. */
     private static final double REPORTED_RATE_WEIGHT = 0.2;
     private static final double REPORTED_RATE_MAX_RATIO = 2;
-    /** After this time without a send a destination's rate limit is dropped. */
+    /** After this time without a send the allowed rate is unlimited again. */
     private static final double RATE_RESET_IDLE_MS = 60_000;
 
     /** Added to Retry-After waits, and tolerated in wakes, because clocks are rounded. */
     private static final double CLOCK_MARGIN_MS = 1;
 
     // Health.
-    /** The failure score, 0 to 1: a failure closes this share of the gap to 1, a delivery multiplies it. */
+    /** Weights of failures in the failure score, 0 to 1, and the factor on the score at a delivery. */
     private static final double FAILURE_WEIGHT = 0.2;
     private static final double UNREACHABLE_WEIGHT = 0.6;
     private static final double DELIVERY_FACTOR = 0.6;
     /** Score from which an endpoint counts as down: five failures in a row, or one failed connect. */
     private static final double DOWN_SCORE = 0.6;
-    /** Number of overdue calls, without any answer since they were sent, that mark an endpoint as down. */
+    /** Number of overdue calls, without a delivery since they were sent, that mark an endpoint as down. */
     private static final int DOWN_OVERDUE_CALLS = 2;
     private static final double OVERDUE_DEVIATION_FACTOR = 4;
-    /** This many failures or refusals in a row, over at least this time, mark an endpoint as down. */
+    /** This many failures or refusals in a row mark an endpoint as down if they span an outage: */
     private static final int DOWN_FAILURES = 3;
     private static final double MIN_OUTAGE_MS = 2500;
-    /** Shortest interval between probes of a down endpoint; times the number of senders, also the longest. */
+    /** Shortest interval between probes of a down endpoint; times the number of senders, the longest, */
     private static final double MIN_PROBE_INTERVAL_MS = 500;
-    /** Upper bound of the interval between probes, in ramp-up times of the slow start. */
+    /** but no longer than this many ramp-up times of the slow start. */
     private static final double MAX_PROBE_INTERVAL_RAMP_UPS = 4;
     /** Share of the load permitted to a recovering endpoint that slow start uses; the rest is for bursts. */
     private static final double SLOW_START_LOAD_SHARE = 0.7;
@@ -129,7 +129,7 @@
     // Idle connections.
     /** A connection that was not used for this long counts as idle. */
     private static final double MIN_IDLE_MS = 100;
-    /** After a loss: share of its idle time up to which connections are reused, and how long that holds. */
+    /** Once calls were lost on idle connections: share of the idle time still reused, and for how long. */
     private static final double REUSE_IDLE_SHARE = 0.25;
     private static final double IDLE_LOSS_RETENTION_MS = 30_000;
 
@@ -138,7 +138,7 @@
     private static final double PRIORITY_HORIZON_MS = 1500;
     /** Weight of the value itself in the priority, to break ties of messages that lose no value yet. */
     private static final double PRIORITY_VALUE_WEIGHT = 0.01;
-    /** Latency that costs as much as a zone fee of one point, by the value that a message loses in it. */
+    /** Latency in which a message loses as much value as a zone fee of one point costs. */
     private static final double LATENCY_MS_PER_FEE_POINT = 25_000;
     private static final Comparator<TrackedMessage> OLDEST_FIRST = Comparator
             .comparingDouble((TrackedMessage d) -> d.targetAt).thenComparingLong(d -> d.queuePosition);
@@ -146,12 +146,12 @@
             .comparingDouble((TrackedMessage d) -> -d.targetAt).thenComparingLong(d -> d.queuePosition);
     private static final Comparator<TrackedMessage> HIGHEST_PRIORITY_FIRST =
             Comparator.comparingDouble((TrackedMessage d) -> -d.priority()).thenComparing(OLDEST_FIRST);
-    /** Segments of the priority curve, see {@link TrackedMessage#currentSegment}: sums of these bits. */
+    /** Segments of the priority curve (low bits of a queue index), see currentSegment: sums of these bits. */
     private static final int SEGMENTS = 8;
     private static final int TARGET_PASSED = 1;
     private static final int DEADLINE_IN_HORIZON = 2;
     private static final int MIN_VALUE_REACHED = 4;
-    /** Eligibility of a group: it may be sent in a new call, or even join a call that this turn started. */
+    /** Eligibility levels of a group: it may need a new call, or can join a call that this turn started. */
     private static final int ELIGIBLE = 1;
     private static final int JOINABLE = 2;
     /** The allowed zone of a message that may go to any zone, and of one that may go to none. */
@@ -239,7 +239,7 @@
         accept(message).destination.demand.addEvent(clock);
     }
 
-    /** Demand is not counted: restored messages arrive at once, but were submitted over an unknown time. */
+    /** Demand is not counted: restored messages arrive at once, but were submitted over an unknown period. */
     @Override
     public void messageRestored(double nowMs, Message message, List<EarlierAttempt> attempts) {
         advanceClock(nowMs);
@@ -412,7 +412,7 @@
 
     /**
      * Sends waiting messages by priority. A group whose first message can't be sent is set aside for this
-     * turn, as none of its messages can: its destination has calls in flight and lacks a slot, or the call
+     * turn, as the reason holds for all its messages: their destination may take no further slot, or the call
      * would not end before the shutdown.
      */
     private void dispatch() {
@@ -459,7 +459,7 @@
                 .anyMatch(e -> e.isReady() && !e.slotAvailable() && sendConditionsMet(d, e)));
     }
 
-    /** Puts a message into the group in which it has to wait now, or into none if it may not be sent. */
+    /** Puts a message into the group in which it has to wait now, or removes it if it may not be sent. */
     private void updateGroup(TrackedMessage d) {
         if (!d.completed && d.inFlight == 0 && d.notBefore <= clock && keyOrderAllows(d) && safeToSend(d)) {
             int classIndex = d.message.messageClass() + (d.wasRefused ? settings.classes().size() : 0);
@@ -476,10 +476,10 @@
     }
 
     /**
-     * Cancels the attempt that is in flight longest, relative to the usual latency of its endpoint, if it is
-     * overdue and may be repeated: a few unanswered calls could hold all slots until their timeouts. Each
-     * cancellation raises the limit for the next one there, as the endpoint may only be slow. The call counts
-     * as overdue then, so that a silent endpoint is marked as down and does not take the slots again.
+     * Of the attempts that may be repeated, cancels the one that most exceeds its limit, see {@link
+     * Attempt#cancelLimitRatio}: a few unanswered calls could hold all slots until their timeouts. Each
+     * cancellation raises the limit for the endpoint, as it may only be slow. The attempt's call then counts
+     * as overdue, so that a silent endpoint is marked as down and does not take the slots again.
      */
     private void cancelSlowestAttempt() {
         inFlightAttempts.stream()
@@ -493,7 +493,7 @@
                 });
     }
 
-    /** The cheapest endpoint that may be sent to; a hedged attempt goes to another endpoint if it can. */
+    /** The cheapest endpoint that may get the message; a hedge goes elsewhere if another endpoint serves. */
     private Optional<TrackedEndpoint> chooseEndpoint(TrackedMessage d, boolean hedged) {
         List<TrackedEndpoint> candidates = d.destination.endpoints;
         boolean otherServing = hedged && candidates.stream().anyMatch(e -> e.serving && !d.isInFlightAt(e));
@@ -509,7 +509,7 @@
                 || endpoint.slotAvailable() && endpoint.isReady());
     }
 
-    /** The conditions that hold for a send whether it needs a slot of its own or joins a call. */
+    /** The conditions of every send, whether it needs a slot of its own or joins a call. */
     private boolean sendConditionsMet(TrackedMessage d, TrackedEndpoint endpoint) {
         waiting.countOperation();
         return !d.completed && endpoint.serving
@@ -522,13 +522,13 @@
                 && clock + endpoint.requiredTimeLeft(d.messageClass) <= shutdownAt;
     }
 
-    /** Whether one more attempt at this endpoint can't make the message take effect twice. */
+    /** Whether an attempt at this endpoint is safe: it can't make the message take effect twice. */
     private boolean safeToSend(TrackedMessage d, TrackedEndpoint endpoint) {
         long zone = d.allowedZone();
         return safeToSend(d) && (zone == ANY_ZONE || zone == endpoint.entry.zone());
     }
 
-    /** The same without regard to the endpoint: checks only the effect and the deduplication window. */
+    /** The same without regard to the zone: checks the class, the deduplication window and hedging. */
     private boolean safeToSend(TrackedMessage d) {
         double windowMs = d.messageClass.repeat() == Repeat.SAFE ? Double.POSITIVE_INFINITY
                 : d.messageClass.dedupWindowMs();
@@ -553,7 +553,7 @@
         attemptStarted(attempt, Optional.of(call), hedged);
     }
 
-    /** Records an attempt as in flight, and sets the timers of its hedged attempt and its overdue call. */
+    /** Records an attempt as in flight, and sets the timers for its hedge and for its call to be overdue. */
     private void attemptStarted(Attempt attempt, Optional<Call> call, boolean hedged) {
         TrackedMessage d = attempt.tracked;
         attempt.call = call;
@@ -569,7 +569,7 @@
         call.ifPresent(c -> c.setOverdueAt(attempt.sentAt + Math.max(hedgeDelay, c.endpoint.overdueAfter())));
     }
 
-    /** All attempts have ended without a delivery: waits for a new round, or finishes if none is allowed. */
+    /** All attempts have ended undelivered: waits, with jitter, for a new round, or finishes the message. */
     private void scheduleNextRound(TrackedMessage d) {
         finishIfNoFurtherAttempt(d);
         if (d.completed) {
@@ -582,7 +582,7 @@
         d.backoffTimer = timers.add(d.notBefore, () -> updateGroup(d));
     }
 
-    /** Finishes a message once no further attempt is possible: a result at its deadline would be useless. */
+    /** Finishes a message if no further attempt is possible: at its deadline the result would be useless. */
     private void finishIfNoFurtherAttempt(TrackedMessage d) {
         if (!furtherAttemptPossible(d)) {
             finishUndelivered(d);
@@ -594,7 +594,7 @@
         }
     }
 
-    /** Whether a further attempt may become possible, at a listed endpoint or, if none is, at a new one. */
+    /** Whether a further attempt may become possible, at a known endpoint or, if none is, at a new one. */
     private boolean furtherAttemptPossible(TrackedMessage d) {
         return d.attempts.size() < settings.maxAttempts() && clock < d.deadlineAt - RESULT_MARGIN_MS
                 && (d.destination.endpoints.isEmpty() ? safeToSend(d)
@@ -651,7 +651,7 @@
         /** Position in the order in which messages began to wait, or to wait again. */
         long queuePosition = nextQueuePosition++;
         final Optional<KeyQueues<TrackedMessage>.KeyQueue> keyQueue;
-        /** Timers for the end of the deduplication window and of the backoff; null until set. */
+        /** Timers of deduplication window and backoff, null until set; this object is the deadline's. */
         Timer dedupTimer;
         Timer backoffTimer;
         int segment;
@@ -678,7 +678,7 @@
             return messageClass.repeat() == Repeat.KEYED && messageClass.dedupWithinZone();
         }
 
-        /** The zone of its earlier attempts if only that zone drops repeats of them. */
+        /** The only zone that may get it again, as only that one drops repeats; else ANY_ZONE or NO_ZONE. */
         long allowedZone() {
             long[] zones = attempts.stream().filter(a -> a.mayTakeEffect() && isDedupWithinZone())
                     .mapToLong(a -> a.endpoint.map(e -> (long) e.entry.zone()).orElse(NO_ZONE))
@@ -711,7 +711,7 @@
         /**
          * The current segment of the priority curve, in which the order of two messages of a class is fixed.
          * Until the target time priority rises: oldest first. Then it falls: newest first, with a jump up
-         * where the horizon reaches the deadline. At the minimum value it is constant: oldest first.
+         * where PRIORITY_HORIZON_MS reaches the deadline. At the minimum value it is constant: oldest first.
          */
         int currentSegment() {
             return (clock > targetAt ? TARGET_PASSED : 0)
@@ -735,7 +735,7 @@
         }
     }
 
-    /** An attempt. One of a previous process has no call unless in flight, and no endpoint unless listed. */
+    /** An attempt; one of a previous process has a call only if in flight, an endpoint only if listed. */
     private final class Attempt extends Timer {
         final TrackedMessage tracked;
         final Optional<TrackedEndpoint> endpoint;
@@ -775,7 +775,7 @@
         }
     }
 
-    /** A request on the wire with one attempt or more: it takes one slot, and counts once for health. */
+    /** A request on the wire: takes one slot, counts once for health, and is overdue when its timer fires. */
     private final class Call extends Timer {
         final TrackedEndpoint endpoint;
         final double sentAt;
@@ -836,7 +836,7 @@
         }
     }
 
-    /** A destination with its endpoints and, unless they are separate routes, their shared rate limiter. */
+    /** A destination with its endpoints and their shared rate limiter, not used for separate routes. */
     private final class Destination extends GroupedQueues.Owner<TrackedMessage> {
         final List<TrackedEndpoint> endpoints = new ArrayList<>(2);
         final RateLimiter sharedLimiter = new RateLimiter(this);
@@ -871,11 +871,12 @@
         }
     }
 
-    /** Allowed rate and Retry-After wait of endpoints that share a limit: avoids refusals and early sends. */
+    /** Rate limit, Retry-After wait and outage evidence of endpoints that share a limit. */
     private final class RateLimiter {
         final EventRate sendRate = new EventRate(clock, RATE_AVERAGING);
         final TimestampQueue lastSecondSends = new TimestampQueue();
         final Destination destination;
+        /** Rate cuts less deliveries since, from 0 to MAX_REFUSAL_LEVEL; lowers the lowest rate. */
         int refusalLevel;
         double listedRate;
         double reportedRate;
@@ -913,7 +914,7 @@
             }
         }
 
-        /** Records a Retry-After wait. Messages of one call may report different ones: the longest counts. */
+        /** Records a Retry-After wait. Attempts of one call may report different ones: the longest counts. */
         void recordRetryAfter(double retryAfterMs) {
             destination.markChanged();
             retryAfterUntil = retryAfterMs > 0
@@ -931,9 +932,9 @@
         }
 
         /**
-         * Lowers the allowed rate after a refusal, except of a call sent before the last cut. The Retry-After
-         * waits of all senders end at the same time: if the next send would come after the wait, it gets a
-         * random delay after it, so that the senders don't all send at once.
+         * Lowers the allowed rate after the refusal of a call, unless that was sent before the last cut. The
+         * Retry-After waits of all senders end at the same time: if the next send would come after the wait,
+         * a random delay is added to the wait, so that the senders don't all send at once.
          */
         void cutRate(Call call) {
             if (call.sentAt < rateCutAt) {
@@ -941,7 +942,7 @@
             }
             boolean limited = allowedRate < Double.POSITIVE_INFINITY;
             double currentRate = limited ? allowedRate : lastSecondSends.size() / 1000.0;
-            // Where each sender has little traffic, the count of one second is too small to give a rate.
+            // One second's count is too coarse at low traffic, so the average caps it if a limit is known.
             currentRate = limited || cautiousShare(0) > 0
                     ? Math.min(currentRate, MAX_RATE_OVER_SENT * sendRate.perMs()) : currentRate;
             allowedRate = Math.max(minRate(), currentRate * RATE_CUT_FACTOR);
@@ -992,7 +993,7 @@
             }
         }
 
-        /** One of its endpoints has delivered: if that may end an outage, all that are up slow-start. */
+        /** An endpoint has delivered: if that may end an outage, those in state UP begin slow start. */
         void endpointDelivered(boolean mayEndOutage) {
             evidence.recordDelivery(clock);
             if (mayEndOutage) {
@@ -1007,7 +1008,7 @@
             return clock - recoveredAt < settings.slowStart().rampUpMs();
         }
 
-        /** Allowed rate of calls to all its endpoints not in full service; the given one is next. */
+        /** Allowed rate of calls to all endpoints not in full service; the next call goes to this one. */
         double totalRecoveryRate(TrackedEndpoint endpoint) {
             double endpointShare = this == destination.sharedLimiter ? 1 : 1.0 / destination.servingOrOne();
             double assumed = destination.demand.perMs() * endpointShare * ASSUMED_DEMAND_SHARE;
@@ -1016,7 +1017,7 @@
                     endpoint.slowStartRate(Math.max(sustainedRate, Math.max(assumed, cautiousShare(0)))));
         }
 
-        /** This sender's fair share of the listed or reported rate, at this refusal level; 0 if unknown. */
+        /** Part of this sender's fair share of the listed or reported rate; 0 if neither is known. */
         double cautiousShare(int level) {
             double reportedShare = MIN_REPORTED_RATE_SHARE * reportedRate / (1 + level);
             return Math.max(MIN_LISTED_RATE_SHARE * listedRate, reportedShare) / settings.senderCount();
@@ -1031,9 +1032,9 @@
     }
 
     /**
-     * An endpoint and its health. One that is dead, silent, failing or refusing everything is marked as down
-     * and gets single probes in place of the backlog; when it answers again, slow start keeps the load within
-     * what it can take after an outage. Drawback: an endpoint that is only slow may be marked as down.
+     * An endpoint and its health. One that is unreachable, silent, failing or refusing everything is marked
+     * as down and gets single probes instead of the backlog; when it answers again, slow start keeps the load
+     * within what it can take after an outage. Drawback: one that is only slow may be marked as down.
      */
     private final class TrackedEndpoint {
         final Endpoint entry;
@@ -1058,7 +1059,7 @@
         double slowStartAt;
         double downAt;
         boolean downByOverdueCalls;
-        /** It answered with errors or refusals while down; lost connections may be the network's fault. */
+        /** It answered with errors or refusals while down; lost connections don't count, see onDelivered. */
         boolean errorOrRefusalWhileDown;
         double nextSendAt = Double.NEGATIVE_INFINITY;
         double lastUsedAt = Double.NEGATIVE_INFINITY;
@@ -1104,16 +1105,16 @@
             destination.markChanged();
         }
 
-        /** Whether a message with this allowed zone may be sent there, apart from slots. */
+        /** Whether a message with this allowed zone may be sent there now, if a slot is free. */
         boolean readyForZone(long zone) {
             return serving && (zone == ANY_ZONE || zone == entry.zone())
                     && (canJoinCall() || limiter.retryAfterUntil <= clock && isReady());
         }
 
         /**
-         * The cost of a send there, in milliseconds: the latency, multiplied by the calls in flight, plus
-         * penalties for recent failures and the zone fee. A down endpoint whose probe is due is the cheapest,
-         * as it would stay down for ever without probes, but the most expensive for unsafe messages.
+         * The cost of a send there, in milliseconds: the latency, multiplied by the calls with this one, plus
+         * penalties for failures in a row and the zone fee (less with few free slots). A down endpoint, whose
+         * probe is due, is the cheapest, as only probes end that, but the costliest for unsafe messages.
          */
         double cost(TrackedMessage d) {
             if (state == EndpointState.DOWN) {
@@ -1153,10 +1154,10 @@
         }
 
         /**
-         * Whether its destination may take one more slot. It may hold fewer slots than remain free, so that a
-         * slow or silent one can't hold them all. A fast one frees its slots soon and may take all but one,
-         * and that one too while it holds less than its share by demand, else those with no call in flight
-         * starve the busiest one. Drawback: if it goes silent, this lasts until its second call is overdue.
+         * Whether its destination may take one more slot: always its first, or if it holds fewer than remain
+         * free, so that a slow or silent one can't hold them all. With a fast endpoint it may take all but
+         * one, and the last too while below its share by demand, else destinations without calls, which may
+         * always take it, starve the busiest. Drawback: a silent one stays fast until 2 calls are overdue.
          */
         boolean slotAvailable() {
             int freeSlots = settings.slotCount() - slotsUsed;
@@ -1182,14 +1183,14 @@
             return isInFullService() ? earliest : Math.max(earliest, limiter.nextRecoverySendAt);
         }
 
-        /** The longest usual latency; a call that takes longer is overdue. */
+        /** A latency that is rarely exceeded; a call is overdue after it, but not before the hedge delay. */
         double overdueAfter() {
             return meanLatency + OVERDUE_DEVIATION_FACTOR * latencyDeviation;
         }
 
         /**
          * The time that must be left before the shutdown to start a call. An unsafe message must not be cut
-         * off: it needs the slowest likely latency, but not its timeout, longer than any shutdown takes.
+         * off: it needs the slowest likely latency (its timeout would be longer than any shutdown takes).
          */
         double requiredTimeLeft(MessageClass messageClass) {
             return messageClass.repeat() == Repeat.UNSAFE ? slowestLatency() : overdueAfter();
@@ -1206,7 +1207,7 @@
             return Math.max(usual, unsafeMin);
         }
 
-        /** Allowed rate while down or in slow start, from the share of the load that it had before. */
+        /** Allowed rate while down or in slow start, from the rate it sustained before or may sustain. */
         double recoveryRate() {
             double assumed = destination.demand.perMs() / destination.servingOrOne() * ASSUMED_DEMAND_SHARE;
             double cautiousShare = limiter.cautiousShare(0)
@@ -1253,7 +1254,7 @@
         }
 
         private void onDelivered(Call call, AttemptResult result) {
-            // With deliveries this close together, no outage was long enough to require a slow start.
+            // If the last delivery is this recent, no outage was long enough to require a slow start.
             boolean briefFailure = !errorOrRefusalWhileDown && clock - lastDeliveryAt < MIN_OUTAGE_MS;
             boolean mayEndOutage = limiter.evidence.isSuspected(clock);
             limiter.endpointDelivered(mayEndOutage);
@@ -1292,10 +1293,11 @@
         }
 
         private void markRefusing() {
-            markDown("refuses all messages");
+            markDown("refuses messages or shares a rate limit with one that does");
             errorOrRefusalWhileDown = true;
         }
 
+        /** Counts a failure or refusal; returns whether this many in a row, over this time, are an outage. */
         private boolean countFailure() {
             if (consecutiveFailures++ == 0) {
                 firstFailureAt = clock;
@@ -1325,7 +1327,7 @@
             state = EndpointState.WARMING;
             slowStartAt = clock;
             nextSendAt = clock + 1 / recoveryRate();
-            actions.log("endpoint " + entry.id() + " answers again, slow start begins");
+            actions.log("endpoint " + entry.id() + " begins slow start after an outage or a suspected one");
             saveHealth();
         }
 
@@ -1369,9 +1371,9 @@
     }
 
     /**
-     * Avoids idle connections that were dropped without notice: once idle ones of two destinations have lost
-     * calls, those idle for over {@link #REUSE_IDLE_SHARE} of the shorter time are closed before use, until a
-     * call on one that was idle as long is delivered.
+     * Closes idle connections that may have been dropped without notice. Once calls of two destinations were
+     * lost on idle ones, any idle for over {@link #REUSE_IDLE_SHARE} of the shortest of these idle times is
+     * closed before use, until a call on a connection that was idle for at least that time is delivered.
      */
     private final class IdleConnectionReuse {
         /** Of the calls lost on idle connections, the one whose connection was idle for the shortest time. */
@@ -1379,7 +1381,7 @@
         private double lastLossAt = Double.NEGATIVE_INFINITY;
         private boolean lossConfirmed;
 
-        /** Idle time of the connection that a new call will use: 0 for one in use, or a new one. */
+        /** Idle time of the connection for a new call, 0 if in use or new; closes those idle for too long. */
         double prepareConnection(TrackedEndpoint endpoint) {
             double idleMs = !endpoint.calls.isEmpty() ? 0 : clock - endpoint.lastUsedAt;
             if (clock > lastLossAt + IDLE_LOSS_RETENTION_MS) {
@@ -1413,7 +1415,7 @@
 
     /**
      * Limits extra sends to a share of first sends, over all destinations. Without it hedged attempts could
-     * double the load on a slow destination, and retries of refused messages could use up its limit for good.
+     * double the load on a slow destination, and retries of refused messages could keep its limit used up.
      */
     private final class SendBudget {
         private final double alwaysAllowed;
@@ -1427,7 +1429,7 @@
 
         void recordSend(double at) {
             extraSends.add(at);
-            timers.add(at + BUDGET_PERIOD_MS + CLOCK_MARGIN_MS, () -> { });
+            timers.add(at + BUDGET_PERIOD_MS + CLOCK_MARGIN_MS, () -> { /* only wakes for a turn */ });
         }
 
         boolean allowsSend() {
--- a/src/main/java/kestreldeal/EventRate.java
+++ b/src/main/java/kestreldeal/EventRate.java
@@ -1,6 +1,9 @@
 package kestreldeal;
 
-/** Rate of events per millisecond, as an exponentially weighted moving average over the observed time. */
+/**
+ * Rate of events per millisecond, as an exponentially weighted moving average over the observed time, which ends at the
+ * last event: the rate does not fall while there are no events.
+ */
 final class EventRate {
     /** Fixed-point units in one event. */
     private static final double UNITS_PER_EVENT = 1 << 30;
@@ -11,7 +14,7 @@
     private double weightedMs;
     private double updatedAtMs;
 
-    /** The sum of the weighted events of several rates, in fixed-point units, so that rounding does not add up. */
+    /** The sum of the weighted events of several rates, in fixed-point units, so that rounding errors don't add up. */
     static final class Total {
         private long units;
     }
@@ -20,7 +23,7 @@
     record Averaging(double timeConstantMs, double minObservedMs) {
     }
 
-    /** No events yet, observed from now on. */
+    /** Creates a rate without events, observed from {@code nowMs} on. */
     EventRate(double nowMs, Averaging averaging) {
         this(nowMs, averaging, null);
     }
@@ -50,7 +53,7 @@
         updatedAtMs = nowMs;
     }
 
-    /** Share of the total's events; NaN if the total has none. */
+    /** Share of the total's events; NaN, for which all comparisons are false, if the total has none. */
     double shareOfTotal() {
         return (double) units() / total.units;
     }
--- a/src/main/java/kestreldeal/GroupedQueues.java
+++ b/src/main/java/kestreldeal/GroupedQueues.java
@@ -10,9 +10,9 @@
 
 /**
  * Priority queues in which whole groups of elements can be made eligible or ineligible at once. Elements of the same
- * owner, queue and tag form a group, which exists while it has elements. A group keeps its elements in the order of
- * its queue, and a queue keeps its eligible groups in the order of their first elements. Adding or removing an element
- * and changing the eligibility of a group take O(log n).
+ * owner, queue and tag (a number that the caller chooses) form a group, which exists while it has elements. A group
+ * keeps its elements in the order of its queue, and a queue keeps its eligible groups in the order of their first
+ * elements. Adding or removing an element and changing the eligibility of a group take O(log n).
  *
  * @param <E> the elements; a queue's order must tell any two apart and must not change while they are in the queue
  */
@@ -46,7 +46,10 @@
         /** Sets the levels of its groups, and returns when to do so again if nothing changes before. */
         abstract double updateGroups();
 
-        /** Schedules an update, as the eligibility of its groups may have changed; nothing to do without groups. */
+        /**
+         * Schedules an update, as the eligibility of its groups may have changed; does nothing if it has neither
+         * groups nor a scheduled update.
+         */
         final void markChanged() {
             if (!changed && (!groups.isEmpty() || dueAt() < Double.POSITIVE_INFINITY)) {
                 changed = true;
@@ -83,9 +86,9 @@
     }
 
     /**
-     * Creates a queue for each order. A group has an eligibility level from 0 (ineligible) to the given number, and is
-     * included in all levels up to its own. An element expires from its queue at the given time, which must rise or
-     * fall monotonically along the order of the queue.
+     * Creates a queue for each order. A group has an eligibility level from 0 (ineligible) to {@code maxLevel}, and is
+     * included in all levels up to its own. An element expires from its queue at the time that {@code expiryOf}
+     * returns, which must rise or fall monotonically along the order of the queue.
      */
     GroupedQueues(List<Comparator<E>> orders, int maxLevel, ToDoubleFunction<E> expiryOf) {
         this.expiryOf = expiryOf;
@@ -150,7 +153,10 @@
         }
     }
 
-    /** Passes each element that has expired from its queue to the given function, which must put it into another. */
+    /**
+     * Passes each element that has expired from its queue to the given function, which must put it into another queue
+     * or remove it.
+     */
     void requeueExpired(double nowMs, Consumer<E> requeue) {
         while (groupExpiries.nextDueAt() < nowMs) {
             Group<E> group = groupExpiries.first();
@@ -159,7 +165,10 @@
         }
     }
 
-    /** Of the groups with at least this level in the first queues, the one with the first element in order, or null. */
+    /**
+     * Of the groups with at least this level in the first {@code queueCount} queues, returns the one whose first
+     * element comes first in {@code order}, or null if there is none.
+     */
     Group<E> first(int queueCount, int level, Comparator<E> order) {
         return queues.stream().limit(queueCount).map(queue -> queue.groupsByLevel.get(level - 1))
                 .filter(eligible -> !eligible.isEmpty())
@@ -167,7 +176,7 @@
                 .min(Comparator.comparing(Group::first, order)).orElse(null);
     }
 
-    /** The groups with at least this level in the first queues. */
+    /** The groups with at least this level in the first {@code queueCount} queues. */
     Stream<Group<E>> groups(int queueCount, int level) {
         return queues.stream().limit(queueCount).flatMap(queue -> queue.groupsByLevel.get(level - 1).stream())
                 .peek(group -> operations++);
--- a/src/main/java/kestreldeal/KeyQueues.java
+++ b/src/main/java/kestreldeal/KeyQueues.java
@@ -7,7 +7,8 @@
 import java.util.function.Consumer;
 
 /**
- * A FIFO queue of elements for each key. A queue exists while it has elements or attempts in flight, or cools down.
+ * A FIFO queue of elements for each key. A queue exists while it has elements or attempts in flight, or until its
+ * cool-down has ended, which is a pause after an attempt that may still be running.
  *
  * @param <E> the elements
  */
@@ -16,7 +17,7 @@
     private final Timers timers;
     private final Consumer<E> recheckFirst;
 
-    /** The listener gets the first element of a queue whenever it may have become eligible or ineligible. */
+    /** {@code recheckFirst} gets the first element of a queue whenever it may have become eligible or ineligible. */
     KeyQueues(Timers timers, Consumer<E> recheckFirst) {
         this.timers = timers;
         this.recheckFirst = recheckFirst;
--- a/src/main/java/kestreldeal/OutageEvidence.java
+++ b/src/main/java/kestreldeal/OutageEvidence.java
@@ -5,13 +5,16 @@
  * at low traffic a single endpoint sees too few calls to tell. Times are in milliseconds.
  */
 final class OutageEvidence {
-    /** The failure score, 0 to 1: a failure closes this share of the gap to 1, a delivery multiplies it. */
+    /** Weight of a failure in the failure score, 0 to 1, and the factor on the score at a delivery. */
     private static final double FAILURE_WEIGHT = 0.2;
     private static final double DELIVERY_FACTOR = 0.6;
     /** Score from which there is an outage: five failures in a row. */
     private static final double OUTAGE_SCORE = 0.6;
 
-    /** Number of failed or overdue calls that raises suspicion; a single call may fail at any time. */
+    /**
+     * Number of failures and overdue calls that raises suspicion, as a single one may occur at any time. A
+     * call that is overdue and then fails counts twice.
+     */
     private static final int MIN_SUSPECT_FAILURES = 2;
     /** This many failures in a row, over the minimum length of an outage, are an outage at any score. */
     private static final int OUTAGE_FAILURES = 3;
@@ -25,13 +28,13 @@
     /** Time of the last delivery, or at first of this object's creation. */
     private double lastDeliveryAt;
 
-    /** Observes from now on; a shorter outage than this is ignored, as no slow start is needed after it. */
+    /** Observes from nowMs on. An outage shorter than minOutageMs is ignored, as it needs no slow start. */
     OutageEvidence(double nowMs, double minOutageMs) {
         this.lastDeliveryAt = nowMs;
         this.minOutageMs = minOutageMs;
     }
 
-    /** A message of a previous process was restored: its last delivery there may be long ago. */
+    /** A message was restored: the last delivery by the previous process may be long ago. */
     void messageRestored() {
         lastDeliveryAt = everDelivered ? lastDeliveryAt : Double.NEGATIVE_INFINITY;
     }
@@ -57,7 +60,7 @@
         failuresAndOverdueCalls += lastDeliveryAt < sentAt ? 1 : 0;
     }
 
-    /** Whether there may be an outage: recent calls failed, and the last delivery is long ago. */
+    /** Whether there may be an outage: calls failed since the last delivery, and that is long ago. */
     boolean isSuspected(double nowMs) {
         return failuresAndOverdueCalls >= MIN_SUSPECT_FAILURES && nowMs - lastDeliveryAt >= minOutageMs;
     }
--- a/src/main/java/kestreldeal/Relay.java
+++ b/src/main/java/kestreldeal/Relay.java
@@ -15,12 +15,13 @@
  * any event; the sender must carry them out in the order of invocation, and must not call the instance from within
  * an action. Equal settings, seeds and events produce equal actions.
  *
- * <p>Incorrect use (an unknown message or attempt, a repeated id, a time that decreases) throws {@link
- * IllegalArgumentException} or {@link IllegalStateException}. Events that can arrive late in normal operation are
- * ignored: a cancellation of a completed message, a timer that is no longer needed, a second result of an attempt.
+ * <p>Incorrect use (the result of an unknown attempt, the id of a message that is still tracked, an unknown class, a
+ * time that decreases) throws {@link IllegalArgumentException}. Events that can arrive late in normal operation are
+ * ignored: a cancellation of an unknown or completed message, a timer that is no longer needed, a second result of an
+ * attempt whose message has other attempts in flight or is not completed yet.
  */
 public interface Relay {
-    /** Creates an instance with no state; equal settings, seeds and events produce equal actions. */
+    /** Creates an instance without messages, endpoints or learned state. */
     static Relay create(Settings settings, long seed, Actions actions) {
         return new DeliveryScheduler(settings, seed, actions);
     }
@@ -32,34 +33,35 @@
     void endpointsChanged(double nowMs, boolean fullList, List<Endpoint> entries);
 
     /**
-     * Reports that the sender has accepted a message. Exactly one final result completes it before its deadline: it
-     * is delivered, rejected or failed.
+     * Reports that the sender has accepted a message. Unless it is cancelled, exactly one final result completes it:
+     * it is delivered, rejected or failed, normally before its deadline. The result comes at the deadline or shortly
+     * after it if an attempt is in flight until then.
      */
     void messageAccepted(double nowMs, Message message);
 
     /**
      * Restores a message that a previous process of this sender accepted, from the journal, with the attempts made
-     * so far in their order; further attempts continue their numbering. An attempt that was in flight when that
-     * process ended may have run; it occupies no slot and gets no result. If it is still in flight, the process
-     * that started it keeps running to wait for it, and its result will be reported. Messages are restored in the
-     * order in which they were accepted.
+     * so far in their order; further attempts continue their numbering. An attempt whose process has ended may have
+     * run; it occupies no slot and gets no result. An attempt with an {@code inFlightCallId} is still awaited by the
+     * previous process, which passes its result on: it gets a result, and its call occupies a slot if its endpoint is
+     * listed. Messages are restored in the order in which they were accepted.
      */
     void messageRestored(double nowMs, Message message, List<EarlierAttempt> attempts);
 
     /**
      * Restores the health of an endpoint as a previous process last saved it by {@link Actions#saveEndpointHealth};
-     * its time is converted to this process's clock. It is restored before the messages of that process, whether or
-     * not the endpoint is listed yet.
+     * the caller has converted {@code sinceMs} to this process's clock. It is restored before the messages of that
+     * process, whether or not the endpoint is listed yet.
      */
     void restoreEndpointHealth(double nowMs, long endpoint, EndpointHealth health);
 
     /**
-     * Returns what this instance has learned, for its successor: the state beyond the messages and what {@link
-     * Actions#saveEndpointHealth} has saved.
+     * Returns the learned state to be passed to the next process: all state except the messages and the health that
+     * was passed to {@link Actions#saveEndpointHealth}.
      */
     LearnedState learnedState(double nowMs);
 
-    /** Restores the learned state of this instance's predecessor; called at most once, before its messages. */
+    /** Restores the learned state of the previous process; called at most once, before its messages are restored. */
     void restoreLearnedState(double nowMs, LearnedState state);
 
     /**
@@ -82,9 +84,9 @@
     void retryAfterReceived(double nowMs, long endpoint, double retryAfterMs);
 
     /**
-     * Returns whether a call that was decided earlier may still be written to its endpoint. During the rest of the
-     * turn, or while the connection was being opened, the endpoint may have asked to back off or begun to drain.
-     * This is a query and not an event: its time may be later than that of the current turn.
+     * Returns whether a call may still be written to its endpoint. After the call was decided, while its connection
+     * was being opened, the endpoint may have asked to back off, or may have been listed as not serving. This is a
+     * query and not an event: its time may be later than that of the current turn.
      */
     boolean sendAllowed(double nowMs, long endpoint);
 
@@ -109,7 +111,10 @@
          */
         void send(long message, long endpoint, double timeoutMs);
 
-        /** Stops waiting for a redundant attempt; its result is still reported. */
+        /**
+         * Stops waiting for an attempt, because its message is completed or to free its slot; its result is still
+         * reported.
+         */
         void cancel(long message, int attempt);
 
         /** Closes this sender's idle connections to an endpoint; the next call opens a new one. */
@@ -138,11 +143,11 @@
         void log(String text);
     }
 
-    /** Whether it is safe to attempt a message more than once. */
+    /** Whether it is safe to repeat a message, that is, to attempt it more than once. */
     enum Repeat {
         /** Repeating the message is harmless. */
         SAFE,
-        /** The destination drops repeats of the idempotency key for a time, within a group of endpoints. */
+        /** The destination drops repeats for a time, everywhere or only within a zone (see {@link MessageClass}). */
         KEYED,
         /** The message must not run twice. */
         UNSAFE
@@ -153,7 +158,7 @@
         DELIVERED(false),
         /** The endpoint answered with an error; the message may have run. */
         ERROR(true),
-        /** Rejected without being processed: over the rate limit, or the endpoint's queue is full or closed. */
+        /** Refused without being processed: the rate limit is exceeded, or the endpoint accepts no messages now. */
         FULL(false),
         /** No answer arrived in time; the message may have run, or may still run. */
         TIMED_OUT(true),
@@ -172,7 +177,7 @@
             this.mayHaveRun = mayHaveRun;
         }
 
-        /** Returns whether it is unknown if the message took effect; false for a delivery. */
+        /** Returns whether an attempt that did not deliver may have taken effect nevertheless; false for a delivery. */
         public boolean mayHaveRun() {
             return mayHaveRun;
         }
@@ -180,14 +185,16 @@
 
     /**
      * One entry of the endpoint list. The messages of a destination may go only to that destination's endpoints.
-     * {@code listedRatePerSecond} is the listed rate limit in calls a second, for all senders together. An endpoint that is
-     * removed, or that a full list does not contain, is forgotten after a while.
+     * {@code kind} is an index into {@link Settings#kinds}; the last kind applies if it is too large. {@code zone} is
+     * an index into {@link Settings#zoneFees}; a zone without an entry has no fee. {@code listedRatePerSecond} is the
+     * listed rate limit in calls a second, for all senders together. An endpoint that is removed, or that a full list
+     * does not contain, is forgotten after a while.
      */
     record Endpoint(long id, long destination, int kind, int zone, boolean serving, double listedRatePerSecond,
             boolean removed) {
         /** An endpoint that is not removed. */
-        Endpoint(long id, long destination, int kind, int zone, boolean serving, double listedRate) {
-            this(id, destination, kind, zone, serving, listedRate, false);
+        Endpoint(long id, long destination, int kind, int zone, boolean serving, double listedRatePerSecond) {
+            this(id, destination, kind, zone, serving, listedRatePerSecond, false);
         }
     }
 
@@ -211,9 +218,9 @@
     }
 
     /**
-     * What one instance passes to its successor: the learned state of each endpoint and its rate limit, and the ages
-     * in milliseconds, oldest first, of the first sends, hedged attempts ({@code copiesAgo}) and retries from which
-     * the limits on hedging and retries are computed.
+     * What a process passes to the next one: the learned state of each endpoint and its rate limit, and the ages in
+     * milliseconds, oldest first, of the first sends, hedged attempts ({@code copiesAgo}) and retries after refusals
+     * ({@code retriesAgo}) from which the limits on such attempts are computed.
      */
     record LearnedState(List<LearnedEndpointState> endpoints, List<Double> firstSendsAgo, List<Double> copiesAgo,
             List<Double> retriesAgo) {
@@ -221,9 +228,13 @@
 
     /**
      * The learned state of one endpoint and of the rate limit that applies to it. Rates are in calls a millisecond.
-     * {@code pace} is the allowed send rate, infinite if there is no limit, and {@code pressed} a count that rises with
-     * each refusal that cuts this rate and falls with each delivery. {@code sent} is the rate of sent calls, {@code
-     * told} the limit that the destination reported, {@code carried} the rate that the endpoint sustained.
+     * {@code pace} is the allowed send rate, infinite if there is no limit, and {@code paceCutAgoMs} the time since it
+     * was last cut. {@code pressed} is the refusal level: one more for each rate cut, up to a limit, and one less for
+     * each delivery, down to 0. {@code waitLeftMs} is the rest of a Retry-After wait, {@code sent} the rate of sent
+     * calls, {@code told} the limit that the destination reported, {@code demand} the rate of messages accepted for the
+     * destination, {@code carried} the rate that the endpoint sustained, {@code latencyMs} and {@code deviationMs} the
+     * mean latency and its mean absolute deviation, and {@code goodAgoMs} the time since the last delivery. The times
+     * since an event are infinite if there was none.
      */
     record LearnedEndpointState(long endpoint, double waitLeftMs, double pace, double paceCutAgoMs, int pressed,
                  double sent, double told, double demand, double carried, double latencyMs, double deviationMs,
@@ -235,22 +246,22 @@
         }
     }
 
-    /** The number of listed endpoints, and how many of those get no new messages, or probe attempts only. */
+    /** The number of listed endpoints, and how many of those are listed as not serving or are in an outage. */
     record EndpointCounts(int listed, int unavailable) {
     }
 
-    /** What an endpoint is assumed to be. The journal stores the ordinal, so the order must not change. */
+    /** The assumed state of an endpoint. The journal stores the ordinal, so the order must not change. */
     enum EndpointState {
         /** In service. */
         UP,
         /** In an outage: the endpoint gets probe attempts only. */
         DOWN,
-        /** Recovering from an outage, in slow start. */
+        /** Recovering from an outage: slow start limits its load. */
         WARMING
     }
 
     /**
-     * The state of an endpoint, the time since when it has been in it, and the rate in calls a millisecond that it
+     * The state of an endpoint, the time at which it entered that state, and the rate in calls a millisecond that it
      * sustained for this sender before an outage.
      */
     record EndpointHealth(EndpointState state, double sinceMs, double sustainedPerMs) {
@@ -267,8 +278,9 @@
     }
 
     /**
-     * The result of one attempt. {@code messageFinished} is set if the message needs no further action; {@code
-     * retryAfterMs} is the wait that an overloaded destination asked for, or 0.
+     * The result of one attempt. {@code messageFinished} is set if the endpoint reported that the message needs no
+     * further attempt, whatever the outcome; {@code retryAfterMs} is the wait that an overloaded destination asked for,
+     * or 0.
      */
     record AttemptResult(long message, int attempt, Outcome outcome, double durationMs, boolean messageFinished,
             double retryAfterMs, LoadReport report) {
@@ -281,25 +293,25 @@
 
     /** How the value of a message decreases after its target latency has passed. */
     enum Decay {
-        /** Linearly, down to the late share at the deadline. */
+        /** Linearly, down to {@code minValueShare} at the deadline. */
         LINEAR,
-        /** By half with each further target latency, but not below the late share. */
+        /** By half with each further target latency, but not below {@code minValueShare}. */
         HALVING
     }
 
     /**
-     * A message class. {@code value} is the value of a delivery within the target latency, and {@code minValueShare} the
-     * smallest share of it that a later delivery has, see {@link Decay}. {@code dedupWindowMs} is the time for which
-     * the destination drops repeats of a key, and {@code dedupWithinZone} tells whether it does so within one zone
-     * only. The messages of an {@code ordered} class are delivered in order by key.
+     * A message class. {@code value} is the value of a delivery within the target latency, and {@code minValueShare}
+     * the share of it that a later delivery before the deadline always has, see {@link Decay}. {@code dedupWindowMs} is
+     * the time after the first send for which the destination drops repeats, and {@code dedupWithinZone} tells whether
+     * it does so within one zone only. The messages of an {@code ordered} class are delivered in order by key.
      */
     record MessageClass(double targetLatencyMs, double deadlineMs, double value, double minValueShare, Repeat repeat,
                         boolean dedupWithinZone, double dedupWindowMs, boolean ordered) {
     }
 
     /**
-     * A kind of destination: whether its endpoints are separate routes, each with a rate limit of its own, and the
-     * maximum number of messages in one call.
+     * A kind of destination: whether its endpoints are separate routes to it, each with a rate limit and a zone fee of
+     * its own, or share one rate limit without fees; and the maximum number of messages in one call.
      */
     record DestinationKind(boolean separateRoutes, int maxBatchSize) {
     }
@@ -314,9 +326,11 @@
 
     /**
      * The settings of a deployment and of a sender. {@code ratesListed} tells whether the rates of the endpoint list
-     * are meaningful; {@code zoneFees} are the fees by zone, for separate routes; {@code senderCount} is the number
-     * of senders that share the destinations; {@code keyCoolDownMs} is the pause of a key after an attempt that may
-     * still run; an idle connection closes after {@code keepAliveMs}.
+     * are meaningful; {@code zoneFees} are the fees of a send by zone index, for separate routes; {@code senderCount}
+     * is the number of senders that share the destinations; {@code slotCount} is the maximum number of calls that this
+     * sender has in flight; {@code hedging} and {@code cancellation} tell whether it may have several attempts of a
+     * message in flight, and whether it may cancel attempts; {@code keyCoolDownMs} is the time for which an ordered key
+     * is not sent to after an attempt that may still be running; an idle connection closes after {@code keepAliveMs}.
      */
     record Settings(List<MessageClass> classes, List<DestinationKind> kinds, boolean ratesListed, Decay valueDecay,
                     List<Double> zoneFees, int senderCount, int slotCount, int maxAttempts, boolean hedging,
--- a/src/main/java/kestreldeal/Timers.java
+++ b/src/main/java/kestreldeal/Timers.java
@@ -31,14 +31,17 @@
         return timer;
     }
 
-    /** Fires all timers that are due, in the order of their times, including those that they set for now. */
+    /** Fires all timers that are due, in the order of their times, including those set meanwhile for now or earlier. */
     void fireDue(double nowMs) {
         while (nextDueAt() <= nowMs) {
             poll().fire();
         }
     }
 
-    /** Requests a wake-up at the first timer or at this time, whichever is earlier, unless it is requested already. */
+    /**
+     * Requests a wake-up at the first timer or at {@code otherDueAt}, whichever is earlier, unless a wake-up at that
+     * time or before is already requested.
+     */
     void requestWake(double nowMs, double otherDueAt) {
         double next = Math.min(otherDueAt, nextDueAt());
         if (requestedAt <= nowMs + marginMs || next < requestedAt) {
--- a/src/main/java/kestreldeal/TimestampQueue.java
+++ b/src/main/java/kestreldeal/TimestampQueue.java
@@ -3,7 +3,10 @@
 import java.util.List;
 import java.util.stream.IntStream;
 
-/** A FIFO queue of timestamps, oldest first: a ring buffer of primitive values, allocated with the first one. */
+/**
+ * A FIFO queue of timestamps, which must be added in ascending order: a ring buffer of primitive values, allocated when
+ * the first timestamp is added.
+ */
 final class TimestampQueue {
     private static final double[] EMPTY = {};
 
@@ -23,7 +26,7 @@
         ring[(head + size++) % ring.length] = timeMs;
     }
 
-    /** Removes the timestamps before this one. */
+    /** Removes the timestamps before {@code cutoffMs}. */
     void removeBefore(double cutoffMs) {
         while (size > 0 && ring[head] < cutoffMs) {
             head = (head + 1) % ring.length;
--- a/src/test/java/kestreldeal/ReferenceScheduler.java
+++ b/src/test/java/kestreldeal/ReferenceScheduler.java
@@ -993,7 +993,7 @@
             limit.turnedAway(waitMs);
         }
         private void shut() {
-            down("refuses all messages");
+            down("refuses messages or shares a rate limit with one that does");
             failing = true;
         }
         private boolean noneGood() {
@@ -1023,7 +1023,7 @@
             state = EndpointState.WARMING;
             warmSince = clock;
             nextAt = clock + 1 / allowedRate();
-            actions.log("endpoint " + entry.id() + " answers again, slow start begins");
+            actions.log("endpoint " + entry.id() + " begins slow start after an outage or a suspected one");
             remember();
         }
         private void up(String symptom) {
