--- a/src/main/java/kestreldeal/EventRate.java
+++ b/src/main/java/kestreldeal/EventRate.java
@@ -1,6 +1,9 @@
 package kestreldeal;
 
-/** Rate of events per millisecond, as an exponentially weighted moving average over the observed time. */
+/**
+ * Rate of events per millisecond, as an exponentially weighted moving average over the observed time, which ends at the
+ * last event: the rate does not fall while there are no events.
+ */
 final class EventRate {
     /** Fixed-point units in one event. */
     private static final double UNITS_PER_EVENT = 1 << 30;
@@ -11,16 +14,16 @@
     private double weightedMs;
     private double updatedAtMs;
 
-    /** The sum of the weighted events of several rates, in fixed-point units, so that rounding does not add up. */
+    /** The sum of the weighted events of several rates, in fixed-point units, so that rounding errors don't add up. */
     static final class Total {
         private long units;
     }
 
     /** Time constant of the average, and the shortest observed time by which events are divided. */
-    record Averaging(double periodMs, double minPeriodMs) {
+    record Averaging(double timeConstantMs, double minObservedMs) {
     }
 
-    /** No events yet, observed from now on. */
+    /** Creates a rate without events, observed from {@code nowMs} on. */
     EventRate(double nowMs, Averaging averaging) {
         this(nowMs, averaging, null);
     }
@@ -33,16 +36,16 @@
     }
 
     void addEvent(double nowMs) {
-        double decay = Math.exp((updatedAtMs - nowMs) / averaging.periodMs());
+        double decay = Math.exp((updatedAtMs - nowMs) / averaging.timeConstantMs());
         setEvents(weightedEvents * decay + 1);
-        weightedMs = weightedMs * decay + averaging.periodMs() * (1 - decay);
+        weightedMs = weightedMs * decay + averaging.timeConstantMs() * (1 - decay);
         updatedAtMs = nowMs;
     }
 
     /** Continues from a rate that a previous process recorded. */
     void restore(double perMs) {
-        setEvents(perMs * averaging.periodMs());
-        weightedMs = averaging.periodMs();
+        setEvents(perMs * averaging.timeConstantMs());
+        weightedMs = averaging.timeConstantMs();
     }
 
     /** Excludes the time since the last event from the observed time. */
@@ -50,7 +53,7 @@
         updatedAtMs = nowMs;
     }
 
-    /** Share of the total's events; NaN if the total has none. */
+    /** Share of the total's events; NaN, for which all comparisons are false, if the total has none. */
     double shareOfTotal() {
         return (double) units() / total.units;
     }
@@ -68,6 +71,6 @@
     }
 
     double perMs() {
-        return weightedEvents / Math.max(weightedMs, averaging.minPeriodMs());
+        return weightedEvents / Math.max(weightedMs, averaging.minObservedMs());
     }
 }
--- a/src/main/java/kestreldeal/KeyQueues.java
+++ b/src/main/java/kestreldeal/KeyQueues.java
@@ -7,19 +7,20 @@
 import java.util.function.Consumer;
 
 /**
- * A FIFO queue of elements for each key. A queue exists while it has elements or attempts in flight, or cools down.
+ * A FIFO queue of elements for each key. A queue exists while it has elements or attempts in flight, or until its
+ * cool-down has ended, which is a pause after an attempt that may still be running.
  *
  * @param <E> the elements
  */
 final class KeyQueues<E> {
     private final Map<String, KeyQueue> queues = new HashMap<>();
     private final Timers timers;
-    private final Consumer<E> headChanged;
+    private final Consumer<E> recheckFirst;
 
-    /** The listener gets the first element of a queue whenever it may have become eligible or ineligible. */
-    KeyQueues(Timers timers, Consumer<E> headChanged) {
+    /** {@code recheckFirst} gets the first element of a queue whenever it may have become eligible or ineligible. */
+    KeyQueues(Timers timers, Consumer<E> recheckFirst) {
         this.timers = timers;
-        this.headChanged = headChanged;
+        this.recheckFirst = recheckFirst;
     }
 
     /** The queue of a key, which is created if there is none. */
@@ -82,7 +83,7 @@
         @Override
         void fire() {
             if (!elements.isEmpty()) {
-                headChanged.accept(first());
+                recheckFirst.accept(first());
             } else if (inFlight == 0 && dueAt() == Double.POSITIVE_INFINITY) {
                 queues.remove(key);
             }
