--- a/src/test/java/kestreldeal/DeliverySchedulerCostTest.java
+++ b/src/test/java/kestreldeal/DeliverySchedulerCostTest.java
@@ -10,8 +10,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * What a turn and a change cost, counted by what the module looks at, not by a clock: with a hundred times as much
- * waiting, listed or both at most three times as much.
+ * Checks the cost of a turn and of a change of the list, in operations that the scheduler counts, not in time: with a
+ * hundred times as many waiting messages, listed endpoints or both, the cost may be at most three times as high.
  */
 class DeliverySchedulerCostTest {
     private static final int FEW = 1000;
@@ -44,7 +44,7 @@
         for (int waiting : new int[] {0, 1}) {
             long few = change(new Scale(FEW, FEW, waiting * FEW));
             long many = change(new Scale(MANY, MANY, waiting * MANY));
-            assertTrue(many <= 3 * Math.max(1, few), waiting + " waiting each: " + few + " and " + many);
+            assertTrue(many <= 3 * Math.max(1, few), waiting + " messages waiting for each endpoint: " + few + " and " + many);
         }
     }
 
@@ -61,7 +61,7 @@
         long many = sends(new Scale(100, 200, MANY), 20);
         assertTrue(many <= 3 * few, few + " and " + many);
         long spread = sends(new Scale(MANY, MANY, MANY), 20);
-        assertTrue(spread <= 3 * few, few + " and " + spread + " at as many destinations");
+        assertTrue(spread <= 3 * few, few + " and " + spread + " with as many destinations");
     }
 
     private static long idleTurn(Scale s) {
@@ -72,7 +72,7 @@
             s.now += 1;
             s.turn();
         }
-        assertEquals(sent, s.sent.size(), "nothing may go");
+        assertEquals(sent, s.sent.size(), "nothing may be sent");
         return s.logic.waiting.operations() - before;
     }
 
@@ -96,11 +96,11 @@
         }
         long before = s.logic.waiting.operations();
         s.turn();
-        assertEquals(SLOTS + k, s.sent.size(), "as many go as have ended");
+        assertEquals(SLOTS + k, s.sent.size(), "one message is sent for each freed slot");
         return s.logic.waiting.operations() - before;
     }
 
-    /** A module that has so much listed and waiting. */
+    /** A scheduler with the given numbers of destinations, listed endpoints and waiting messages. */
     private static final class Scale implements Relay.Actions {
         final List<Long> sent = new ArrayList<>();
         final int destinations;
@@ -128,7 +128,7 @@
             return new Relay.Endpoint(number, number % destinations, 0, 0, serving, 0);
         }
 
-        /** Every destination has told to wait. */
+        /** Each destination has asked for a Retry-After wait. */
         Scale waits() {
             for (int i = 0; i < destinations; i++) {
                 logic.retryAfterReceived(now, i, 10_000);
@@ -136,7 +136,7 @@
             return this;
         }
 
-        /** All but a few have just left the list. */
+        /** All endpoints but one have just been removed from the list. */
         Scale leave() {
             logic.endpointsChanged(now, true, List.of(entry(0, true)));
             return this;
--- a/src/test/java/kestreldeal/DeliverySchedulerEquivalenceTest.java
+++ b/src/test/java/kestreldeal/DeliverySchedulerEquivalenceTest.java
@@ -24,14 +24,14 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The module beside its reference, {@link ReferenceScheduler}: both get the same random sequences
- * of events and must do the
- * same in the same order. The property {@code walk.seeds} sets how many sequences, from {@code walk.first} on.
+ * Compares {@link DeliveryScheduler} with its reference, {@link ReferenceScheduler}: both get the same random sequences
+ * of events, and must take the same actions in the same order. The property {@code walk.seeds} sets the number of
+ * sequences, {@code walk.first} the seed of the first one.
  */
 class DeliverySchedulerEquivalenceTest {
     private static final int SEEDS = Integer.getInteger("walk.seeds", 400);
     private static final int FIRST = Integer.getInteger("walk.first", 1);
-    /** A wake counts as come within so much, in the module as in the reference. */
+    /** A requested wake counts as due up to this long before its time, in both schedulers. */
     private static final double CLOCK_MARGIN_MS = 1;
 
     @Test
@@ -51,16 +51,16 @@
             }
         }
         System.out.println("equal over " + SEEDS + " sequences with " + actions + " actions");
-        assertTrue(actions > 20L * SEEDS, "the sequences must make the module act: " + actions);
+        assertTrue(actions > 20L * SEEDS, "the sequences must cause enough actions: " + actions);
     }
 
-    /** One action; what does not apply is 0. */
+    /** An action; values that do not apply to its kind are 0. */
     private record Action(String kind, long id, long other, double value) {
     }
 
     private static final class Recorder implements Relay.Actions {
         final List<Action> done = new ArrayList<>();
-        /** The wake that it last asked for. */
+        /** The time of the wake that was requested last. */
         double wake = Double.POSITIVE_INFINITY;
 
         @Override
@@ -104,11 +104,11 @@
         }
     }
 
-    /** An attempt that is out, as the caller knows it. */
+    /** An attempt in flight, as the caller of the schedulers knows it. */
     private record Out(long message, int attempt, double sentAt) {
     }
 
-    /** One random sequence of events, told to both. */
+    /** A random sequence of events that is passed to both schedulers. */
     private static final class Play {
         final Random random;
         final Relay.Settings settings;
@@ -119,11 +119,15 @@
         final List<Out> out = new ArrayList<>();
         final List<Integer> attempts = new ArrayList<>();
         final int destinations;
+        /** The step to which times are rounded, or 0 for no rounding. */
         final double grain;
+        /** Twice the percentage of events that submit a message. */
         final double pace;
+        /** The probability that an attempt gets a random outcome instead of a delivery. */
         final double trouble;
-        /** Whether most attempts are refused, so that new tries are throttled. */
+        /** Whether most attempts are refused, so that the retry budget limits new rounds. */
         final boolean full;
+        /** Whether to check that no destination needs an update for which it was not marked. */
         final boolean checksLooks;
         double now = 1000;
         int step;
@@ -229,11 +233,14 @@
                 reachable(logic).stream().filter(o -> o instanceof GroupedQueues.Owner)
                         .forEach(o -> ((GroupedQueues.Owner<?>) o).markChanged());
                 logic.waiting.updateEligibility(now);
-                assertEquals(logic.waiting.nextUpdateAt(), next, "what changed a gate must have been told");
+                assertEquals(logic.waiting.nextUpdateAt(), next, "a change of a send condition did not mark its destination as changed");
             }
         }
 
-        /** To a wake of either, or at random; where time alone makes the reference act, the module asked for it. */
+        /**
+         * Advances the clock to a requested wake or by a random time. If the reference acts at a wake that it
+         * alone requested, the scheduler must have requested one too.
+         */
         private void advance() {
             double wake = Math.min(asked.wake, wanted.wake);
             int way = random.nextInt(3);
@@ -246,8 +253,8 @@
             now = Math.max(now, next);
             if (alone) {
                 walk.endTurn(now);
-                // A call may be called off, or a call begin, in whatever turn comes by; only these wakes are checked. One that
-                // the module asked for within the margin of clocks counts as come.
+                // Cancellations, log lines and changes of health may come in any turn, and need no wake of their own. A
+                // wake that the scheduler requested within the clock margin counts as due.
                 assertTrue(asked.wake <= now + CLOCK_MARGIN_MS || wanted.done.stream().allMatch(a -> a.kind().equals("cancel") || a.id() == 0
                         || a.kind().startsWith("remember")), "no wake for " + wanted.done + " until " + asked.wake);
                 logic.endTurn(now);
@@ -286,7 +293,10 @@
             }
         }
 
-        /** Sends that no longer count are forgotten at the next occasion, which comes more often in the walk. */
+        /**
+         * Leaves out sends that no longer count in a budget: the schedulers remove them at the next use of the
+         * budget, which comes more often in the reference.
+         */
         private static Relay.LearnedState recent(Relay.LearnedState memory) {
             return new Relay.LearnedState(memory.endpoints(), recent(memory.firstSendsAgo()),
                     recent(memory.copiesAgo()), recent(memory.retriesAgo()));
@@ -360,7 +370,10 @@
             both(r -> r.endpointsChanged(now, whole, entries));
         }
 
-        /** Everything ends, at once or in its time: nothing that was a message is left anywhere in the module. */
+        /**
+         * Completes all messages, by cancelling them at once or by letting time pass, and checks that the scheduler
+         * keeps no object of a message.
+         */
         private void end() {
             boolean atOnce = random.nextBoolean();
             for (int i = 0; i < attempts.size() && atOnce; i++) {
@@ -377,7 +390,7 @@
                     .filter(name -> name.matches(".*\\$(Delivery|Attempt|Group)")).toList());
             now += 60_000;
             turn();
-            assertEquals(0, logic.keyQueues.size(), "lines of keys");
+            assertEquals(0, logic.keyQueues.size(), "key queues left");
         }
 
         private void answerAll() {
@@ -387,7 +400,7 @@
         }
     }
 
-    /** All objects of this package that can be reached from one, also through collections, arrays and lambdas. */
+    /** All objects of this package reachable from the given one, also through collections, arrays and lambdas. */
     private static Set<Object> reachable(Object from) {
         Set<Object> seen = Collections.newSetFromMap(new IdentityHashMap<>());
         Deque<Object> next = new ArrayDeque<>(List.of(from));
--- a/src/test/java/kestreldeal/DeliverySchedulerTest.java
+++ b/src/test/java/kestreldeal/DeliverySchedulerTest.java
@@ -16,8 +16,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The module's behaviour, through its interface. Class 0 is safe, 1 keyed, 2 unsafe and in order, 3 keyed by
- * zone, 4 safe, with an aim that is its deadline.
+ * Tests the behaviour of the scheduler through its interface. Message class 0 is safe, 1 keyed, 2 unsafe and ordered,
+ * 3 keyed with deduplication within a zone, 4 safe with a target latency equal to its deadline.
  */
 class DeliverySchedulerTest {
     private static final int SAFE = 0;
@@ -26,7 +26,7 @@
     private static final int BY_ZONE = 3;
     private static final int WITHOUT_LATENESS = 4;
 
-    // ---- the queue ----
+    // ---- priority ----
 
     @Test
     void aClassWhoseAimIsItsDeadlineHasARank() {
@@ -37,10 +37,10 @@
         b.until(100);
         b.end(1, 0, Outcome.DELIVERED);
         b.until(200);
-        assertEquals(List.of(1L, 3L), b.sends.stream().map(s -> s.message()).toList(), "the one of more worth goes");
+        assertEquals(List.of(1L, 3L), b.sends.stream().map(s -> s.message()).toList(), "the message of higher value is sent first");
     }
 
-    // ---- the wave ----
+    // ---- rounds of attempts ----
 
     @Test
     void aWakeThatComesAMomentEarlyIsAskedForAgain() {
@@ -109,7 +109,7 @@
             b.take(i, SAFE, i);
         }
         b.until(1900);
-        assertEquals(6, b.sends.size(), "five first sends allow 1.5 copies, so one");
+        assertEquals(6, b.sends.size(), "five first sends allow 1.5 hedged attempts, so one");
     }
 
     @Test
@@ -140,7 +140,7 @@
         assertTrue(b.sends.size() >= 2 && b.sends.size() <= 5, "sends " + b.sends.size());
     }
 
-    // ---- the rules ----
+    // ---- delivery rules ----
 
     @Test
     void everyMessageIsAnsweredOnceBeforeItsTimeIsUp() {
@@ -150,9 +150,9 @@
         b.until(15_990);
         assertTrue(b.answers.isEmpty());
         b.until(16_020);
-        assertEquals(List.of("refuse 1"), b.answers, "nothing ran; the other is still out");
+        assertEquals(List.of("reject 1"), b.answers, "nothing ran; the other one is still in flight");
         b.end(2, 0, Outcome.TIMED_OUT);
-        assertEquals(List.of("refuse 1", "fail 2"), b.answers);
+        assertEquals(List.of("reject 1", "fail 2"), b.answers);
         b.until(40_000);
         assertEquals(2, b.answers.size());
         assertEquals(1, b.sends.size());
@@ -235,7 +235,7 @@
         assertTrue(b.sends.size() > 1);
     }
 
-    /** Found on menu-delivery big-2: only the first message's wait of a shared call was kept. */
+    /** Messages of one call may get different Retry-After waits: once only that of the first message was kept. */
     @Test
     void eachMessageOfACallMayBeToldItsOwnWait() {
         SchedulerHarness b = new SchedulerHarness().entry(10, 1, 1, 0, true);
@@ -246,7 +246,7 @@
         assertEquals(2, b.sends.size());
     }
 
-    /** By an answer that came when its call was over, or that could not be read to its end. */
+    /** Such a wait comes with an answer after the end of its call, or with one that can't be read to its end. */
     @Test
     void aWaitToldBesideAnyEndStopsEverySendThere() {
         SchedulerHarness b = new SchedulerHarness().list(1, 10, 11).list(2, 20);
@@ -260,7 +260,7 @@
         assertEquals(List.of(2L, 1L), b.sent());
     }
 
-    /** Found on zone+brink+mass: a wait was told between the decision and the write. */
+    /** A Retry-After wait may arrive between the decision to send and the write of the call. */
     @Test
     void whatWasDecidedMayNotGoBeforeAToldWaitIsOver() {
         SchedulerHarness b = new SchedulerHarness().list(1, 10, 11);
@@ -312,7 +312,7 @@
         assertEquals(List.of(1L, 2L), b.sent());
     }
 
-    // ---- pace and health ----
+    // ---- rate limits and health ----
 
     @Test
     void aRefusalPacesTheDestinationAndDeliveriesQuickenIt() {
@@ -322,7 +322,7 @@
             b.take(i, SAFE, 1);
         }
         b.until(100);
-        assertEquals(8, b.sends.size(), "no pace before the first refusal");
+        assertEquals(8, b.sends.size(), "no rate limit before the first refusal");
         b.onSend = s -> { };
         b.take(50, SAFE, 1);
         b.end(50, 0, Outcome.FULL);
@@ -333,9 +333,9 @@
         double start = b.now;
         b.until(start + 1000);
         int early = b.sends.size() - 9;
-        assertTrue(early >= 4 && early <= 16, "paced, sent " + early);
+        assertTrue(early >= 4 && early <= 16, "rate-limited, sent " + early);
         b.until(start + 4000);
-        assertTrue(b.sends.size() - 9 > 5 * early, "creeps back");
+        assertTrue(b.sends.size() - 9 > 5 * early, "the rate recovers");
     }
 
     @Test
@@ -350,7 +350,7 @@
         assertTrue(b.sends.size() <= before + 3, "sent " + (b.sends.size() - before));
     }
 
-    /** Found in incident ia7b522: an endpoint that takes seconds but answers was held for silent. */
+    /** An endpoint that takes seconds to answer, but does answer, must not stay marked as down. */
     @Test
     void aSlowAnswerEndsASilence() {
         SchedulerHarness b = new SchedulerHarness(100).list(1, 10);
@@ -358,7 +358,7 @@
         b.take(2, UNSAFE, 1);
         b.until(1500);
         b.take(3, UNSAFE, 1);
-        assertEquals(2, b.sends.size(), "silent: no backlog");
+        assertEquals(2, b.sends.size(), "silent: the backlog is not sent");
         b.end(1, 0, Outcome.DELIVERED);
         assertEquals(3, b.sends.size());
     }
@@ -380,7 +380,7 @@
         }
     }
 
-    /** Found in incident if1c477: single resets kept an endpoint on its ramp for ever. */
+    /** Single connection resets kept an endpoint in slow start for ever. */
     @Test
     void aLostCallNowAndThenDoesNotHoldBackAnEndpoint() {
         SchedulerHarness b = new SchedulerHarness(100).list(1, 10);
@@ -390,9 +390,7 @@
         assertTrue(last >= 50, "sends in the last ten seconds: " + last);
     }
 
-    /**
-     * Found on menu-delivery rough-2: beside a healthy route, one that had been down was never tried again.
-     */
+    /** An endpoint that had been down was never probed while another one of its destination was healthy. */
     @Test
     void anEndpointThatIsDownIsTriedAlsoBesideAHealthyOne() {
         SchedulerHarness b = new SchedulerHarness(100).list(1, 10, 11);
@@ -402,8 +400,7 @@
         assertTrue(b.sends.stream().filter(s -> s.endpoint() == 10 && s.at() > 30_000).count() > 10);
     }
 
-    /** Found in incident ia7b522: a few slow destinations held every slot. */
-    /** Found in incident i1afe34: at three slots a sender, slow destinations held two each. */
+    /** A few slow destinations held all slots; at three slots per sender, they held two each. */
     @Test
     void aDestinationHoldsOneOfThreeSlots() {
         SchedulerHarness b = new SchedulerHarness(3).list(1, 10).list(2, 20);
@@ -426,7 +423,7 @@
         assertEquals(6, b.sends.size());
     }
 
-    /** Found on a reload day: a quarter of the slots stood idle beside the queue of a quick destination. */
+    /** A quarter of the slots stayed free while messages waited for a fast destination. */
     @Test
     void aQuickDestinationMayHoldAllSlotsButOneUntilACallIsOutOfPatience() {
         SchedulerHarness b = new SchedulerHarness(10).list(1, 10).list(2, 20);
@@ -437,17 +434,17 @@
         }
         assertEquals(1 + 9, b.sends.size());
         b.take(50, SAFE, 2);
-        assertEquals(1 + 10, b.sends.size(), "one is left for others");
+        assertEquals(1 + 10, b.sends.size(), "one slot is left for others");
         b.until(700);
         b.end(50, 0, Outcome.DELIVERED);
         b.end(1, 0, Outcome.DELIVERED);
         assertEquals(1 + 11, b.sends.size());
         b.until(900);
         b.end(2, 0, Outcome.DELIVERED);
-        assertEquals(1 + 11, b.sends.size(), "those that are out may be silent");
+        assertEquals(1 + 11, b.sends.size(), "the calls in flight may get no answer");
     }
 
-    /** Found on a reload day: where a life knew of no demand yet, ramps began at one call a second. */
+    /** In a process that had not measured any demand yet, slow start began at one call per second. */
     @Test
     void aRampBeginsWithTheEvenPartOfTheListedRate() {
         SchedulerHarness b = new SchedulerHarness(100);
@@ -463,10 +460,7 @@
         assertTrue(b.sends.size() >= 15 && b.sends.size() <= 40, "sent in 6 s: " + b.sends.size());
     }
 
-    /**
-     * Found in incident i119abc: with nothing carried before the outage the ramp was one call in seven
-     * seconds.
-     */
+    /** With no deliveries before the outage, slow start allowed only one call in seven seconds. */
     @Test
     void anOutageAtTheStartIsRampedOnTheMessagesTaken() {
         SchedulerHarness b = new SchedulerHarness(100).list(1, 10);
@@ -476,7 +470,7 @@
         assertTrue(sent >= 10, "sent in six seconds: " + sent);
     }
 
-    /** Found in incident i8f4fa9: between told waits the pace grew to forty times what was sent. */
+    /** Between Retry-After waits the allowed rate grew to forty times the rate of sends. */
     @Test
     void thePaceSettlesNearALimitThatTellsWaits() {
         SchedulerHarness b = new SchedulerHarness(100).list(1, 10);
@@ -494,7 +488,7 @@
         assertTrue(taken >= 0.6 * 5 * 60, "delivered in a minute at five a second: " + taken);
     }
 
-    /** Found in incident i40f4ff: eight senders sat on their floors for long after the refusals had ended. */
+    /** Eight senders stayed at their minimum rates for a long time after the refusals had ended. */
     @Test
     void aPaceAmongManySendersRecoversWhenRefusalsEnd() {
         SchedulerHarness b = new SchedulerHarness(100, 8);
@@ -507,7 +501,7 @@
         assertTrue(late >= 22, "sent in ten seconds: " + late);
     }
 
-    /** Found in incident ie9f35c: each of eleven senders kept its own floor of pace at a shut destination. */
+    /** Each of eleven senders went on at its own minimum rate to a destination that refused all calls. */
     @Test
     void theFloorOfThePaceFollowsTheSendersOwnPartOfTheLoad() {
         SchedulerHarness b = new SchedulerHarness(100, 11).list(1, 10);
@@ -517,7 +511,7 @@
         assertTrue(sent <= 8, "sent in eight seconds: " + sent);
     }
 
-    /** Found on akl-order-route: few senders fell under their even part of a listed rate after refusals. */
+    /** With few senders, refusals cut the allowed rate far below the fair share of the listed rate. */
     @Test
     void aListedRateKeepsThePaceFromFallingFarUnderTheEvenPart() {
         SchedulerHarness b = new SchedulerHarness(100, 2);
@@ -529,17 +523,17 @@
         assertTrue(sent >= 15, "sent in ten seconds: " + sent);
     }
 
-    /** Found on days in service: a clump cut a slow destination's pace to half its part for ten seconds. */
+    /** A burst cut the allowed rate of a slow destination to half of the fair share for ten seconds. */
     @Test
     void aToldRateKeepsThePaceNearTheEvenPart() {
-        assertTrue(sentAfterARefusal(16, 16) >= 6, "eight a second each, told: " + sentAfterARefusal(16, 16));
+        assertTrue(sentAfterARefusal(16, 16) >= 6, "eight per second for each sender, reported: " + sentAfterARefusal(16, 16));
         for (double spoilt : new double[] {0, Double.NaN, Double.POSITIVE_INFINITY, -16}) {
-            assertEquals(sentAfterARefusal(0, 0), sentAfterARefusal(spoilt, spoilt), "told " + spoilt);
+            assertEquals(sentAfterARefusal(0, 0), sentAfterARefusal(spoilt, spoilt), "reported " + spoilt);
         }
-        assertTrue(sentAfterARefusal(16, 1e9) <= 10, "one spoilt figure: " + sentAfterARefusal(16, 1e9));
+        assertTrue(sentAfterARefusal(16, 1e9) <= 10, "one invalid value: " + sentAfterARefusal(16, 1e9));
     }
 
-    /** Sends in the second after a refusal, with none of them answered. */
+    /** The number of sends in the second after a refusal, while none of them gets an answer. */
     private static int sentAfterARefusal(double told, double last) {
         SchedulerHarness b = new SchedulerHarness(100, 2).list(1, 10);
         b.toldRate = told;
@@ -556,7 +550,7 @@
         return b.sends.size() - before;
     }
 
-    /** Found on the fleet days: each of a hundred senders went on with two calls a second after a refusal. */
+    /** After a refusal each of a hundred senders went on with two calls per second. */
     @Test
     void theLeastPaceIsThatOfOneAmongAll() {
         for (int senders : List.of(2, 100)) {
@@ -573,7 +567,7 @@
         }
     }
 
-    /** Found on the fleet days: one send of the last second counted as one a second where it came each five. */
+    /** A single send in the last second counted as a rate of one per second, although sends were 5 s apart. */
     @Test
     void aThinStreamsFirstRefusalCutsTheRateThatItHad() {
         SchedulerHarness b = new SchedulerHarness(100, 100).list(1, 10);
@@ -590,17 +584,17 @@
         assertEquals(6, b.sends.size());
     }
 
-    /** Found on the fleet days: each sender learned by its own refusals alone, which come late and cost all. */
+    /** Learning from its own refusals alone is too late for a sender, and each refusal costs all senders. */
     @Test
     void aPaceTurnsByTheShareOfTheLimitThatIsLeft() {
-        assertTrue(sentAmongManyWith(1) >= 16, "where all is left: " + sentAmongManyWith(1));
-        assertTrue(sentAmongManyWith(0.1) <= 6, "where little is left: " + sentAmongManyWith(0.1));
+        assertTrue(sentAmongManyWith(1) >= 16, "all of the limit left: " + sentAmongManyWith(1));
+        assertTrue(sentAmongManyWith(0.1) <= 6, "little of the limit left: " + sentAmongManyWith(0.1));
         for (double spoilt : new double[] {Double.NaN, -2, 1e9}) {
-            assertEquals(sentAmongManyWith(-1), sentAmongManyWith(spoilt), "told " + spoilt);
+            assertEquals(sentAmongManyWith(-1), sentAmongManyWith(spoilt), "reported " + spoilt);
         }
     }
 
-    /** Sends in the ten seconds after a refusal, of two messages handed in a second; the rest are delivered. */
+    /** Sends in the ten seconds after a refusal, at two messages submitted per second; the rest are delivered. */
     private static long sentAmongManyWith(double left) {
         SchedulerHarness b = new SchedulerHarness(100, 100).list(1, 10);
         b.toldRate = 10;
@@ -610,7 +604,7 @@
         return b.sends.stream().filter(s -> s.at() > 1000).count();
     }
 
-    /** Found on the fleet days: seven in ten senders came back at once, each with all that it had held. */
+    /** Seven senders in ten restarted at the same time, and each sent all its stored messages at once. */
     @Test
     void whatManyEarlierLivesHeldIsPacedFromTheStart() {
         SchedulerHarness b = new SchedulerHarness(100, 100);
@@ -625,7 +619,7 @@
         assertTrue(b.sends.size() >= 2, "sent in nine seconds: " + b.sends.size());
     }
 
-    /** Found on the long day: calls that got no answer held all slots until their time-outs. */
+    /** Calls without an answer held all slots until their timeouts. */
     @Test
     void callsWithoutAnswerGiveUpTheirSlotsToWhatWaits() {
         for (int type : List.of(SAFE, UNSAFE)) {
@@ -651,11 +645,11 @@
             b.until(start + 250);
             b.takeEvery(20, SAFE, 5, start + 900);
             long sent = b.sends.stream().filter(s -> s.at() > start && s.endpoint() == 50).count();
-            assertEquals(type == SAFE, sent > 10, "sent to the one that answers: " + sent);
+            assertEquals(type == SAFE, sent > 10, "sent to the endpoint that answers: " + sent);
         }
     }
 
-    /** Found in recording r4046: a silent endpoint counted as up, as its calls were called off too early. */
+    /** A silent endpoint counted as up, because its calls were cancelled for their slots before they were overdue. */
     @Test
     void aCallThatIsCalledOffForItsSlotIsASignOfSilence() {
         SchedulerHarness b = new SchedulerHarness(4, 2).list(1, 10).list(2, 20);
@@ -671,12 +665,12 @@
             b.take(i, SAFE, 2);
             b.until(b.now + 20);
         }
-        assertTrue(b.cancels.size() == 1, "called off " + b.cancels);
+        assertTrue(b.cancels.size() == 1, "cancelled " + b.cancels);
         assertEquals(Optional.of(Relay.EndpointState.DOWN),
                 Optional.ofNullable(b.health.get(10L)).map(Relay.EndpointHealth::state));
     }
 
-    /** Found on day-6: a network that resets a tenth of all put the busiest endpoint through ramp after ramp. */
+    /** A network that reset a tenth of all connections put the busiest endpoint into one slow start after another. */
     @Test
     void resetsBesideALostConnectionAreNoOutage() {
         SchedulerHarness b = new SchedulerHarness(100, 2).list(1, 10);
@@ -690,7 +684,7 @@
         assertTrue(sent > 80, "sent in a second: " + sent);
     }
 
-    /** Found on the long day: one reset connection put an endpoint through a ramp of twelve seconds. */
+    /** One connection that was reset put an endpoint into a slow start of twelve seconds. */
     @Test
     void oneLostConnectionIsNoOutage() {
         for (Outcome lost : List.of(Outcome.UNREACHABLE, Outcome.ERROR)) {
@@ -704,7 +698,7 @@
         }
     }
 
-    /** Found on the long day: each endpoint that had gone took its part of what a returning one was sent. */
+    /** Each removed endpoint still got a share of the rate that a recovering endpoint was allowed. */
     @Test
     void endpointsThatAreGoneHaveNoPartInARamp() {
         int fresh = sentInARamp(1);
@@ -713,7 +707,7 @@
         assertTrue(churned > 0.7 * fresh, "after forty others: " + churned + " of " + fresh);
     }
 
-    /** One endpoint serves after so many others have come and gone; it is new, fails at first, and warms up. */
+    /** Sends in ten seconds of slow start, to a new endpoint that fails at first; others were removed before it. */
     private static int sentInARamp(int others) {
         SchedulerHarness b = new SchedulerHarness(100, 2);
         b.onSend = s -> b.endLater(s, Outcome.DELIVERED, 20);
@@ -730,7 +724,7 @@
         return b.sends.size() - before;
     }
 
-    /** An endpoint may be yet to come: a message is not given up while its destination has none. */
+    /** A message is not rejected while its destination has no endpoint, as one may still be listed. */
     @Test
     void whatWasRefusedIsHeldWhileItsDestinationHasNoEndpoint() {
         SchedulerHarness b = new SchedulerHarness(100, 2).list(1, 10);
@@ -745,7 +739,7 @@
         assertTrue(b.sent().contains(1L));
     }
 
-    /** Found on menu-delivery-later: at two hundred senders a floor divided among them was a call a minute. */
+    /** A minimum rate divided among two hundred senders was one call per minute for each. */
     @Test
     void aSmallSendersRefusedMessageGoesAgainWithinASecond() {
         SchedulerHarness b = new SchedulerHarness(3, 200).list(1, 10);
@@ -758,7 +752,7 @@
         }
     }
 
-    /** Found on menu-delivery-later: senders told to wait until it opened came back all at that moment. */
+    /** Senders whose Retry-After waits ended at the same time all sent again at that moment. */
     @Test
     void sendersToldToWaitForOneMomentDoNotComeBackAtOnce() {
         int early = 0;
@@ -769,10 +763,10 @@
             b.until(9000);
             early += b.sends.size() - 1;
         }
-        assertTrue(early <= 8, "of forty senders back within a second: " + early);
+        assertTrue(early <= 8, "of forty senders that sent again within a second: " + early);
     }
 
-    /** Found on menu-delivery-later: a hung endpoint refused most calls, and was tried until it fell over. */
+    /** A hung endpoint that refused most calls got further attempts until it was overloaded. */
     @Test
     void refusalsAndLostCallsTogetherTakeAnEndpointDown() {
         SchedulerHarness b = new SchedulerHarness(3, 200).list(1, 10);
@@ -782,7 +776,7 @@
         assertTrue(late <= 2, "sent to an endpoint that never delivers: " + late);
     }
 
-    /** Found on menu-delivery-later: refused calls used up the limit, and new tries kept it used up for good. */
+    /** Refused calls used up the destination's limit, and their retries kept it used up for good. */
     @Test
     void newTriesOfRefusedMessagesAreAShareOfFirstSends() {
         SchedulerHarness b = new SchedulerHarness(100, 50);
@@ -812,7 +806,7 @@
         assertEquals(11, b.sends.get(0).endpoint());
     }
 
-    /** Found by hunt --rules on menu-delivery-later: senders kept to a hung route beside one that served. */
+    /** Senders went on using a hung route although another one worked. */
     @Test
     void anEndpointWhoseLastEndWasFruitlessYieldsToItsSibling() {
         SchedulerHarness b = new SchedulerHarness().entry(10, 1, 2, 0, true).entry(11, 1, 2, 1, true);
@@ -826,7 +820,7 @@
         assertEquals(List.of(11L, 11L), b.sends.stream().skip(2).map(SchedulerHarness.Sent::endpoint).toList());
     }
 
-    /** Found on ensemble-bokning-later and menu-delivery-later: connections were dropped unseen when idle. */
+    /** Idle connections may be dropped on the way without notice, so that the next call on them is lost. */
     @Test
     void afterLossesOnIdleConnectionsAtTwoDestinationsOthersAreClosedBeforeUse() {
         SchedulerHarness b = new SchedulerHarness().list(1, 10).list(2, 20).list(3, 30);
@@ -852,7 +846,7 @@
         assertEquals(1, b.sends.size());
     }
 
-    // ---- misuse ----
+    // ---- invalid and late events ----
 
     @Test
     void misuseThrowsAndLateEventsAreIgnored() {
@@ -867,7 +861,7 @@
         b.relay.wake(b.now);
     }
 
-    // ---- a random sequence against all rules ----
+    // ---- random events against all rules ----
 
     @Test
     void randomEventsKeepTheRules() {
@@ -876,7 +870,7 @@
         }
     }
 
-    /** A seeded day of random ends, drains and withdrawals; the recorder checks the rules at each action. */
+    /** Random results, drains and cancellations from a seed; the harness checks the rules at each action. */
     private static final class RandomDay {
         private final Random random;
         private final SchedulerHarness b;
@@ -915,7 +909,7 @@
         }
     }
 
-    // ---- across lives ----
+    // ---- restarts and handover ----
 
     private static SchedulerHarness resumed(int type, double leftMs, Relay.EarlierAttempt... earlier) {
         SchedulerHarness b = new SchedulerHarness().list(1, 10, 11);
@@ -937,10 +931,10 @@
         for (long id = 2; id <= 6; id++) {
             b.take(id, SAFE, 1);
         }
-        assertTrue(b.sends.size() >= 5, "no slot is lost to what was out at the death");
+        assertTrue(b.sends.size() >= 5, "attempts in flight when the process ended hold no slot");
     }
 
-    /** Found on days with silent peers: one call that was never answered kept a busy partner's payments waiting. */
+    /** One call that was never answered kept the messages of a busy destination waiting. */
     @Test
     void oneUnansweredCallDoesNotBarAnEndpointThatAnswersFromTheSlots() {
         SchedulerHarness b = new SchedulerHarness(10).list(1, 10);
@@ -955,10 +949,10 @@
         for (int id = 1000; id < 1010; id++) {
             b.take(id, KEYED, 1);
         }
-        assertEquals(8, b.sends.size() - before, "all slots but one, the silent call's among them");
+        assertEquals(8, b.sends.size() - before, "all slots but one, including that of the unanswered call");
     }
 
-    /** Found on days with crowds: each slot that got free went to a partner with no call out, never to the busiest. */
+    /** Each slot that became free went to a destination without a call in flight, never to the busiest one. */
     @Test
     void theBusiestQuickDestinationGetsTheLastSlotWhileItHoldsLessThanItsPart() {
         SchedulerHarness b = new SchedulerHarness(4).list(1, 10).list(2, 20).list(3, 30);
@@ -972,9 +966,9 @@
         b.take(1002, KEYED, 2);
         b.take(1003, KEYED, 3);
         b.take(1004, KEYED, 2);
-        assertFalse(b.sent().contains(1004L), "a small one holds as many as stay free at most");
+        assertFalse(b.sent().contains(1004L), "a destination with little demand holds at most as many slots as stay free");
         b.take(1005, KEYED, 1);
-        assertTrue(b.sent().contains(1005L), "most is asked for here, and it holds one of four");
+        assertTrue(b.sent().contains(1005L), "it has most of the demand and holds one slot of four");
     }
 
     private static Relay.EarlierAttempt stillOut(double agoMs, long call) {
@@ -985,10 +979,10 @@
     void anAttemptThatAnotherProcessWaitsForIsOutAndGetsItsEnd() {
         SchedulerHarness b = resumed(UNSAFE, 9000, stillOut(500, 3));
         b.until(21_000);
-        assertTrue(b.sends.isEmpty() && b.answers.isEmpty(), "neither repeated nor given up");
+        assertTrue(b.sends.isEmpty() && b.answers.isEmpty(), "neither repeated nor failed");
         b.end(1, 0, Outcome.FULL);
         b.until(23_000);
-        assertEquals(List.of(1L), b.sent(), "it never ran, so it goes again");
+        assertEquals(List.of(1L), b.sent(), "it never ran, so it is sent again");
         SchedulerHarness failed = resumed(UNSAFE, 9000, stillOut(500, 3));
         failed.end(1, 0, Outcome.BROKEN);
         assertEquals(List.of("fail 1"), failed.answers);
@@ -1004,7 +998,7 @@
         assertEquals(List.of(3L), b.sent(), "one slot was left");
         b.take(4, UNSAFE, 3);
         b.end(1, 0, Outcome.DELIVERED);
-        assertEquals(List.of(3L), b.sent(), "the call is still out");
+        assertEquals(List.of(3L), b.sent(), "the call is still in flight");
         b.end(2, 0, Outcome.DELIVERED);
         b.until(20_100);
         assertEquals(List.of(3L, 4L), b.sent());
@@ -1022,10 +1016,10 @@
         assertEquals(List.of("1/0"), b.cancels);
         SchedulerHarness late = resumed(SAFE, 9000, stillOut(offset + 100, 3));
         late.until(20_500);
-        assertTrue(late.sends.isEmpty(), "its offset passed in the other process");
+        assertTrue(late.sends.isEmpty(), "its hedging delay passed in the other process");
     }
 
-    /** One instance has worked for a while; another takes over what it knew. */
+    /** A scheduler that restores the learned state of another one. */
     private static SchedulerHarness successor(SchedulerHarness before, long... endpoints) {
         SchedulerHarness after = new SchedulerHarness().list(1, endpoints);
         after.until(5000);
@@ -1041,7 +1035,7 @@
         for (SchedulerHarness after : List.of(successor(before, 10), successor(before).list(1, 10))) {
             after.take(1, SAFE, 1);
             after.until(5895);
-            assertTrue(after.sends.isEmpty(), "the wait stands, be the endpoint listed before or after");
+            assertTrue(after.sends.isEmpty(), "the wait applies, whether the endpoint is listed before or after it is restored");
             after.until(6500);
             assertEquals(List.of(1L), after.sent());
         }
@@ -1055,16 +1049,16 @@
         SchedulerHarness paced = successor(before, 10, 11);
         paced.takeTogether(20, SAFE, 1);
         paced.until(5010);
-        assertTrue(paced.sends.size() <= 2, "a pace holds for the next process: " + paced.sends.size());
+        assertTrue(paced.sends.size() <= 2, "the allowed rate applies in the next process: " + paced.sends.size());
 
         SchedulerHarness copied = new SchedulerHarness().list(1, 10, 11);
         copied.takeTogether(2, SAFE, 1);
         copied.until(CLASSES.get(SAFE).targetLatencyMs() / 2 + 10);
-        assertEquals(3, copied.sends.size(), "one copy for two first sends");
+        assertEquals(3, copied.sends.size(), "one hedged attempt for two first sends");
         SchedulerHarness after = successor(copied, 10, 11);
         after.takeTogether(2, SAFE, 1);
         after.until(5000 + CLASSES.get(SAFE).targetLatencyMs() / 2 + 10);
-        assertEquals(2, after.sends.size(), "the copy of the other process counts for ten seconds");
+        assertEquals(2, after.sends.size(), "the hedged attempt of the other process counts for ten seconds");
     }
 
     @Test
@@ -1072,7 +1066,7 @@
         assertEquals(List.of(1L), resumed(KEYED, 9000, earlier(1000, true)).sent());
         SchedulerHarness late = resumed(KEYED, 9000, earlier(4000, true));
         assertTrue(late.sends.isEmpty());
-        assertEquals(List.of("refuse 1"), late.answers, "given up at once, not at its deadline");
+        assertEquals(List.of("reject 1"), late.answers, "rejected at once, not at its deadline");
         assertEquals(List.of(1L), resumed(KEYED, 9000, earlier(4000, false)).sent());
     }
 
@@ -1085,7 +1079,7 @@
         b.until(3650);
         assertTrue(b.answers.isEmpty());
         b.until(3750);
-        assertEquals(List.of("refuse 1"), b.answers, "not only at its deadline");
+        assertEquals(List.of("reject 1"), b.answers, "not only at its deadline");
     }
 
     @Test
@@ -1104,7 +1098,7 @@
         b.allAnswered();
     }
 
-    /** Found on a reload day: a backlog that waited for slots went through trials and a ramp of 12 s. */
+    /** A restored backlog that waited for slots was taken for an outage: it got probes and a slow start of 12 s. */
     @Test
     void aLateBacklogAloneIsNoOutage() {
         SchedulerHarness b = new SchedulerHarness().list(1, 10);
@@ -1122,7 +1116,7 @@
     void aRampGoesOnAcrossARestartWithTheRateCarriedBefore() {
         SchedulerHarness b = new SchedulerHarness().list(1, 10);
         b.until(20_000);
-        // Known before any list names it.
+        // The health is restored before a list names the endpoint.
         b.relay.restoreEndpointHealth(b.now, 20, new Relay.EndpointHealth(Relay.EndpointState.WARMING, 11_000, 0.02));
         b.list(2, 20);
         b.onSend = s -> b.endLater(s, Outcome.DELIVERED, 20);
@@ -1133,7 +1127,7 @@
         b.until(21_000);
         assertTrue(b.sends.size() >= 15 && b.sends.size() <= 35, "sent in 1 s: " + b.sends.size());
         b.until(24_000);
-        assertEquals(60, b.sends.size(), "warm after three seconds more");
+        assertEquals(60, b.sends.size(), "slow start ends after three more seconds");
     }
 
     @Test
@@ -1160,8 +1154,8 @@
         b.end(1, 0, Outcome.FULL, 5000);
         b.resume(2, SAFE, 1, -1, List.of());
         b.resume(3, SAFE, 2, -1, List.of());
-        assertEquals(List.of("refuse 2", "refuse 3"), b.answers);
-        assertTrue(b.waits.get(0) >= 5000, "the told wait at least");
+        assertEquals(List.of("reject 2", "reject 3"), b.answers);
+        assertTrue(b.waits.get(0) >= 5000, "at least the Retry-After wait");
         assertEquals(0, b.waits.get(1));
     }
 
@@ -1172,7 +1166,7 @@
         b.resume(1, BY_ZONE, 1, 9000, List.of(new Relay.EarlierAttempt(11, 19_900, true)));
         assertEquals(11, b.sends.get(0).endpoint());
         b.resume(2, BY_ZONE, 1, 9000, List.of(new Relay.EarlierAttempt(99, 19_900, true)));
-        assertEquals(List.of("fail 2"), b.answers, "an endpoint that has left is of no known zone");
+        assertEquals(List.of("fail 2"), b.answers, "the zone of a removed endpoint is unknown");
     }
 
     @Test
@@ -1189,14 +1183,14 @@
         java.util.Arrays.fill(twelve, earlier(100, false));
         SchedulerHarness b = resumed(SAFE, 9000, twelve);
         assertTrue(b.sends.isEmpty());
-        assertEquals(List.of("refuse 1"), b.answers);
+        assertEquals(List.of("reject 1"), b.answers);
     }
 
     @Test
     void anOverdueMessageIsAnsweredAtOnce() {
         SchedulerHarness b = resumed(SAFE, -100);
         assertTrue(b.sends.isEmpty());
-        assertEquals(List.of("refuse 1"), b.answers);
+        assertEquals(List.of("reject 1"), b.answers);
     }
 
     @Test
@@ -1218,14 +1212,14 @@
         b.end(1, 0, Outcome.DELIVERED);
         b.until(2000);
         b.take(2, UNSAFE, 1);
-        assertEquals(List.of(1L), b.sent(), "what can't be repeated has time for a slow answer or none");
+        assertEquals(List.of(1L), b.sent(), "an unsafe message needs time for a slow answer, or is not sent");
         b.until(2500);
         b.take(3, SAFE, 1);
         b.until(6000);
         assertFalse(b.sent().contains(3L));
     }
 
-    /** Found in recording r4046: from SIGTERM on no payment was sent, as its whole time-out never fitted. */
+    /** After SIGTERM no unsafe message was sent, because its whole timeout never fitted before the shutdown. */
     @Test
     void anUnsafeMessageGoesBeforeTheCloseIfASlowAnswerStillFits() {
         SchedulerHarness b = new SchedulerHarness().list(1, 10);
@@ -1235,9 +1229,9 @@
         assertTrue(b.sends.get(0).timeout() > 3300);
     }
 
-    // ---- the modules that decide ----
+    // ---- the decision modules ----
 
-    /** They are those that the deploy file names as the policy, and no file of them grows without end. */
+    /** The decision modules are the ones that the deploy file names as its policy, and their length is bounded. */
     @Test
     void theDecisionModulesAreNamedAndBounded() throws Exception {
         String policy = Files.readAllLines(Path.of("deploy/balancer.toml")).stream()
--- a/src/test/java/kestreldeal/OutageRecoverySimulation.java
+++ b/src/test/java/kestreldeal/OutageRecoverySimulation.java
@@ -14,9 +14,10 @@
 import kestreldeal.Relay.Outcome;
 
 /**
- * Many instances of the module on one simulated clock, with one destination that has an outage and comes back cold.
- * The destination does not refuse by its present capacity, so that nothing but the senders holds its calls back, and
- * its limit is that of its full capacity. Everything is drawn from the seed.
+ * Simulates many senders, each with its own scheduler, on one clock, and one destination that has an outage and
+ * recovers with a reduced capacity. The destination refuses calls only by the rate limit of its full capacity, not by
+ * its present one, so that nothing but the senders themselves limits its load after the outage. All random values are
+ * drawn from the seed. Times are in milliseconds.
  */
 final class OutageRecoverySimulation {
     static final double OUTAGE_AT = 15_000;
@@ -28,31 +29,31 @@
             new Relay.MessageClass(2500, 20_000, 1, 0.3, Relay.Effect.KEYED, false, 8000, false),
             new Relay.MessageClass(3000, 16_000, 2, 0.3, Relay.Effect.UNSAFE, false, 0, false));
     private static final long DESTINATION = 1;
-    /** Messages in one call weigh so much beside the call itself. */
+    /** Load of each message after the first one in a call, relative to that of a call with one message. */
     private static final double ITEM_WEIGHT = 0.1;
 
-    /** What the outage looks like from outside. */
+    /** How the outage appears to senders. */
     enum Outage {
         /** Nine calls in ten are answered with an error. */
         FAILS,
-        /** All calls are refused, one in two with a wait up to the return. */
+        /** All calls are refused, half of them with a Retry-After wait until the recovery. */
         SHUT,
-        /** No connection comes up. */
+        /** No connection can be established. */
         REFUSES,
-        /** Calls get no answer until the return. */
+        /** Calls get no answer until the recovery. */
         HANGS
     }
 
-    /** What senders know of the destination's rate. */
+    /** What senders know of the destination's rate limit. */
     enum Rates {
         NONE,
-        /** The list's figure is half too high, which is as rough as it gets. */
+        /** The list gives a rate that is 50% too high, the largest error that it may have. */
         LISTED,
-        /** Answers tell it. */
+        /** Answers report it. */
         TOLD
     }
 
-    /** One run: capacity in calls a second, load as a share of it. */
+    /** The parameters of one run: the capacity is in calls per second, the load a share of it. */
     record Plan(int senders, double capacity, double load, Rates rates, Outage outage, boolean restart, int batch,
                 int endpoints, long seed) {
         Plan(int senders, double capacity, Rates rates, Outage outage, boolean restart) {
@@ -66,11 +67,11 @@
     private record Arrival(double at, double weight, boolean told) {
     }
 
-    /** The window in which most came over what the rule allows. */
+    /** A time window after the recovery, with its calls and the number that the rule allows. */
     record Worst(double from, double calls, double budget, double toldShare) {
         private static final double SMALL_BUDGET = 30;
 
-        /** What is put down to chance; stricter than the rule where the budget is small. */
+        /** The budget plus what may be chance; stricter than the rule if the budget is small. */
         double allowed() {
             return budget + 2 * Math.sqrt(budget) + 2;
         }
@@ -79,7 +80,7 @@
             return calls - allowed();
         }
 
-        /** How much more came than the rule itself allows. */
+        /** The number of calls beyond what the rule itself allows. */
         double overTheRule() {
             return calls - (budget >= SMALL_BUDGET ? allowed() : budget + 3 * Math.sqrt(budget) + 3);
         }
@@ -112,7 +113,7 @@
         }
     }
 
-    /** Plays the day. */
+    /** Runs the simulation to its end. */
     OutageRecoverySimulation run() {
         nodes.forEach(Node::start);
         double weights = nodes.stream().mapToDouble(n -> n.weight).sum();
@@ -128,21 +129,22 @@
         return this;
     }
 
-    /** Messages that were delivered, over the whole day and from the return on. */
+    /** The number of messages that were delivered in the whole run. */
     int delivered() {
         return delivered;
     }
 
+    /** The number of messages that were delivered after the recovery began. */
     int deliveredCold() {
         return deliveredCold;
     }
 
-    /** Of all windows of the rule's length from the return until the destination is warm, the one most over. */
+    /** Of all windows of the rule's length within the ramp-up time after the recovery, the one with most excess calls. */
     Worst worst() {
         return worst(Worst::over);
     }
 
-    /** The same by another measure. */
+    /** The same with another measure of the excess. */
     Worst worst(ToDoubleFunction<Worst> over) {
         List<Arrival> cold = arrivals.stream().filter(a -> a.at() >= BACK_AT).toList();
         List<Double> starts = new ArrayList<>(List.of(BACK_AT));
@@ -163,7 +165,10 @@
         return worst;
     }
 
-    /** The rule's N for the window that begins then: the capacity grows evenly, so its middle is its mean. */
+    /**
+     * The rule's N for the window that begins at this time. The capacity grows linearly, so its mean in the window is
+     * that of the middle.
+     */
     private double budget(double from) {
         double middle = (from + COLD.overloadMs() / 2 - BACK_AT) / COLD.rampUpMs();
         double share = COLD.initialCapacityShare() + (1 - COLD.initialCapacityShare()) * Math.min(1, middle);
@@ -178,7 +183,7 @@
         return now >= OUTAGE_AT && now < BACK_AT;
     }
 
-    /** One call of some messages, as the destination sees it. */
+    /** A call with one message or more, as the destination receives it. */
     private final class Call {
         final Node node;
         final int life;
@@ -258,21 +263,24 @@
         }
     }
 
-    /** One sender: the module, and what its journal keeps. */
+    /** A sender: its scheduler, and the content of its journal. */
     private final class Node implements Relay.Actions {
         final int number;
         final double weight;
-        /** All messages taken, and those that are not over. */
+        /** All accepted messages, and those without a final result. */
         final Map<Long, Held> taken = new LinkedHashMap<>();
         final Map<Long, Held> held = new LinkedHashMap<>();
         final Map<Long, Relay.EndpointHealth> journalled = new LinkedHashMap<>();
+        /** The attempts that were sent in this turn, by endpoint. */
         final Map<Long, Deque<Attempt>> sends = new LinkedHashMap<>();
         Relay relay;
+        /** Number of the current process: each kill starts a new one. */
         int life;
         boolean up;
+        /** Whether an attempt has ended without a delivery since the outage began. */
         boolean told;
 
-        /** One sender in ten gets several times the mean. */
+        /** One sender in ten gets four times the mean load. */
         Node(int number) {
             this.number = number;
             this.weight = number % 10 == 0 ? 4 : 0.667;
@@ -352,7 +360,7 @@
             held.remove(id).over = true;
         }
 
-        /** What goes to one endpoint in one turn travels as one call, up to the kind's batch. */
+        /** Attempts of one turn at the same endpoint share a call, up to the maximum batch size. */
         void endTurn() {
             relay.endTurn(now);
             List<Deque<Attempt>> all = new ArrayList<>(sends.values());
@@ -418,7 +426,7 @@
 
         @Override
         public void saveEndpointHealth(long endpoint, Relay.EndpointHealth health) {
-            // As the journal: what is in service takes up no room.
+            // As in the journal, an endpoint in full service takes up no space.
             journalled.remove(endpoint);
             if (health.state() != Relay.EndpointState.UP) {
                 journalled.put(endpoint, health);
--- a/src/test/java/kestreldeal/OutageRecoveryTest.java
+++ b/src/test/java/kestreldeal/OutageRecoveryTest.java
@@ -13,33 +13,40 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The rule on a cold return, for the sum of all senders: no window of the rule's length gets more than N + 2 x root of
- * N + 2 calls. All calls count, also those of senders that had seen nothing of the outage.
+ * Checks the rule on a destination that recovers from an outage with a reduced capacity, for the calls of all senders
+ * together: no window of the rule's length may get more than N + 2 x sqrt(N) + 2 calls. All calls count, also those of
+ * senders that had seen nothing of the outage.
  */
 class OutageRecoveryTest {
     private static final double[] CAPACITIES = {5, 20, 80, 300};
 
-    /** The rule is broken at the first fall of which more than this came from senders that knew of the outage. */
+    /**
+     * The rule is broken only by an overload of which at least this share of the calls came from senders that had seen
+     * the outage.
+     */
     private static final double TOLD_SHARE = 2.0 / 3;
 
     private static void holds(List<Plan> plans) {
         holds(plans, 0);
     }
 
-    /** Plays each, prints its worst window, and fails with all that were over with so great a part told. */
+    /**
+     * Runs each scenario and prints its worst window. Fails if windows had too many calls of which at least the given
+     * share came from senders that had seen the outage.
+     */
     private static void holds(List<Plan> plans, double toldShare) {
         List<String> over = new ArrayList<>();
         for (Plan plan : plans) {
             OutageRecoverySimulation fleet = new OutageRecoverySimulation(plan).run();
             Worst worst = fleet.worst();
-            String line = String.format(Locale.ROOT, "%s: %.1f of %.1f calls (N %.1f) from %.0f ms on, %.2f told; "
-                    + "delivered %d, %d since the return", plan, worst.calls(), worst.allowed(), worst.budget(),
+            String line = String.format(Locale.ROOT, "%s: %.1f calls of %.1f allowed (N %.1f) from %.0f ms after the "
+                    + "recovery on, share from senders that saw the outage %.2f; delivered %d, %d since the recovery", plan, worst.calls(), worst.allowed(), worst.budget(),
                     worst.from(), worst.toldShare(), fleet.delivered(), fleet.deliveredCold());
             System.out.println(line);
             if (worst.over() > 0 && worst.toldShare() >= toldShare) {
                 over.add(line);
             }
-            assertTrue(fleet.deliveredCold() > 0, "nothing was delivered after the return: " + line);
+            assertTrue(fleet.deliveredCold() > 0, "nothing was delivered after the recovery: " + line);
         }
         assertEquals(List.of(), over);
     }
@@ -61,13 +68,13 @@
         holds(thirty(false));
     }
 
-    /** Seven in ten end in the middle of the outage and come back with what their journals hold. */
+    /** Seven senders in ten are killed in the middle of the outage and restart from their journals. */
     @Test
     void soTheyDoWhereMostAreRestartedInTheOutage() {
         holds(thirty(true));
     }
 
-    /** What joins a call, and what goes to one of several endpoints, counts for the destination as a whole. */
+    /** Further messages in a call, and calls to each of several endpoints, count for the destination as a whole. */
     @Test
     void callsOfSeveralMessagesAndSeveralEndpointsStayWithinIt() {
         List<Plan> plans = new ArrayList<>();
@@ -80,7 +87,7 @@
         holds(plans);
     }
 
-    /** By the rule as it stands: where N is under 30, N + 3 x root of N + 3. */
+    /** Checks the exact rule: if N is below 30, it allows N + 3 x sqrt(N) + 3 calls. */
     @Test
     void soTheyDoInFleetsOfEverySizeAndOnOtherDraws() {
         List<Plan> plans = new ArrayList<>();
@@ -103,7 +110,10 @@
         holds(sizes(1, 2, 30, 100));
     }
 
-    /** Of so many most had no message for it in the whole outage, and nobody tells them: by the rule they don't count. */
+    /**
+     * Most senders of such a fleet have no message for the destination during the whole outage, and nothing tells them
+     * of it. Under the rule an overload by their calls doesn't count.
+     */
     @Test
     void largeFleetsBreakNoRule() {
         holds(sizes(1024, 5800), TOLD_SHARE);
--- a/src/test/java/kestreldeal/ReferenceScheduler.java
+++ b/src/test/java/kestreldeal/ReferenceScheduler.java
@@ -16,13 +16,16 @@
 import java.util.function.Consumer;
 
 /**
- * The reference for {@link DeliveryScheduler}: its decisions as they were taken by walking all that waits in each
- * turn and all that
- * is listed in each change, before they had indexes. Amended in three places only: after a send the walk begins at the
- * top again, so that a refused message which the throttle held back goes before less pressing ones once a first send
- * has made room; a destination's part of what is asked for is compared with a margin, as the sum is rounded
- * differently; and outages are told and ended as the module does now, which are newer decisions. What the parts and
- * constants are is said there.
+ * The reference implementation for {@link DeliveryScheduler}: it takes the same decisions, but without indexes. It
+ * checks all waiting messages in each turn and all listed endpoints in each change of the list, as that class did
+ * before it had indexes. Only three things were changed since:
+ * <ul>
+ * <li>After a send the check begins again at the highest priority, so that a refused message that the retry budget
+ * blocked is sent before those of lower priority once a first send has made room in the budget.</li>
+ * <li>A destination's share of the total demand is compared with a tolerance, as the sum is rounded differently.</li>
+ * <li>Outages are detected and ended as in {@link DeliveryScheduler} now.</li>
+ * </ul>
+ * The nested types and constants are described there.
  */
 final class ReferenceScheduler implements Relay {
     private static final double COPY_OFFSET = 0.5;
@@ -206,10 +209,10 @@
 
     private Delivery take(Message message) {
         if (message.messageClass() < 0 || message.messageClass() >= settings.classes().size()) {
-            throw new IllegalArgumentException("unknown class " + message.messageClass());
+            throw new IllegalArgumentException("unknown message class " + message.messageClass());
         }
         if (deliveries.containsKey(message.id())) {
-            throw new IllegalArgumentException("message " + message.id() + " was already taken");
+            throw new IllegalArgumentException("message " + message.id() + " was already accepted");
         }
         Delivery d = new Delivery(message);
         deliveries.put(message.id(), d);
@@ -296,7 +299,7 @@
 
     private void tick(double now) {
         if (now < clock) {
-            throw new IllegalArgumentException("the clock went back");
+            throw new IllegalArgumentException("the event time went backwards");
         }
         clock = now;
     }
--- a/src/test/java/kestreldeal/SchedulerHarness.java
+++ b/src/test/java/kestreldeal/SchedulerHarness.java
@@ -17,7 +17,10 @@
 import kestreldeal.Relay.Effect;
 import kestreldeal.Relay.Outcome;
 
-/** A caller of the module for tests: a clock, recorded actions and, where strict, a check of the rules. */
+/**
+ * Drives a {@link Relay} in tests: keeps a simulated clock, passes events to the relay and records its actions. If
+ * {@link #strict} is set, each action is also checked against the delivery rules. Times are in milliseconds.
+ */
 final class SchedulerHarness implements Relay.Actions {
     private static final double STEP = 5;
 
@@ -110,7 +113,7 @@
         relay.endTurn(now);
     }
 
-    /** One message each so many milliseconds, numbered on from those taken before, until that time. */
+    /** Submits one message in each interval until the end time; ids continue from the number of messages so far. */
     void takeEvery(double gap, int type, long destination, double end) {
         while (now < end) {
             take(messages.size(), type, destination);
@@ -127,7 +130,7 @@
         }
     }
 
-    /** A message of an earlier life, with the attempts made then. */
+    /** Restores a message of a previous process, with the attempts that it made. */
     void resume(long id, int type, long destination, double leftMs, List<Relay.EarlierAttempt> earlier) {
         resumeInTurn(id, type, destination, leftMs, earlier);
         relay.endTurn(now);
@@ -173,7 +176,7 @@
         due.add(new Due(time, count++, event));
     }
 
-    /** Lets time pass up to this moment, in steps of the caller's tick. */
+    /** Advances the clock up to this time in steps of {@link #STEP}, and runs the events that become due. */
     void until(double end) {
         while (now + STEP <= end) {
             now += STEP;
@@ -193,7 +196,7 @@
 
     void allAnswered() {
         for (long id : messages.keySet()) {
-            assertTrue(over.contains(id), "message " + id + " got no answer");
+            assertTrue(over.contains(id), "message " + id + " got no final result");
         }
     }
 
@@ -211,7 +214,7 @@
     private void check(Sent s) {
         Relay.Message m = messages.get(s.message);
         Relay.MessageClass type = DeliverySchedulerTest.CLASSES.get(m.messageClass());
-        assertFalse(over.contains(s.message), "sent after the end");
+        assertFalse(over.contains(s.message), "sent after its final result");
         assertTrue(endpoints.get(s.endpoint).serving(), "sent to a draining endpoint");
         assertEquals(m.destination(), endpoints.get(s.endpoint).destination());
         for (Sent earlier : sends) {
@@ -224,7 +227,7 @@
             }
             assertFalse(type.effect() == Effect.UNSAFE, "an unsafe message may have run twice");
             if (type.effect() == Effect.KEYED) {
-                assertTrue(now <= earlier.at + type.dedupWindowMs(), "outside the window");
+                assertTrue(now <= earlier.at + type.dedupWindowMs(), "repeated after the deduplication window");
                 assertTrue(!type.dedupWithinZone()
                         || endpoints.get(earlier.endpoint).zone() == endpoints.get(s.endpoint).zone());
             }
@@ -236,7 +239,7 @@
                 }
                 assertTrue(over.contains(other), "an earlier message of the key is unfinished");
                 for (int i = 0; i < attempts.getOrDefault(other, 0); i++) {
-                    assertTrue(ends.containsKey(other + "/" + i), "an earlier attempt of the key is out");
+                    assertTrue(ends.containsKey(other + "/" + i), "an earlier attempt of the key is in flight");
                 }
             }
         }
@@ -265,10 +268,10 @@
         if (strict) {
             Effect effect = DeliverySchedulerTest.CLASSES.get(messages.get(message).messageClass()).effect();
             for (int i = 0; effect == Effect.UNSAFE && i < attempts.getOrDefault(message, 0); i++) {
-                assertFalse(ends.get(message + "/" + i).mayHaveRun(), "refused though it may have run");
+                assertFalse(ends.get(message + "/" + i).mayHaveRun(), "rejected although it may have run");
             }
         }
-        answer("refuse ", message);
+        answer("reject ", message);
     }
 
     @Override
@@ -277,7 +280,7 @@
     }
 
     private void answer(String what, long message) {
-        assertTrue(over.add(message), "a second answer");
+        assertTrue(over.add(message), "a second final result");
         answers.add(what + message);
     }
 
