--- a/src/test/java/kestreldeal/DeliverySchedulerEquivalenceTest.java
+++ b/src/test/java/kestreldeal/DeliverySchedulerEquivalenceTest.java
@@ -238,8 +238,8 @@
         }
 
         /**
-         * Advances the clock to a requested wake or by a random time. If the reference acts at a wake that it
-         * alone requested, the scheduler must have requested one too.
+         * Advances the clock to a requested wake or by a random time. At a wake that only the reference requested, it
+         * may do nothing for which the scheduler would have needed a wake too.
          */
         private void advance() {
             double wake = Math.min(asked.wake, wanted.wake);
