--- a/src/test/java/kestreldeal/DeliverySchedulerCostTest.java
+++ b/src/test/java/kestreldeal/DeliverySchedulerCostTest.java
@@ -14,141 +14,144 @@
  * hundred times as many waiting messages, listed endpoints or both, the cost may be at most three times as high.
  */
 class DeliverySchedulerCostTest {
-    private static final int FEW = 1000;
-    private static final int MANY = 100_000;
+    private static final int SMALL_SIZE = 1000;
+    private static final int LARGE_SIZE = 100_000;
     private static final int SLOTS = 50;
 
     @Test
-    void aTurnInWhichNothingCanGoCostsTheSameHoweverMuchWaits() {
-        long few = idleTurn(new Scale(100, 200, FEW));
-        long many = idleTurn(new Scale(100, 200, MANY));
-        assertTrue(few > 0 && many <= 3 * few, few + " and " + many);
+    void idleTurnCostDoesNotGrowWithWaitingMessages() {
+        long small = idleTurnOperations(new LoadedScheduler(100, 200, SMALL_SIZE));
+        long large = idleTurnOperations(new LoadedScheduler(100, 200, LARGE_SIZE));
+        assertTrue(small > 0 && large <= 3 * small, small + " and " + large);
     }
 
     @Test
-    void aTurnInWhichNothingCanGoCostsTheSameHoweverManyDestinationsWait() {
-        long few = idleTurn(new Scale(FEW, FEW, FEW));
-        long many = idleTurn(new Scale(MANY, MANY, MANY));
-        assertTrue(few > 0 && many <= 3 * few, few + " and " + many);
+    void idleTurnCostDoesNotGrowWithWaitingDestinations() {
+        long small = idleTurnOperations(new LoadedScheduler(SMALL_SIZE, SMALL_SIZE, SMALL_SIZE));
+        long large = idleTurnOperations(new LoadedScheduler(LARGE_SIZE, LARGE_SIZE, LARGE_SIZE));
+        assertTrue(small > 0 && large <= 3 * small, small + " and " + large);
     }
 
     @Test
-    void aTurnWhileAllGatesAreClosedCostsTheSameHoweverMuchWaits() {
-        long few = idleTurn(new Scale(FEW, FEW, FEW).waits());
-        long many = idleTurn(new Scale(MANY, MANY, MANY).waits());
-        assertTrue(many <= 3 * Math.max(1, few), few + " and " + many);
+    void idleTurnCostDoesNotGrowWhileAllDestinationsAreBlocked() {
+        long small = idleTurnOperations(new LoadedScheduler(SMALL_SIZE, SMALL_SIZE, SMALL_SIZE).withRetryAfterWaits());
+        long large = idleTurnOperations(new LoadedScheduler(LARGE_SIZE, LARGE_SIZE, LARGE_SIZE).withRetryAfterWaits());
+        assertTrue(large <= 3 * Math.max(1, small), small + " and " + large);
     }
 
     @Test
-    void aChangeOfOneEntryCostsTheSameHoweverMuchIsListedAndWaits() {
+    void singleEndpointChangeCostDoesNotGrowWithListOrMessages() {
         for (int waiting : new int[] {0, 1}) {
-            long few = change(new Scale(FEW, FEW, waiting * FEW));
-            long many = change(new Scale(MANY, MANY, waiting * MANY));
-            assertTrue(many <= 3 * Math.max(1, few), waiting + " messages waiting for each endpoint: " + few + " and " + many);
+            long small = listChangeOperations(new LoadedScheduler(SMALL_SIZE, SMALL_SIZE, waiting * SMALL_SIZE));
+            long large = listChangeOperations(new LoadedScheduler(LARGE_SIZE, LARGE_SIZE, waiting * LARGE_SIZE));
+            assertTrue(large <= 3 * Math.max(1, small), waiting + " messages waiting for each endpoint: " + small
+                    + " and " + large);
         }
     }
 
     @Test
-    void aChangeWhileManyAreAboutToBeForgottenCostsTheSame() {
-        long few = change(new Scale(FEW, FEW, 0).leave());
-        long many = change(new Scale(MANY, MANY, 0).leave());
-        assertTrue(few > 0 && many <= 3 * few, few + " and " + many);
+    void changeCostDoesNotGrowWithRemovedEndpoints() {
+        long small = listChangeOperations(new LoadedScheduler(SMALL_SIZE, SMALL_SIZE, 0).withMostEndpointsRemoved());
+        long large = listChangeOperations(new LoadedScheduler(LARGE_SIZE, LARGE_SIZE, 0).withMostEndpointsRemoved());
+        assertTrue(small > 0 && large <= 3 * small, small + " and " + large);
     }
 
     @Test
-    void aTurnCostsByHowManyGo() {
-        long few = sends(new Scale(100, 200, FEW), 20);
-        long many = sends(new Scale(100, 200, MANY), 20);
-        assertTrue(many <= 3 * few, few + " and " + many);
-        long spread = sends(new Scale(MANY, MANY, MANY), 20);
-        assertTrue(spread <= 3 * few, few + " and " + spread + " with as many destinations");
+    void turnCostDependsOnNumberOfSendsOnly() {
+        long small = sendingTurnOperations(new LoadedScheduler(100, 200, SMALL_SIZE), 20);
+        long large = sendingTurnOperations(new LoadedScheduler(100, 200, LARGE_SIZE), 20);
+        assertTrue(large <= 3 * small, small + " and " + large);
+        long spread = sendingTurnOperations(new LoadedScheduler(LARGE_SIZE, LARGE_SIZE, LARGE_SIZE), 20);
+        assertTrue(spread <= 3 * small, small + " and " + spread + " with as many destinations");
     }
 
-    private static long idleTurn(Scale s) {
-        s.turn();
-        long before = s.logic.waiting.operations();
-        int sent = s.sent.size();
+    private static long idleTurnOperations(LoadedScheduler loaded) {
+        loaded.endTurn();
+        long before = loaded.scheduler.waiting.operations();
+        int sent = loaded.sentMessages.size();
         for (int i = 0; i < 10; i++) {
-            s.now += 1;
-            s.turn();
+            loaded.now += 1;
+            loaded.endTurn();
         }
-        assertEquals(sent, s.sent.size(), "nothing may be sent");
-        return s.logic.waiting.operations() - before;
+        assertEquals(sent, loaded.sentMessages.size(), "nothing may be sent");
+        return loaded.scheduler.waiting.operations() - before;
     }
 
-    private static long change(Scale s) {
-        s.turn();
-        long before = s.logic.waiting.operations();
+    private static long listChangeOperations(LoadedScheduler loaded) {
+        loaded.endTurn();
+        long before = loaded.scheduler.waiting.operations();
         for (int i = 0; i < 10; i++) {
-            s.now += 1;
-            s.logic.endpointsChanged(s.now, false, List.of(s.entry(i, i % 2 == 0)));
-            s.turn();
+            loaded.now += 1;
+            loaded.scheduler.endpointsChanged(loaded.now, false, List.of(loaded.endpoint(i, i % 2 == 0)));
+            loaded.endTurn();
         }
-        return s.logic.waiting.operations() - before;
+        return loaded.scheduler.waiting.operations() - before;
     }
 
-    private static long sends(Scale s, int k) {
-        s.turn();
-        assertEquals(SLOTS, s.sent.size());
-        s.now += 1;
-        for (int i = 0; i < k; i++) {
-            s.logic.attemptCompleted(s.now, new Relay.AttemptResult(s.sent.get(i), 0, Outcome.DELIVERED, 1, true, 0));
-        }
-        long before = s.logic.waiting.operations();
-        s.turn();
-        assertEquals(SLOTS + k, s.sent.size(), "one message is sent for each freed slot");
-        return s.logic.waiting.operations() - before;
+    private static long sendingTurnOperations(LoadedScheduler loaded, int freedSlots) {
+        loaded.endTurn();
+        assertEquals(SLOTS, loaded.sentMessages.size());
+        loaded.now += 1;
+        for (int i = 0; i < freedSlots; i++) {
+            loaded.scheduler.attemptCompleted(loaded.now,
+                    new Relay.AttemptResult(loaded.sentMessages.get(i), 0, Outcome.DELIVERED, 1, true, 0));
+        }
+        long before = loaded.scheduler.waiting.operations();
+        loaded.endTurn();
+        assertEquals(SLOTS + freedSlots, loaded.sentMessages.size(), "one message is sent for each freed slot");
+        return loaded.scheduler.waiting.operations() - before;
     }
 
     /** A scheduler with the given numbers of destinations, listed endpoints and waiting messages. */
-    private static final class Scale implements Relay.Actions {
-        final List<Long> sent = new ArrayList<>();
-        final int destinations;
-        final DeliveryScheduler logic;
+    private static final class LoadedScheduler implements Relay.Actions {
+        final List<Long> sentMessages = new ArrayList<>();
+        final int destinationCount;
+        final DeliveryScheduler scheduler;
         double now = 1000;
 
-        Scale(int destinations, int endpoints, int waiting) {
-            this.destinations = destinations;
+        LoadedScheduler(int destinationCount, int endpointCount, int messageCount) {
+            this.destinationCount = destinationCount;
             Relay.Settings settings = new Relay.Settings(DeliverySchedulerTest.CLASSES,
                     List.of(new Relay.DestinationKind(false, 1)), false,
                     Relay.Decay.LINEAR, List.of(), 2, SLOTS, 12, true, true, 500, 15_000,
                     new Relay.SlowStart(0.2, 12_000, 2, 1500));
-            logic = new DeliveryScheduler(settings, 1, this);
+            scheduler = new DeliveryScheduler(settings, 1, this);
             List<Relay.Endpoint> entries = new ArrayList<>();
-            for (int i = 0; i < endpoints; i++) {
-                entries.add(entry(i, true));
+            for (int i = 0; i < endpointCount; i++) {
+                entries.add(endpoint(i, true));
             }
-            logic.endpointsChanged(now, true, entries);
-            for (int i = 0; i < waiting; i++) {
-                logic.messageAccepted(now, new Relay.Message(i, 0, 0, Optional.empty(), 16_000, i % destinations));
+            scheduler.endpointsChanged(now, true, entries);
+            for (int i = 0; i < messageCount; i++) {
+                scheduler.messageAccepted(now,
+                        new Relay.Message(i, 0, 0, Optional.empty(), 16_000, i % destinationCount));
             }
         }
 
-        Relay.Endpoint entry(int number, boolean serving) {
-            return new Relay.Endpoint(number, number % destinations, 0, 0, serving, 0);
+        Relay.Endpoint endpoint(int id, boolean serving) {
+            return new Relay.Endpoint(id, id % destinationCount, 0, 0, serving, 0);
         }
 
         /** Each destination has asked for a Retry-After wait. */
-        Scale waits() {
-            for (int i = 0; i < destinations; i++) {
-                logic.retryAfterReceived(now, i, 10_000);
+        LoadedScheduler withRetryAfterWaits() {
+            for (int i = 0; i < destinationCount; i++) {
+                scheduler.retryAfterReceived(now, i, 10_000);
             }
             return this;
         }
 
         /** All endpoints but one have just been removed from the list. */
-        Scale leave() {
-            logic.endpointsChanged(now, true, List.of(entry(0, true)));
+        LoadedScheduler withMostEndpointsRemoved() {
+            scheduler.endpointsChanged(now, true, List.of(endpoint(0, true)));
             return this;
         }
 
-        void turn() {
-            logic.endTurn(now);
+        void endTurn() {
+            scheduler.endTurn(now);
         }
 
         @Override
         public void send(long message, long endpoint, double timeoutMs) {
-            sent.add(message);
+            sentMessages.add(message);
         }
 
         @Override
@@ -160,7 +163,7 @@
         }
 
         @Override
-        public void reject(long message, double waitMs) {
+        public void reject(long message, double retryAfterMs) {
         }
 
         @Override
@@ -168,7 +171,7 @@
         }
 
         @Override
-        public void wakeAt(double time) {
+        public void wakeAt(double timeMs) {
         }
 
         @Override
--- a/src/test/java/kestreldeal/ReferenceScheduler.java
+++ b/src/test/java/kestreldeal/ReferenceScheduler.java
@@ -28,186 +28,188 @@
  * The nested types and constants are described there.
  */
 final class ReferenceScheduler implements Relay {
-    private static final double COPY_OFFSET = 0.5;
-    private static final double COPY_BASE = 1;
-    private static final double COPY_SHARE = 0.1;
-    private static final double THROTTLE_PERIOD_MS = 10_000;
-    private static final double RETRY_BASE = 2;
-    private static final double RETRY_SHARE = 0.3;
+    private static final double HEDGE_DELAY_SHARE = 0.5;
+    private static final double HEDGES_ALWAYS_ALLOWED = 1;
+    private static final double HEDGES_PER_FIRST_SEND = 0.1;
+    private static final double BUDGET_PERIOD_MS = 10_000;
+    private static final double RETRIES_ALWAYS_ALLOWED = 2;
+    private static final double RETRIES_PER_FIRST_SEND = 0.3;
     private static final double BACKOFF_MS = 200;
-    private static final double BACKOFF_GROWTH = 3;
-    private static final double WINDOW_MARGIN_MS = 300;
-    private static final double TIMEOUT_AIMS = 1.25;
+    private static final double BACKOFF_FACTOR = 3;
+    private static final double DEDUP_WINDOW_MARGIN_MS = 300;
+    private static final double TIMEOUT_TARGET_FACTOR = 1.25;
     private static final double TIMEOUT_DEVIATIONS = 8;
-    private static final double UNSAFE_PATIENCE = 0.33;
-    private static final double LATENCY_WEIGHT = 0.15;
-    private static final double FIRST_LATENCY_MS = 250;
-    private static final double QUICK_MS = 250;
-    private static final double CALL_OFF_LEAST_MS = 200;
-    private static final double PACE_CUT = 0.7;
-    private static final double PACE_OVER_SENT = 1.3;
-    private static final double PACE_GROWTH = 0.05;
-    private static final double LEFT_AIM = 0.5;
-    private static final double LEFT_GAIN = 0.6;
-    private static final double LEFT_SECONDS = 3;
-    private static final double PACE_PAUSE_MS = 500;
-    private static final double PACE_PAUSE_GROWTH = 3;
-    private static final int PACE_PAUSES = 4;
-    private static final double PACE_LEAST_SHARE = 0.2;
-    private static final double LISTED_SHARE = 0.5;
-    private static final double TOLD_SHARE = 0.9;
-    private static final double TOLD_WEIGHT = 0.2;
-    private static final double TOLD_STEP = 2;
-    private static final double IDLE_MS = 60_000;
+    private static final double UNSAFE_TIMEOUT_SHARE = 0.33;
+    private static final double LATENCY_SAMPLE_WEIGHT = 0.15;
+    private static final double INITIAL_LATENCY_MS = 250;
+    private static final double FAST_LATENCY_MS = 250;
+    private static final double MIN_CANCEL_AGE_MS = 200;
+    private static final double RATE_CUT_FACTOR = 0.7;
+    private static final double MAX_RATE_OVER_SENT = 1.3;
+    private static final double RATE_GROWTH_PER_DELIVERY = 0.05;
+    private static final double TARGET_SHARE_LEFT = 0.5;
+    private static final double SHARE_LEFT_GAIN_PER_S = 0.6;
+    private static final double MAX_SHARE_LEFT_STEP_S = 3;
+    private static final double MAX_SEND_INTERVAL_MS = 500;
+    private static final double SEND_INTERVAL_GROWTH = 3;
+    private static final int MAX_REFUSAL_LEVEL = 4;
+    private static final double MIN_RATE_DEMAND_SHARE = 0.2;
+    private static final double LISTED_RATE_SHARE = 0.5;
+    private static final double REPORTED_RATE_SHARE = 0.9;
+    private static final double REPORTED_RATE_WEIGHT = 0.2;
+    private static final double REPORTED_RATE_MAX_STEP = 2;
+    private static final double RATE_RESET_IDLE_MS = 60_000;
     private static final double CLOCK_MARGIN_MS = 1;
-    private static final double BAD_WEIGHT = 0.2;
+    private static final double FAILURE_WEIGHT = 0.2;
     private static final double UNREACHABLE_WEIGHT = 0.6;
-    private static final double GOOD_FACTOR = 0.6;
-    private static final double DOWN_AT = 0.6;
-    private static final int SILENT_CALLS = 2;
-    private static final double SILENT_DEVIATIONS = 4;
-    private static final int SHUT_ENDS = 3;
-    private static final double SHUT_MS = 2500;
-    private static final double TRIAL_LEAST_MS = 500;
-    private static final double TRIAL_MOST = 4;
-    private static final double RAMP_SAFETY = 0.7;
-    private static final double CARRIED_MS = 10_000;
-    private static final double DEMAND_SHARE = 0.7;
-    private static final double CARRIED_LEAST_MS = 2000;
-    private static final double GONE_MS = 30_000;
-    private static final double IDLE_LEAST_MS = 100;
-    private static final double TRUST_CUT = 0.25;
-    private static final double TRUST_MEMORY_MS = 30_000;
-    private static final double RANK_HORIZON_MS = 1500;
-    private static final double RANK_WORTH = 0.01;
-    private static final double FEE_MS = 25_000;
-    private static final Comparator<Delivery> PRESSING_FIRST =
-            Comparator.comparingDouble((Delivery d) -> -d.rank).thenComparingDouble(d -> d.aimAt);
-    private static final double ANSWER_MARGIN_MS = 5;
+    private static final double DELIVERY_FACTOR = 0.6;
+    private static final double DOWN_SCORE = 0.6;
+    private static final int DOWN_OVERDUE_CALLS = 2;
+    private static final double OVERDUE_DEVIATIONS = 4;
+    private static final int DOWN_FAILURES = 3;
+    private static final double MIN_OUTAGE_MS = 2500;
+    private static final double MIN_PROBE_INTERVAL_MS = 500;
+    private static final double MAX_PROBE_INTERVAL_RAMPS = 4;
+    private static final double SLOW_START_LOAD_SHARE = 0.7;
+    private static final double RATE_AVERAGING_MS = 10_000;
+    private static final double ASSUMED_DEMAND_SHARE = 0.7;
+    private static final double RATE_AVERAGING_MIN_MS = 2000;
+    private static final double REMOVED_RETENTION_MS = 30_000;
+    private static final double MIN_IDLE_MS = 100;
+    private static final double REUSE_IDLE_SHARE = 0.25;
+    private static final double IDLE_LOSS_MEMORY_MS = 30_000;
+    private static final double PRIORITY_HORIZON_MS = 1500;
+    private static final double PRIORITY_VALUE_WEIGHT = 0.01;
+    private static final double MS_PER_FEE_POINT = 25_000;
+    private static final Comparator<Delivery> HIGHEST_PRIORITY_FIRST =
+            Comparator.comparingDouble((Delivery d) -> -d.priority).thenComparingDouble(d -> d.targetAt);
+    private static final double RESULT_MARGIN_MS = 5;
 
     private final Settings settings;
     private final Actions actions;
     private final Random random;
-    private final boolean joins;
-    private final Map<Long, Target> targets = new LinkedHashMap<>();
+    /** Whether a call of some kind of destination may carry several messages. */
+    private final boolean callsCanBeJoined;
+    private final Map<Long, TrackedEndpoint> endpoints = new LinkedHashMap<>();
     private final Map<Long, Destination> destinations = new LinkedHashMap<>();
-    private final Map<Long, Consumer<Target>> recalled = new LinkedHashMap<>();
+    private final Map<Long, Consumer<TrackedEndpoint>> pendingRestores = new LinkedHashMap<>();
     private final Map<Long, Delivery> deliveries = new LinkedHashMap<>();
-    private final Set<Delivery> queue = new LinkedHashSet<>();
-    private final Set<Attempt> out = new LinkedHashSet<>();
+    private final Set<Delivery> waiting = new LinkedHashSet<>();
+    private final Set<Attempt> inFlightAttempts = new LinkedHashSet<>();
     private final Deque<Double> firstSends = new ArrayDeque<>();
-    private final Throttle copies = new Throttle(COPY_BASE, COPY_SHARE);
-    private final Throttle retries = new Throttle(RETRY_BASE, RETRY_SHARE);
-    private final Connections connections = new Connections();
-    private final KeyOrder keys = new KeyOrder();
+    private final SendBudget hedgeBudget = new SendBudget(HEDGES_ALWAYS_ALLOWED, HEDGES_PER_FIRST_SEND);
+    private final SendBudget retryBudget = new SendBudget(RETRIES_ALWAYS_ALLOWED, RETRIES_PER_FIRST_SEND);
+    private final IdleConnectionReuse connectionReuse = new IdleConnectionReuse();
+    private final KeyOrder keyOrder = new KeyOrder();
     private final Timers timers = new Timers();
     private int slotsUsed;
     private long turn;
-    private double closesAt = Double.POSITIVE_INFINITY;
+    private double shutdownAt = Double.POSITIVE_INFINITY;
     private double clock = Double.NEGATIVE_INFINITY;
 
     ReferenceScheduler(Settings settings, long seed, Actions actions) {
         this.settings = settings;
         this.actions = actions;
         this.random = new Random(seed);
-        this.joins = settings.kinds().stream().anyMatch(kind -> kind.maxBatchSize() > 1);
+        this.callsCanBeJoined = settings.kinds().stream().anyMatch(kind -> kind.maxBatchSize() > 1);
     }
 
 
     @Override
-    public void endpointsChanged(double now, boolean whole, List<Endpoint> entries) {
-        tick(now);
-        if (whole) {
-            targets.values().forEach(Target::leave);
+    public void endpointsChanged(double nowMs, boolean fullList, List<Endpoint> entries) {
+        advanceClock(nowMs);
+        if (fullList) {
+            endpoints.values().forEach(TrackedEndpoint::markRemoved);
         }
         for (Endpoint entry : entries) {
-            Target target = targets.computeIfAbsent(entry.id(), unknown -> new Target(entry));
-            Optional.ofNullable(recalled.remove(entry.id())).ifPresent(known -> known.accept(target));
-            target.limit.listedRate = settings.ratesListed() ? entry.listedRate() / 1000 : 0;
+            TrackedEndpoint endpoint = endpoints.computeIfAbsent(entry.id(), unknown -> new TrackedEndpoint(entry));
+            Optional.ofNullable(pendingRestores.remove(entry.id())).ifPresent(restore -> restore.accept(endpoint));
+            endpoint.limiter.listedRate = settings.ratesListed() ? entry.listedRate() / 1000 : 0;
             if (entry.removed()) {
-                target.leave();
+                endpoint.markRemoved();
             } else {
-                target.serving = entry.serving();
-                target.goneAt = Double.POSITIVE_INFINITY;
+                endpoint.serving = entry.serving();
+                endpoint.removedAt = Double.POSITIVE_INFINITY;
             }
         }
-        targets.values().removeIf(t -> t.isForgotten() && t.destination.targets.remove(t));
+        endpoints.values().removeIf(e -> e.isRetentionOver() && e.destination.endpoints.remove(e));
     }
 
     @Override
-    public void messageAccepted(double now, Message message) {
-        tick(now);
-        take(message).destination.demand.count();
+    public void messageAccepted(double nowMs, Message message) {
+        advanceClock(nowMs);
+        accept(message).destination.demand.addEvent();
     }
 
     @Override
-    public void messageRestored(double now, Message message, List<EarlierAttempt> attempts) {
-        tick(now);
-        Delivery d = take(message);
-        d.destination.targets.forEach(t -> t.limit.resumed());
+    public void messageRestored(double nowMs, Message message, List<EarlierAttempt> attempts) {
+        advanceClock(nowMs);
+        Delivery d = accept(message);
+        d.destination.endpoints.forEach(e -> e.limiter.messageRestored());
         for (EarlierAttempt earlier : attempts) {
-            Optional<Target> target = Optional.ofNullable(targets.get(earlier.endpoint()));
-            Attempt attempt = new Attempt(d, target, earlier.sentAtMs());
+            Optional<TrackedEndpoint> endpoint = Optional.ofNullable(endpoints.get(earlier.endpoint()));
+            Attempt attempt = new Attempt(d, endpoint, earlier.sentAtMs());
             attempt.mayHaveRun = earlier.mayHaveRun();
             if (earlier.inFlightCallId().isPresent()) {
-                started(attempt, target.map(t -> t.adopt(earlier)), d.out > 0);
+                attemptStarted(attempt, endpoint.map(e -> e.adoptCall(earlier)), d.inFlight > 0);
             }
         }
-        keys.resumed(d);
-        if (!attempts.isEmpty() && d.out == 0) {
-            giveUpInTime(d);
+        keyOrder.messageRestored(d);
+        if (!attempts.isEmpty() && d.inFlight == 0) {
+            finishWithoutFurtherAttempt(d);
         }
     }
 
     @Override
-    public void restoreEndpointHealth(double now, long endpoint, EndpointHealth health) {
-        tick(now);
-        whenListed(endpoint, target -> target.recall(health));
+    public void restoreEndpointHealth(double nowMs, long endpointId, EndpointHealth health) {
+        advanceClock(nowMs);
+        restoreWhenListed(endpointId, endpoint -> endpoint.restore(health));
     }
 
     @Override
-    public void restoreLearnedState(double now, LearnedState memory) {
-        tick(now);
-        memory.firstSendsAgo().forEach(ago -> firstSends.add(clock - ago));
-        memory.copiesAgo().forEach(ago -> copies.sent(clock - ago));
-        memory.retriesAgo().forEach(ago -> retries.sent(clock - ago));
-        memory.endpoints().forEach(known -> whenListed(known.endpoint(), target -> target.recall(known)));
+    public void restoreLearnedState(double nowMs, LearnedState state) {
+        advanceClock(nowMs);
+        state.firstSendsAgo().forEach(ago -> firstSends.add(clock - ago));
+        state.copiesAgo().forEach(ago -> hedgeBudget.recordSend(clock - ago));
+        state.retriesAgo().forEach(ago -> retryBudget.recordSend(clock - ago));
+        state.endpoints().forEach(learned ->
+                restoreWhenListed(learned.endpoint(), endpoint -> endpoint.restore(learned)));
     }
 
-    private void whenListed(long endpoint, Consumer<Target> recall) {
-        Target target = targets.get(endpoint);
-        if (target == null) {
-            recalled.merge(endpoint, recall, Consumer::andThen);
+    private void restoreWhenListed(long endpointId, Consumer<TrackedEndpoint> restore) {
+        TrackedEndpoint endpoint = endpoints.get(endpointId);
+        if (endpoint == null) {
+            pendingRestores.merge(endpointId, restore, Consumer::andThen);
         } else {
-            recall.accept(target);
+            restore.accept(endpoint);
         }
     }
 
     @Override
-    public LearnedState learnedState(double now) {
-        tick(now);
-        return new LearnedState(targets.values().stream().map(Target::known).toList(), ago(firstSends),
-                ago(copies.extra), ago(retries.extra));
+    public LearnedState learnedState(double nowMs) {
+        advanceClock(nowMs);
+        return new LearnedState(endpoints.values().stream().map(TrackedEndpoint::learnedState).toList(),
+                ages(firstSends), ages(hedgeBudget.extraSends), ages(retryBudget.extraSends));
     }
 
-    private List<Double> ago(Deque<Double> times) {
+    private List<Double> ages(Deque<Double> times) {
         return times.stream().map(time -> clock - time).toList();
     }
 
     @Override
-    public void shutdownScheduled(double now, double end) {
-        tick(now);
-        closesAt = end;
+    public void shutdownScheduled(double nowMs, double endMs) {
+        advanceClock(nowMs);
+        shutdownAt = endMs;
     }
 
     @Override
     public EndpointCounts endpointCounts() {
-        List<Target> listed = targets.values().stream().filter(t -> t.goneAt > clock).toList();
-        long used = listed.stream().filter(t -> t.serving && t.state != EndpointState.DOWN).count();
-        return new EndpointCounts(listed.size(), (int) (listed.size() - used));
+        List<TrackedEndpoint> listed = endpoints.values().stream().filter(e -> e.removedAt > clock).toList();
+        long available = listed.stream().filter(e -> e.serving && e.state != EndpointState.DOWN).count();
+        return new EndpointCounts(listed.size(), (int) (listed.size() - available));
     }
 
-    private Delivery take(Message message) {
+    private Delivery accept(Message message) {
         if (message.messageClass() < 0 || message.messageClass() >= settings.classes().size()) {
             throw new IllegalArgumentException("unknown message class " + message.messageClass());
         }
@@ -216,984 +218,1012 @@
         }
         Delivery d = new Delivery(message);
         deliveries.put(message.id(), d);
-        keys.taken(d);
-        queue.add(d);
-        timers.add(d.deadline - ANSWER_MARGIN_MS, () -> finish(d));
+        keyOrder.messageAccepted(d);
+        waiting.add(d);
+        timers.add(d.deadline - RESULT_MARGIN_MS, () -> finishUndelivered(d));
         return d;
     }
 
     @Override
-    public void attemptCompleted(double now, AttemptResult end) {
-        tick(now);
-        Delivery d = deliveries.get(end.message());
-        if (d == null || end.attempt() < 0 || end.attempt() >= d.attempts.size()) {
-            throw new IllegalArgumentException("unknown attempt " + end.attempt() + " of message "
-                    + end.message());
-        }
-        Attempt attempt = d.attempts.get(end.attempt());
-        if (!attempt.out) {
+    public void attemptCompleted(double nowMs, AttemptResult result) {
+        advanceClock(nowMs);
+        Delivery d = deliveries.get(result.message());
+        if (d == null || result.attempt() < 0 || result.attempt() >= d.attempts.size()) {
+            throw new IllegalArgumentException("unknown attempt " + result.attempt() + " of message "
+                    + result.message());
+        }
+        Attempt attempt = d.attempts.get(result.attempt());
+        if (!attempt.inFlight) {
             return;
         }
-        attempt.out = false;
-        out.remove(attempt);
-        attempt.mayHaveRun = end.outcome().mayHaveRun();
-        d.refused = end.outcome() == Outcome.FULL;
-        d.out--;
-        attempt.call.ifPresent(call -> call.itemEnded(end));
-        keys.attemptEnded(d, end.outcome());
-        if (end.messageFinished()) {
-            close(d);
-        }
-        if (d.ended) {
-            forget(d);
-        } else if (d.out == 0) {
-            nextWave(d);
+        attempt.inFlight = false;
+        inFlightAttempts.remove(attempt);
+        attempt.mayHaveRun = result.outcome().mayHaveRun();
+        d.refused = result.outcome() == Outcome.FULL;
+        d.inFlight--;
+        attempt.call.ifPresent(call -> call.attemptCompleted(result));
+        keyOrder.attemptCompleted(d, result.outcome());
+        if (result.messageFinished()) {
+            complete(d);
+        }
+        if (d.completed) {
+            removeUnlessInFlight(d);
+        } else if (d.inFlight == 0) {
+            scheduleNextRound(d);
         }
     }
 
     @Override
-    public void retryAfterReceived(double now, long endpoint, double waitMs) {
-        tick(now);
-        Optional.ofNullable(targets.get(endpoint)).ifPresent(target -> target.limit.told(waitMs));
+    public void retryAfterReceived(double nowMs, long endpointId, double retryAfterMs) {
+        advanceClock(nowMs);
+        Optional.ofNullable(endpoints.get(endpointId))
+                .ifPresent(endpoint -> endpoint.limiter.recordRetryAfter(retryAfterMs));
     }
 
     @Override
-    public boolean sendAllowed(double now, long endpoint) {
-        return Optional.ofNullable(targets.get(endpoint))
-                .filter(target -> target.serving && target.limit.waitUntil <= now).isPresent();
+    public boolean sendAllowed(double nowMs, long endpointId) {
+        return Optional.ofNullable(endpoints.get(endpointId))
+                .filter(endpoint -> endpoint.serving && endpoint.limiter.retryAfterUntil <= nowMs).isPresent();
     }
 
     @Override
-    public void messageCancelled(double now, long message) {
-        tick(now);
-        Optional.ofNullable(deliveries.get(message)).ifPresent(this::close);
+    public void messageCancelled(double nowMs, long message) {
+        advanceClock(nowMs);
+        Optional.ofNullable(deliveries.get(message)).ifPresent(this::complete);
     }
 
     @Override
-    public void wake(double now) {
-        tick(now);
+    public void wake(double nowMs) {
+        advanceClock(nowMs);
     }
 
     @Override
-    public void endTurn(double now) {
-        tick(now);
-        timers.run(now);
+    public void endTurn(double nowMs) {
+        advanceClock(nowMs);
+        timers.fireDue(nowMs);
         dispatch();
-        timers.ask(now, nextOpening());
+        timers.requestWake(nowMs, nextReadyAt());
         turn++;
     }
 
-    private double leastTrialRate() {
-        return 1 / Math.min(TRIAL_LEAST_MS * settings.senderCount(), TRIAL_MOST * settings.slowStart().rampUpMs());
+    private double minProbeRate() {
+        return 1 / Math.min(MIN_PROBE_INTERVAL_MS * settings.senderCount(),
+                MAX_PROBE_INTERVAL_RAMPS * settings.slowStart().rampUpMs());
     }
 
     private Destination destination(long id) {
         return destinations.computeIfAbsent(id, unknown -> new Destination());
     }
 
-    private void trim(Deque<Double> times, double periodMs) {
+    private void removeOlderThan(Deque<Double> times, double periodMs) {
         while (!times.isEmpty() && times.peek() < clock - periodMs) {
             times.remove();
         }
     }
 
-    private void tick(double now) {
-        if (now < clock) {
+    private void advanceClock(double nowMs) {
+        if (nowMs < clock) {
             throw new IllegalArgumentException("the event time went backwards");
         }
-        clock = now;
+        clock = nowMs;
     }
 
 
     private void dispatch() {
-        List<Delivery> ranked = new ArrayList<>();
-        List<Delivery> lacking = new ArrayList<>();
-        for (Delivery d : queue) {
-            Destination to = d.destination;
-            if (to.seenTurn != turn) {
-                to.seenTurn = turn;
-                to.openInTurn = to.isOpen();
-                to.slotInTurn = joins || to.hasSlot();
+        List<Delivery> candidates = new ArrayList<>();
+        List<Delivery> lackingSlot = new ArrayList<>();
+        for (Delivery d : waiting) {
+            Destination destination = d.destination;
+            if (destination.checkedInTurn != turn) {
+                destination.checkedInTurn = turn;
+                destination.readyInTurn = destination.isReady();
+                destination.slotAvailableInTurn = callsCanBeJoined || destination.slotAvailable();
             }
-            if (to.openInTurn && d.notBefore <= clock) {
-                (to.slotInTurn ? ranked : lacking).add(d);
+            if (destination.readyInTurn && d.notBefore <= clock) {
+                (destination.slotAvailableInTurn ? candidates : lackingSlot).add(d);
             }
         }
-        ranked.forEach(d -> d.rank = d.rank());
-        ranked.sort(PRESSING_FIRST);
-        List<Delivery> left = new ArrayList<>(ranked);
-        for (int i = 0; i < left.size();) {
-            Delivery d = left.get(i);
-            boolean may = (joins || slotsUsed < settings.slots()) && d.destination.isOpen();
-            Optional<Target> target = may ? choose(d, false) : Optional.empty();
-            if (target.isPresent() || !d.refused) {
-                left.remove(i);
+        candidates.forEach(d -> d.priority = d.priority());
+        candidates.sort(HIGHEST_PRIORITY_FIRST);
+        List<Delivery> remaining = new ArrayList<>(candidates);
+        for (int i = 0; i < remaining.size();) {
+            Delivery d = remaining.get(i);
+            boolean canSend = (callsCanBeJoined || slotsUsed < settings.slots()) && d.destination.isReady();
+            Optional<TrackedEndpoint> endpoint = canSend ? chooseEndpoint(d, false) : Optional.empty();
+            if (endpoint.isPresent() || !d.refused) {
+                remaining.remove(i);
             } else {
                 i++;
             }
-            if (target.isPresent()) {
-                send(d, target.get(), false);
+            if (endpoint.isPresent()) {
+                send(d, endpoint.get(), false);
                 i = 0;
             }
         }
-        lacking.addAll(ranked);
-        if (slotsUsed >= settings.slots() - 1 && lacking.stream().anyMatch(this::lacksSlot)) {
-            freeSlot();
+        lackingSlot.addAll(candidates);
+        if (slotsUsed >= settings.slots() - 1 && lackingSlot.stream().anyMatch(this::lacksOnlySlot)) {
+            cancelSlowestCall();
         }
     }
 
-    private boolean lacksSlot(Delivery d) {
-        return d.out == 0 && d.destination.targets.stream()
-                .anyMatch(t -> t.isOpen() && !t.hasSlot() && allows(d, t));
+    private boolean lacksOnlySlot(Delivery d) {
+        return d.inFlight == 0 && d.destination.endpoints.stream()
+                .anyMatch(e -> e.isReady() && !e.slotAvailable() && sendConditionsMet(d, e));
     }
 
-    private void freeSlot() {
+    private void cancelSlowestCall() {
         if (!settings.cancellation()) {
             return;
         }
-        out.stream().filter(a -> !a.calledOff && a.delivery.type.effect() != Effect.UNSAFE)
-                .filter(a -> a.overPatience() > 1)
-                .max(Comparator.comparingDouble(Attempt::overPatience)).ifPresent(most -> {
-                    most.calledOff = true;
-                    most.target.get().calledOff++;
-                    most.call.ifPresent(Call::overdue);
-                    actions.cancel(most.delivery.message.id(), most.delivery.attempts.indexOf(most));
+        inFlightAttempts.stream().filter(a -> !a.cancelledForSlot && a.delivery.messageClass.effect() != Effect.UNSAFE)
+                .filter(a -> a.overdueRatio() > 1)
+                .max(Comparator.comparingDouble(Attempt::overdueRatio)).ifPresent(slowest -> {
+                    slowest.cancelledForSlot = true;
+                    slowest.endpoint.get().cancelledForSlots++;
+                    slowest.call.ifPresent(Call::overdue);
+                    actions.cancel(slowest.delivery.message.id(), slowest.delivery.attempts.indexOf(slowest));
                 });
     }
 
-    private Optional<Target> choose(Delivery d, boolean copy) {
-        List<Target> all = d.destination.targets;
-        boolean elsewhere = copy && all.stream().anyMatch(t -> t.serving && !d.isOutAt(t));
-        return all.stream()
-                .filter(t -> !(elsewhere && d.isOutAt(t) || copy && t.state == EndpointState.DOWN) && maySend(d, t))
-                .min(Comparator.comparingDouble(t -> t.cost(d)));
+    private Optional<TrackedEndpoint> chooseEndpoint(Delivery d, boolean hedged) {
+        List<TrackedEndpoint> candidates = d.destination.endpoints;
+        boolean elsewhere = hedged && candidates.stream().anyMatch(e -> e.serving && !d.isInFlightAt(e));
+        return candidates.stream()
+                .filter(e -> !(elsewhere && d.isInFlightAt(e) || hedged && e.state == EndpointState.DOWN)
+                && canSend(d, e))
+                .min(Comparator.comparingDouble(e -> e.cost(d)));
     }
 
-    private boolean maySend(Delivery d, Target target) {
-        return allows(d, target) && (target.mayJoin()
-                || target.hasSlot() && target.isOpen());
+    private boolean canSend(Delivery d, TrackedEndpoint endpoint) {
+        return sendConditionsMet(d, endpoint) && (endpoint.canJoinCall()
+                || endpoint.slotAvailable() && endpoint.isReady());
     }
 
-    private boolean allows(Delivery d, Target target) {
-        return !d.ended && target.serving
-                && clock < d.deadline - ANSWER_MARGIN_MS
+    private boolean sendConditionsMet(Delivery d, TrackedEndpoint endpoint) {
+        return !d.completed && endpoint.serving
+                && clock < d.deadline - RESULT_MARGIN_MS
                 && d.attempts.size() < settings.maxAttempts()
-                && mayRepeat(d, target)
-                && keys.mayGo(d)
-                && (!d.refused || d.out > 0 || retries.allows())
-                && target.limit.waitUntil <= clock
-                && clock + target.expectedEnd(d.type) <= closesAt;
+                && mayRepeat(d, endpoint)
+                && keyOrder.allows(d)
+                && (!d.refused || d.inFlight > 0 || retryBudget.allowsSend())
+                && endpoint.limiter.retryAfterUntil <= clock
+                && clock + endpoint.expectedDuration(d.messageClass) <= shutdownAt;
     }
 
-    private boolean mayRepeat(Delivery d, Target target) {
-        return mayRepeat(d) && !(d.type.effect() == Effect.KEYED && d.type.dedupWithinZone()
-                && d.attempts.stream().anyMatch(a -> (a.out || a.mayHaveRun) && !a.isInZoneOf(target)));
+    private boolean mayRepeat(Delivery d, TrackedEndpoint endpoint) {
+        return mayRepeat(d) && !(d.messageClass.effect() == Effect.KEYED && d.messageClass.dedupWithinZone()
+                && d.attempts.stream().anyMatch(a -> (a.inFlight || a.mayHaveRun) && !a.isInSameZone(endpoint)));
     }
 
     private boolean mayRepeat(Delivery d) {
         for (Attempt earlier : d.attempts) {
-            if (!earlier.out && !earlier.mayHaveRun) {
+            if (!earlier.inFlight && !earlier.mayHaveRun) {
                 continue;
             }
-            if (earlier.out && !settings.hedging() || d.type.effect() == Effect.UNSAFE) {
+            if (earlier.inFlight && !settings.hedging() || d.messageClass.effect() == Effect.UNSAFE) {
                 return false;
             }
-            if (d.type.effect() == Effect.KEYED
-                    && clock > earlier.sentAt + d.type.dedupWindowMs() - WINDOW_MARGIN_MS) {
+            if (d.messageClass.effect() == Effect.KEYED
+                    && clock > earlier.sentAt + d.messageClass.dedupWindowMs() - DEDUP_WINDOW_MARGIN_MS) {
                 return false;
             }
         }
         return true;
     }
 
-    private void send(Delivery d, Target target, boolean copy) {
-        Call call = target.joinOrStart();
-        Attempt attempt = new Attempt(d, Optional.of(target), clock);
-        if (copy) {
-            copies.sent(clock);
+    private void send(Delivery d, TrackedEndpoint endpoint, boolean hedged) {
+        Call call = endpoint.joinOrStartCall();
+        Attempt attempt = new Attempt(d, Optional.of(endpoint), clock);
+        if (hedged) {
+            hedgeBudget.recordSend(clock);
         } else if (d.attempts.size() == 1) {
             firstSends.add(clock);
-            trim(firstSends, THROTTLE_PERIOD_MS);
+            removeOlderThan(firstSends, BUDGET_PERIOD_MS);
         } else if (d.refused) {
-            retries.sent(clock);
+            retryBudget.recordSend(clock);
         }
-        double timeout = Math.min(target.timeout(d.type), d.deadline - clock);
-        actions.send(d.message.id(), target.entry.id(), timeout);
-        started(attempt, Optional.of(call), copy);
+        double timeout = Math.min(endpoint.timeout(d.messageClass), d.deadline - clock);
+        actions.send(d.message.id(), endpoint.entry.id(), timeout);
+        attemptStarted(attempt, Optional.of(call), hedged);
     }
 
-    private void started(Attempt attempt, Optional<Call> call, boolean copy) {
+    private void attemptStarted(Attempt attempt, Optional<Call> call, boolean hedged) {
         Delivery d = attempt.delivery;
         attempt.call = call;
-        attempt.out = true;
-        out.add(attempt);
-        d.out++;
-        queue.remove(d);
-        keys.attemptSent(d);
-        double offset = d.type.targetLatencyMs() * COPY_OFFSET;
-        if (!copy && clock <= attempt.sentAt + offset) {
-            timers.add(attempt.sentAt + offset, () -> offsetPassed(d, attempt));
-        }
-        call.ifPresent(c -> timers.add(attempt.sentAt + Math.max(offset, c.target.patience()), c::overdue));
+        attempt.inFlight = true;
+        inFlightAttempts.add(attempt);
+        d.inFlight++;
+        waiting.remove(d);
+        keyOrder.attemptSent(d);
+        double hedgeDelay = d.messageClass.targetLatencyMs() * HEDGE_DELAY_SHARE;
+        if (!hedged && clock <= attempt.sentAt + hedgeDelay) {
+            timers.add(attempt.sentAt + hedgeDelay, () -> hedgeDelayPassed(d, attempt));
+        }
+        call.ifPresent(c -> timers.add(attempt.sentAt + Math.max(hedgeDelay, c.endpoint.overdueAfter()), c::overdue));
     }
 
-    private void offsetPassed(Delivery d, Attempt attempt) {
-        boolean races = attempt.out && d.type.effect() != Effect.UNSAFE && settings.hedging();
-        if (races && !d.ended && slotsUsed < settings.slots() && copies.allows()) {
-            choose(d, true).ifPresent(target -> send(d, target, true));
+    private void hedgeDelayPassed(Delivery d, Attempt attempt) {
+        boolean hedge = attempt.inFlight && d.messageClass.effect() != Effect.UNSAFE && settings.hedging();
+        if (hedge && !d.completed && slotsUsed < settings.slots() && hedgeBudget.allowsSend()) {
+            chooseEndpoint(d, true).ifPresent(endpoint -> send(d, endpoint, true));
         }
     }
 
-    private void nextWave(Delivery d) {
-        giveUpInTime(d);
-        if (d.ended) {
+    private void scheduleNextRound(Delivery d) {
+        finishWithoutFurtherAttempt(d);
+        if (d.completed) {
             return;
         }
-        double backoff = BACKOFF_MS * Math.pow(BACKOFF_GROWTH, d.waves) * (0.75 + 0.5 * random.nextDouble());
+        double backoff = BACKOFF_MS * Math.pow(BACKOFF_FACTOR, d.rounds) * (0.75 + 0.5 * random.nextDouble());
         d.notBefore = clock + Math.min(backoff, (d.deadline - clock) / 2);
-        d.waves++;
-        queue.add(d);
+        d.rounds++;
+        waiting.add(d);
         timers.add(d.notBefore, () -> { });
     }
 
-    private void giveUpInTime(Delivery d) {
-        if (!mayGoOn(d)) {
-            finish(d);
-        } else if (d.type.effect() == Effect.KEYED) {
+    private void finishWithoutFurtherAttempt(Delivery d) {
+        if (!furtherAttemptPossible(d)) {
+            finishUndelivered(d);
+        } else if (d.messageClass.effect() == Effect.KEYED) {
             d.attempts.stream().filter(a -> a.mayHaveRun).mapToDouble(a -> a.sentAt).min().ifPresent(first ->
-                    timers.add(first + d.type.dedupWindowMs() - WINDOW_MARGIN_MS + CLOCK_MARGIN_MS, () -> {
-                        if (!mayGoOn(d)) {
-                            finish(d);
+                    timers.add(first + d.messageClass.dedupWindowMs() - DEDUP_WINDOW_MARGIN_MS
+                            + CLOCK_MARGIN_MS, () -> {
+                        if (!furtherAttemptPossible(d)) {
+                            finishUndelivered(d);
                         }
                     }));
         }
     }
 
-    private boolean mayGoOn(Delivery d) {
-        return d.attempts.size() < settings.maxAttempts() && clock < d.deadline - ANSWER_MARGIN_MS
-                && (d.destination.targets.isEmpty() ? mayRepeat(d)
-                        : d.destination.targets.stream().anyMatch(t -> mayRepeat(d, t)));
+    private boolean furtherAttemptPossible(Delivery d) {
+        return d.attempts.size() < settings.maxAttempts() && clock < d.deadline - RESULT_MARGIN_MS
+                && (d.destination.endpoints.isEmpty() ? mayRepeat(d)
+                        : d.destination.endpoints.stream().anyMatch(e -> mayRepeat(d, e)));
     }
 
-    private void finish(Delivery d) {
-        if (d.ended || d.out > 0) {
+    private void finishUndelivered(Delivery d) {
+        if (d.completed || d.inFlight > 0) {
             return;
         }
-        boolean repeatable = d.type.effect() == Effect.SAFE
-                || d.type.effect() == Effect.KEYED && !d.type.dedupWithinZone();
-        if (repeatable || d.attempts.stream().noneMatch(a -> a.out || a.mayHaveRun)) {
-            actions.reject(d.message.id(), Math.max(0, d.destination.opensAt() - clock));
+        boolean repeatable = d.messageClass.effect() == Effect.SAFE
+                || d.messageClass.effect() == Effect.KEYED && !d.messageClass.dedupWithinZone();
+        if (repeatable || d.attempts.stream().noneMatch(a -> a.inFlight || a.mayHaveRun)) {
+            actions.reject(d.message.id(), Math.max(0, d.destination.nextReadyAt() - clock));
         } else {
             actions.fail(d.message.id());
         }
-        close(d);
+        complete(d);
     }
 
-    private void close(Delivery d) {
-        if (d.ended) {
+    private void complete(Delivery d) {
+        if (d.completed) {
             return;
         }
-        d.ended = true;
-        queue.remove(d);
-        keys.ended(d);
+        d.completed = true;
+        waiting.remove(d);
+        keyOrder.messageCompleted(d);
         for (int i = 0; i < d.attempts.size(); i++) {
-            if (d.attempts.get(i).out && settings.cancellation()) {
+            if (d.attempts.get(i).inFlight && settings.cancellation()) {
                 actions.cancel(d.message.id(), i);
             }
         }
-        forget(d);
+        removeUnlessInFlight(d);
     }
 
-    private void forget(Delivery d) {
-        if (d.out == 0) {
+    private void removeUnlessInFlight(Delivery d) {
+        if (d.inFlight == 0) {
             deliveries.remove(d.message.id());
         }
     }
 
-    private double nextOpening() {
-        return destinations.values().stream().filter(to -> to.seenTurn == turn)
-                .flatMap(to -> to.targets.stream()).filter(t -> t.serving).mapToDouble(Target::gatesOpenAt)
+    private double nextReadyAt() {
+        return destinations.values().stream().filter(destination -> destination.checkedInTurn == turn)
+                .flatMap(destination -> destination.endpoints.stream()).filter(e -> e.serving)
+                .mapToDouble(TrackedEndpoint::readyAt)
                 .filter(at -> at > clock).min().orElse(Double.POSITIVE_INFINITY);
     }
 
 
     private final class Delivery {
         final Message message;
-        final MessageClass type;
+        final MessageClass messageClass;
         final Destination destination;
-        final double aimAt;
+        final double targetAt;
         final double deadline;
         final List<Attempt> attempts = new ArrayList<>();
         double notBefore = Double.NEGATIVE_INFINITY;
-        double rank;
-        int waves;
+        double priority;
+        int rounds;
         boolean refused;
-        int out;
-        boolean ended;
+        int inFlight;
+        boolean completed;
 
         Delivery(Message message) {
             this.message = message;
-            this.type = settings.classes().get(message.messageClass());
+            this.messageClass = settings.classes().get(message.messageClass());
             this.destination = destination(message.destination());
             this.deadline = clock + message.timeLeftMs();
-            this.aimAt = deadline - type.deadlineMs() + type.targetLatencyMs();
+            this.targetAt = deadline - messageClass.deadlineMs() + messageClass.targetLatencyMs();
         }
-        boolean isOutAt(Target target) {
-            return attempts.stream().anyMatch(a -> a.out && a.target.filter(t -> t == target).isPresent());
+        boolean isInFlightAt(TrackedEndpoint endpoint) {
+            return attempts.stream().anyMatch(a -> a.inFlight && a.endpoint.filter(e -> e == endpoint).isPresent());
         }
-        double worthAt(double time) {
-            if (time > deadline) {
+        double valueAt(double timeMs) {
+            if (timeMs > deadline) {
                 return 0;
             }
-            double late = Math.max(0, time - aimAt);
+            double late = Math.max(0, timeMs - targetAt);
             double share = settings.valueDecay() == Decay.HALVING
-                    ? Math.max(type.lateValue(), Math.pow(0.5, late / type.targetLatencyMs()))
-                    : 1 - (1 - type.lateValue()) * late / Math.max(1, type.deadlineMs() - type.targetLatencyMs());
-            return type.value() * share;
+                    ? Math.max(messageClass.lateValue(), Math.pow(0.5, late / messageClass.targetLatencyMs()))
+                    : 1 - (1 - messageClass.lateValue()) * late / Math.max(1,
+                    messageClass.deadlineMs() - messageClass.targetLatencyMs());
+            return messageClass.value() * share;
         }
-        double rank() {
-            double worth = worthAt(clock);
-            return worth - worthAt(clock + RANK_HORIZON_MS) + RANK_WORTH * worth;
+        double priority() {
+            double value = valueAt(clock);
+            return value - valueAt(clock + PRIORITY_HORIZON_MS) + PRIORITY_VALUE_WEIGHT * value;
         }
     }
 
     private final class Attempt {
         final Delivery delivery;
-        final Optional<Target> target;
+        final Optional<TrackedEndpoint> endpoint;
         final double sentAt;
         Optional<Call> call = Optional.empty();
-        boolean out;
+        boolean inFlight;
         boolean mayHaveRun;
-        boolean calledOff;
+        boolean cancelledForSlot;
 
-        Attempt(Delivery delivery, Optional<Target> target, double sentAt) {
+        Attempt(Delivery delivery, Optional<TrackedEndpoint> endpoint, double sentAt) {
             this.delivery = delivery;
-            this.target = target;
+            this.endpoint = endpoint;
             this.sentAt = sentAt;
             delivery.attempts.add(this);
         }
-        double overPatience() {
-            return target.map(t -> (clock - sentAt)
-                    / (Math.max(t.patience(), CALL_OFF_LEAST_MS) * (1 + t.calledOff))).orElse(0.0);
+        double overdueRatio() {
+            return endpoint.map(e -> (clock - sentAt)
+                    / (Math.max(e.overdueAfter(), MIN_CANCEL_AGE_MS) * (1 + e.cancelledForSlots))).orElse(0.0);
         }
-        boolean isInZoneOf(Target other) {
-            return target.filter(t -> t.entry.zone() == other.entry.zone()).isPresent();
+        boolean isInSameZone(TrackedEndpoint other) {
+            return endpoint.filter(e -> e.entry.zone() == other.entry.zone()).isPresent();
         }
     }
 
     private final class Call {
-        final Target target;
+        final TrackedEndpoint endpoint;
         final double sentAt;
         final long sentTurn = turn;
-        final OptionalLong earlier;
-        final double idledMs;
-        int items;
-        int itemsOut;
-        boolean observed;
-        boolean late;
-
-        Call(Target target, double sentAt, OptionalLong earlier) {
-            this.target = target;
+        final OptionalLong previousId;
+        final double connIdleMs;
+        int attempts;
+        int attemptsInFlight;
+        boolean resultRecorded;
+        boolean overdue;
+
+        Call(TrackedEndpoint endpoint, double sentAt, OptionalLong previousId) {
+            this.endpoint = endpoint;
             this.sentAt = sentAt;
-            this.earlier = earlier;
-            this.idledMs = connections.take(target);
-            target.usedAt = clock;
+            this.previousId = previousId;
+            this.connIdleMs = connectionReuse.takeConnection(endpoint);
+            endpoint.lastUsedAt = clock;
             slotsUsed++;
-            target.calls.add(this);
-            target.destination.out++;
+            endpoint.calls.add(this);
+            endpoint.destination.callsInFlight++;
         }
 
-        void itemEnded(AttemptResult end) {
-            itemsOut--;
-            target.limit.told(end.retryAfterMs());
-            target.limit.says(end.report().rate());
-            if (!observed && end.outcome() != Outcome.CANCELLED && end.outcome() != Outcome.NOT_SENT) {
-                observed = true;
-                target.observe(this, end);
+        void attemptCompleted(AttemptResult result) {
+            attemptsInFlight--;
+            endpoint.limiter.recordRetryAfter(result.retryAfterMs());
+            endpoint.limiter.recordReportedRate(result.report().rate());
+            if (!resultRecorded && result.outcome() != Outcome.CANCELLED && result.outcome() != Outcome.NOT_SENT) {
+                resultRecorded = true;
+                endpoint.recordResult(this, result);
             }
-            target.usedAt = clock;
-            if (itemsOut == 0) {
+            endpoint.lastUsedAt = clock;
+            if (attemptsInFlight == 0) {
                 slotsUsed--;
-                target.calls.remove(this);
-                target.destination.out--;
+                endpoint.calls.remove(this);
+                endpoint.destination.callsInFlight--;
             }
         }
 
         void overdue() {
-            if (!late && !observed && itemsOut > 0) {
-                late = true;
-                target.overdue(this);
+            if (!overdue && !resultRecorded && attemptsInFlight > 0) {
+                overdue = true;
+                endpoint.onOverdue(this);
             }
         }
     }
 
     private final class Destination {
-        final List<Target> targets = new ArrayList<>();
-        final Limit shared = new Limit(this);
-        final Rate demand = new Rate();
-        int out;
-        long seenTurn = -1;
-        boolean openInTurn;
-        boolean slotInTurn;
-
-        long serving() {
-            return Math.max(1, targets.stream().filter(t -> t.serving).count());
-        }
-        boolean isOpen() {
-            return targets.stream()
-                    .anyMatch(t -> t.serving && (t.mayJoin() || t.limit.waitUntil <= clock && t.isOpen()));
-        }
-        boolean hasSlot() {
-            return targets.stream().anyMatch(t -> t.serving && t.hasSlot());
-        }
-        double part() {
-            return demand.events / destinations.values().stream().mapToDouble(to -> to.demand.events).sum();
-        }
-        double opensAt() {
-            return targets.stream().filter(t -> t.serving).mapToDouble(Target::gatesOpenAt).min()
+        final List<TrackedEndpoint> endpoints = new ArrayList<>();
+        final RateLimiter sharedLimiter = new RateLimiter(this);
+        final EventRate demand = new EventRate();
+        int callsInFlight;
+        /** The turn in which the two fields below were set. */
+        long checkedInTurn = -1;
+        boolean readyInTurn;
+        boolean slotAvailableInTurn;
+
+        long servingCount() {
+            return Math.max(1, endpoints.stream().filter(e -> e.serving).count());
+        }
+        boolean isReady() {
+            return endpoints.stream()
+                    .anyMatch(e -> e.serving && (e.canJoinCall() || e.limiter.retryAfterUntil <= clock && e.isReady()));
+        }
+        boolean slotAvailable() {
+            return endpoints.stream().anyMatch(e -> e.serving && e.slotAvailable());
+        }
+        double shareOfTotalDemand() {
+            return demand.weightedEvents
+                    / destinations.values().stream().mapToDouble(d -> d.demand.weightedEvents).sum();
+        }
+        double nextReadyAt() {
+            return endpoints.stream().filter(e -> e.serving).mapToDouble(TrackedEndpoint::readyAt).min()
                     .orElse(clock);
         }
     }
 
-    private final class Limit {
-        final Rate sends = new Rate();
-        final Deque<Double> lastSecond = new ArrayDeque<>();
+    private final class RateLimiter {
+        final EventRate sendRate = new EventRate();
+        final Deque<Double> lastSecondSends = new ArrayDeque<>();
         final Destination destination;
-        int pressed;
+        int refusalLevel;
         double listedRate;
-        double toldRate;
-        double rate = Double.POSITIVE_INFINITY;
-        double nextAt = Double.NEGATIVE_INFINITY;
-        double waitUntil = Double.NEGATIVE_INFINITY;
-        double cutAt = Double.NEGATIVE_INFINITY;
-        final OutageEvidence evidence = new OutageEvidence(clock, SHUT_MS);
-        double returnedAt = Double.NEGATIVE_INFINITY;
-        double coldNextAt = Double.NEGATIVE_INFINITY;
-
-        Limit(Destination destination) {
+        double reportedRate;
+        double allowedRate = Double.POSITIVE_INFINITY;
+        double nextSendAt = Double.NEGATIVE_INFINITY;
+        double retryAfterUntil = Double.NEGATIVE_INFINITY;
+        double rateCutAt = Double.NEGATIVE_INFINITY;
+        final OutageEvidence evidence = new OutageEvidence(clock, MIN_OUTAGE_MS);
+        double recoveredAt = Double.NEGATIVE_INFINITY;
+        double nextRecoverySendAt = Double.NEGATIVE_INFINITY;
+
+        RateLimiter(Destination destination) {
             this.destination = destination;
         }
 
-        void sent() {
-            if (!lastSecond.isEmpty() && lastSecond.peekLast() < clock - IDLE_MS) {
-                rate = Double.POSITIVE_INFINITY;
+        void recordSend() {
+            if (!lastSecondSends.isEmpty() && lastSecondSends.peekLast() < clock - RATE_RESET_IDLE_MS) {
+                allowedRate = Double.POSITIVE_INFINITY;
             }
-            sends.count();
-            lastSecond.add(clock);
-            trim(lastSecond, 1000);
-            if (rate < Double.POSITIVE_INFINITY) {
-                nextAt = Math.max(nextAt + 1 / rate, clock);
+            sendRate.addEvent();
+            lastSecondSends.add(clock);
+            removeOlderThan(lastSecondSends, 1000);
+            if (allowedRate < Double.POSITIVE_INFINITY) {
+                nextSendAt = Math.max(nextSendAt + 1 / allowedRate, clock);
             }
         }
 
-        void resumed() {
+        void messageRestored() {
             evidence.messageRestored();
-            if (rate == Double.POSITIVE_INFINITY && evenPart(0) > 0) {
-                rate = evenPart(0);
-                nextAt = clock + random.nextDouble() / rate;
+            if (allowedRate == Double.POSITIVE_INFINITY && fairShare(0) > 0) {
+                allowedRate = fairShare(0);
+                nextSendAt = clock + random.nextDouble() / allowedRate;
             }
         }
 
-        void told(double waitMs) {
-            waitUntil = waitMs > 0 ? Math.max(waitUntil, clock + waitMs + CLOCK_MARGIN_MS) : waitUntil;
+        void recordRetryAfter(double retryAfterMs) {
+            retryAfterUntil = retryAfterMs > 0
+                    ? Math.max(retryAfterUntil, clock + retryAfterMs + CLOCK_MARGIN_MS) : retryAfterUntil;
         }
 
-        void says(double perSecond) {
+        void recordReportedRate(double perSecond) {
             if (perSecond > 0 && perSecond < Double.POSITIVE_INFINITY) {
-                double said = perSecond / 1000;
-                toldRate = toldRate == 0 ? said : toldRate + TOLD_WEIGHT
-                        * (Math.max(toldRate / TOLD_STEP, Math.min(said, toldRate * TOLD_STEP)) - toldRate);
+                double perMs = perSecond / 1000;
+                reportedRate = reportedRate == 0 ? perMs : reportedRate + REPORTED_RATE_WEIGHT
+                        * (Math.max(reportedRate / REPORTED_RATE_MAX_STEP,
+                        Math.min(perMs, reportedRate * REPORTED_RATE_MAX_STEP)) - reportedRate);
             }
         }
 
-        void refused(Call call) {
-            if (call.sentAt < cutAt) {
+        void cutRate(Call call) {
+            if (call.sentAt < rateCutAt) {
                 return;
             }
-            boolean paced = rate < Double.POSITIVE_INFINITY;
-            double edge = paced ? rate : lastSecond.size() / 1000.0;
-            edge = paced || evenPart(0) > 0 ? Math.min(edge, PACE_OVER_SENT * sends.perMs()) : edge;
-            rate = Math.max(floor(), edge * PACE_CUT);
-            pressed = Math.min(pressed + 1, PACE_PAUSES);
-            cutAt = clock;
-            nextAt = clock + 1 / rate;
-            if (nextAt > waitUntil) {
-                nextAt = Math.max(clock, waitUntil) + (0.5 + random.nextDouble()) / rate;
+            boolean limited = allowedRate < Double.POSITIVE_INFINITY;
+            double currentRate = limited ? allowedRate : lastSecondSends.size() / 1000.0;
+            currentRate = limited || fairShare(0) > 0
+                    ? Math.min(currentRate, MAX_RATE_OVER_SENT * sendRate.perMs()) : currentRate;
+            allowedRate = Math.max(minRate(), currentRate * RATE_CUT_FACTOR);
+            refusalLevel = Math.min(refusalLevel + 1, MAX_REFUSAL_LEVEL);
+            rateCutAt = clock;
+            nextSendAt = clock + 1 / allowedRate;
+            if (nextSendAt > retryAfterUntil) {
+                nextSendAt = Math.max(clock, retryAfterUntil) + (0.5 + random.nextDouble()) / allowedRate;
             }
         }
 
-        void delivered(double left) {
-            pressed = Math.max(pressed - 1, 0);
-            double seconds = Math.min(LEFT_SECONDS, Math.max(1, 1 / (1000 * rate)));
-            boolean told = left >= 0 && left <= 1;
-            rate *= 1 + (told ? LEFT_GAIN * seconds * (left - LEFT_AIM) : PACE_GROWTH);
-            rate = Math.max(floor(), rate);
+        void adjustRate(double shareLeft) {
+            refusalLevel = Math.max(refusalLevel - 1, 0);
+            double seconds = Math.min(MAX_SHARE_LEFT_STEP_S, Math.max(1, 1 / (1000 * allowedRate)));
+            boolean reported = shareLeft >= 0 && shareLeft <= 1;
+            allowedRate *= 1 + (reported
+                    ? SHARE_LEFT_GAIN_PER_S * seconds * (shareLeft - TARGET_SHARE_LEFT)
+                    : RATE_GROWTH_PER_DELIVERY);
+            allowedRate = Math.max(minRate(), allowedRate);
         }
 
-        void recall(LearnedEndpointState known) {
-            told(known.waitLeftMs());
-            rate = known.pace();
-            nextAt = clock + 1 / rate;
-            cutAt = clock - known.paceCutAgoMs();
-            pressed = known.pressed();
-            toldRate = known.told();
-            sends.recall(known.sent());
-            destination.demand.recall(known.demand());
+        void restore(LearnedEndpointState learned) {
+            recordRetryAfter(learned.waitLeftMs());
+            allowedRate = learned.pace();
+            nextSendAt = clock + 1 / allowedRate;
+            rateCutAt = clock - learned.paceCutAgoMs();
+            refusalLevel = learned.pressed();
+            reportedRate = learned.told();
+            sendRate.restore(learned.sent());
+            destination.demand.restore(learned.demand());
         }
-        private List<Target> targets() {
-            return destination.targets.stream().filter(t -> t.limit == this).toList();
+        private List<TrackedEndpoint> endpoints() {
+            return destination.endpoints.stream().filter(e -> e.limiter == this).toList();
         }
-        void failed(String symptom) {
+        void endpointFailed(String reason) {
             evidence.recordFailure(clock);
             if (evidence.isOutage(clock)) {
-                targets().forEach(t -> t.down(symptom));
+                endpoints().forEach(e -> e.markDown(reason));
             }
         }
-        void turnedAway(double waitMs) {
-            if (waitMs >= SHUT_MS) {
-                targets().forEach(Target::shut);
+        void endpointRefused(double retryAfterMs) {
+            if (retryAfterMs >= MIN_OUTAGE_MS) {
+                endpoints().forEach(TrackedEndpoint::markRefusing);
             }
         }
-        void good(boolean returns) {
+        void endpointDelivered(boolean mayEndOutage) {
             evidence.recordDelivery(clock);
-            if (returns) {
-                returnedAt = clock;
-                targets().stream().filter(t -> t.state == EndpointState.UP).forEach(Target::warm);
+            if (mayEndOutage) {
+                recoveredAt = clock;
+                endpoints().stream().filter(e -> e.state == EndpointState.UP).forEach(TrackedEndpoint::startSlowStart);
             }
         }
-        boolean isReturning() {
-            return clock - returnedAt < settings.slowStart().rampUpMs();
+        boolean isRecovering() {
+            return clock - recoveredAt < settings.slowStart().rampUpMs();
         }
-        double coldRate(Target next) {
-            double part = this == destination.shared ? 1 : 1.0 / destination.serving();
-            double asked = destination.demand.perMs() * part * DEMAND_SHARE;
-            double carried = targets().stream().mapToDouble(t -> t.carried.perMs()).sum();
-            return Math.max(leastTrialRate(), next.rampRate(Math.max(carried, Math.max(asked, evenPart(0)))));
+        double recoveryRate(TrackedEndpoint next) {
+            double endpointShare = this == destination.sharedLimiter ? 1 : 1.0 / destination.servingCount();
+            double assumed = destination.demand.perMs() * endpointShare * ASSUMED_DEMAND_SHARE;
+            double sustainedRate = endpoints().stream().mapToDouble(e -> e.sustainedRate.perMs()).sum();
+            return Math.max(minProbeRate(),
+                    next.slowStartRate(Math.max(sustainedRate, Math.max(assumed, fairShare(0)))));
         }
-        double evenPart(int refusals) {
-            double told = TOLD_SHARE * toldRate / (1 + refusals);
-            return Math.max(LISTED_SHARE * listedRate, told) / settings.senderCount();
+        double fairShare(int level) {
+            double reportedShare = REPORTED_RATE_SHARE * reportedRate / (1 + level);
+            return Math.max(LISTED_RATE_SHARE * listedRate, reportedShare) / settings.senderCount();
         }
-        private double floor() {
-            double part = evenPart(pressed);
-            return Math.max(PACE_LEAST_SHARE * destination.demand.perMs(),
-                    part > 0 ? part : 1 / (PACE_PAUSE_MS * Math.pow(PACE_PAUSE_GROWTH, pressed)));
+        private double minRate() {
+            double fairShare = fairShare(refusalLevel);
+            return Math.max(MIN_RATE_DEMAND_SHARE * destination.demand.perMs(),
+                    fairShare > 0 ? fairShare
+                    : 1 / (MAX_SEND_INTERVAL_MS * Math.pow(SEND_INTERVAL_GROWTH, refusalLevel)));
         }
     }
 
-    private final class Rate {
-        double events;
-        double over;
-        double at = clock;
+    private final class EventRate {
+        double weightedEvents;
+        double weightedMs;
+        double updatedAtMs = clock;
 
-        void count() {
-            double kept = Math.exp((at - clock) / CARRIED_MS);
-            events = events * kept + 1;
-            over = over * kept + CARRIED_MS * (1 - kept);
-            at = clock;
+        void addEvent() {
+            double decay = Math.exp((updatedAtMs - clock) / RATE_AVERAGING_MS);
+            weightedEvents = weightedEvents * decay + 1;
+            weightedMs = weightedMs * decay + RATE_AVERAGING_MS * (1 - decay);
+            updatedAtMs = clock;
         }
 
-        void recall(double perMs) {
-            events = perMs * CARRIED_MS;
-            over = CARRIED_MS;
+        void restore(double perMs) {
+            weightedEvents = perMs * RATE_AVERAGING_MS;
+            weightedMs = RATE_AVERAGING_MS;
         }
         double perMs() {
-            return events / Math.max(over, CARRIED_LEAST_MS);
+            return weightedEvents / Math.max(weightedMs, RATE_AVERAGING_MIN_MS);
         }
     }
 
-    private final class Target {
+    private final class TrackedEndpoint {
         final Endpoint entry;
         final Destination destination;
-        final Limit limit;
-        final int batch;
-        final double fee;
+        final RateLimiter limiter;
+        final int maxBatchSize;
+        final double zoneFee;
         boolean serving;
         EndpointState state = EndpointState.UP;
-        Call latest;
+        Call latestCall;
         final Deque<Call> calls = new ArrayDeque<>();
-        double latency = FIRST_LATENCY_MS;
-        double deviation = FIRST_LATENCY_MS / 2;
-        double bad;
-        int silentCalls;
-        int calledOff;
-        int fruitless;
-        double fruitlessSince;
-        double lastGood = Double.NEGATIVE_INFINITY;
-        final Rate carried = new Rate();
-        double warmSince;
+        double meanLatency = INITIAL_LATENCY_MS;
+        double latencyDeviation = INITIAL_LATENCY_MS / 2;
+        double failureScore;
+        int overdueCalls;
+        int cancelledForSlots;
+        int consecutiveFailures;
+        double firstFailureAt;
+        double lastDeliveryAt = Double.NEGATIVE_INFINITY;
+        final EventRate sustainedRate = new EventRate();
+        double slowStartAt;
         double downAt;
-        boolean silentOnly;
-        boolean failing;
-        double nextAt = Double.NEGATIVE_INFINITY;
-        double usedAt = Double.NEGATIVE_INFINITY;
-        double goneAt = Double.POSITIVE_INFINITY;
+        boolean downOnlyOverdue;
+        boolean failedWhileDown;
+        double nextSendAt = Double.NEGATIVE_INFINITY;
+        double lastUsedAt = Double.NEGATIVE_INFINITY;
+        double removedAt = Double.POSITIVE_INFINITY;
 
-        Target(Endpoint entry) {
+        TrackedEndpoint(Endpoint entry) {
             DestinationKind kind = settings.kinds().get(Math.min(entry.kind(), settings.kinds().size() - 1));
             this.entry = entry;
             this.destination = ReferenceScheduler.this.destination(entry.destination());
-            this.limit = kind.separateRoutes() ? new Limit(destination) : destination.shared;
-            this.batch = kind.maxBatchSize();
-            boolean charged = kind.separateRoutes() && entry.zone() < settings.zoneFees().size();
-            this.fee = charged ? settings.zoneFees().get(entry.zone()) : 0;
-            destination.targets.add(this);
+            this.limiter = kind.separateRoutes() ? new RateLimiter(destination) : destination.sharedLimiter;
+            this.maxBatchSize = kind.maxBatchSize();
+            boolean hasFee = kind.separateRoutes() && entry.zone() < settings.zoneFees().size();
+            this.zoneFee = hasFee ? settings.zoneFees().get(entry.zone()) : 0;
+            destination.endpoints.add(this);
         }
 
-        LearnedEndpointState known() {
-            return new LearnedEndpointState(entry.id(), Math.max(0, limit.waitUntil - clock), limit.rate,
-                    clock - limit.cutAt, limit.pressed, limit.sends.perMs(), limit.toldRate,
-                    destination.demand.perMs(), carried.perMs(), latency, deviation, clock - lastGood);
+        LearnedEndpointState learnedState() {
+            return new LearnedEndpointState(entry.id(), Math.max(0, limiter.retryAfterUntil - clock),
+                    limiter.allowedRate, clock - limiter.rateCutAt, limiter.refusalLevel,
+                    limiter.sendRate.perMs(), limiter.reportedRate, destination.demand.perMs(),
+                    sustainedRate.perMs(), meanLatency, latencyDeviation, clock - lastDeliveryAt);
         }
 
-        void recall(LearnedEndpointState known) {
-            limit.recall(known);
-            carried.recall(known.carried());
-            latency = known.latencyMs();
-            deviation = known.deviationMs();
-            lastGood = clock - known.goodAgoMs();
+        void restore(LearnedEndpointState learned) {
+            limiter.restore(learned);
+            sustainedRate.restore(learned.carried());
+            meanLatency = learned.latencyMs();
+            latencyDeviation = learned.deviationMs();
+            lastDeliveryAt = clock - learned.goodAgoMs();
         }
 
-        void leave() {
+        void markRemoved() {
             serving = false;
-            goneAt = Math.min(goneAt, clock);
+            removedAt = Math.min(removedAt, clock);
         }
-        boolean isForgotten() {
-            return clock > goneAt + GONE_MS && calls.isEmpty() && limit.waitUntil <= clock;
+        boolean isRetentionOver() {
+            return clock > removedAt + REMOVED_RETENTION_MS && calls.isEmpty() && limiter.retryAfterUntil <= clock;
         }
         double cost(Delivery d) {
             if (state == EndpointState.DOWN) {
-                return (d.type.effect() == Effect.UNSAFE ? 1 : -1) * Double.POSITIVE_INFINITY;
+                return (d.messageClass.effect() == Effect.UNSAFE ? 1 : -1) * Double.POSITIVE_INFINITY;
             }
             double freeShare = 1 - (double) slotsUsed / settings.slots();
-            return latency * (1 + calls.size()) + fruitless * SHUT_MS + fee * FEE_MS * freeShare;
+            return meanLatency * (1 + calls.size()) + consecutiveFailures * MIN_OUTAGE_MS
+                    + zoneFee * MS_PER_FEE_POINT * freeShare;
         }
-        boolean mayJoin() {
-            return latest != null && latest.sentTurn == turn && latest.items < batch && state != EndpointState.DOWN;
+        boolean canJoinCall() {
+            return latestCall != null && latestCall.sentTurn == turn && latestCall.attempts < maxBatchSize
+                    && state != EndpointState.DOWN;
         }
 
-        Call joinOrStart() {
-            if (!mayJoin()) {
-                latest = new Call(this, clock, OptionalLong.empty());
-                limit.sent();
-                nextAt = state == EndpointState.UP ? nextAt : clock + 1 / allowedRate();
+        Call joinOrStartCall() {
+            if (!canJoinCall()) {
+                latestCall = new Call(this, clock, OptionalLong.empty());
+                limiter.recordSend();
+                nextSendAt = state == EndpointState.UP ? nextSendAt : clock + 1 / recoveryRate();
             }
             if (!isInFullService()) {
-                limit.coldNextAt = clock + 1 / limit.coldRate(this);
+                limiter.nextRecoverySendAt = clock + 1 / limiter.recoveryRate(this);
             }
-            latest.items++;
-            latest.itemsOut++;
-            return latest;
+            latestCall.attempts++;
+            latestCall.attemptsInFlight++;
+            return latestCall;
         }
 
-        Call adopt(EarlierAttempt attempt) {
-            Call call = calls.stream().filter(c -> c.earlier.equals(attempt.inFlightCallId())).findFirst()
+        Call adoptCall(EarlierAttempt attempt) {
+            Call call = calls.stream().filter(c -> c.previousId.equals(attempt.inFlightCallId())).findFirst()
                     .orElseGet(() -> new Call(this, attempt.sentAtMs(), attempt.inFlightCallId()));
-            call.itemsOut++;
+            call.attemptsInFlight++;
             return call;
         }
-        boolean hasSlot() {
-            int free = settings.slots() - slotsUsed;
-            boolean quick = latency <= QUICK_MS && lastGood > Double.NEGATIVE_INFINITY && calls.stream()
-                    .skip(SILENT_CALLS - 1).limit(1).allMatch(c -> clock - c.sentAt <= patience());
-            boolean lacks = destination.out + 1 + 1e-6 < settings.slots() * destination.part();
-            return quick && free > (lacks ? 0 : 1) || free > 0 && destination.out < Math.max(1, free - 1);
-        }
-        boolean isOpen() {
-            return limit.nextAt <= clock && opensAt() <= clock && (isInFullService() || limit.coldNextAt <= clock);
-        }
-        double gatesOpenAt() {
-            double opensAt = Math.max(Math.max(limit.waitUntil, limit.nextAt), nextAt);
-            return isInFullService() ? opensAt : Math.max(opensAt, limit.coldNextAt);
-        }
-        double opensAt() {
-            return state == EndpointState.DOWN && !calls.isEmpty() ? Double.POSITIVE_INFINITY : nextAt;
-        }
-        double patience() {
-            return latency + SILENT_DEVIATIONS * deviation;
-        }
-        double expectedEnd(MessageClass type) {
-            return type.effect() == Effect.UNSAFE ? slowest() : patience();
-        }
-        private double slowest() {
-            return latency + TIMEOUT_DEVIATIONS * deviation;
-        }
-        double timeout(MessageClass type) {
-            double base = Math.max(type.targetLatencyMs() * TIMEOUT_AIMS, slowest());
-            double patience = type.effect() == Effect.UNSAFE ? type.deadlineMs() * UNSAFE_PATIENCE : 0;
-            return Math.max(base, patience);
-        }
-        double allowedRate() {
-            double asked = destination.demand.perMs() / destination.serving() * DEMAND_SHARE;
-            double part = limit.evenPart(0) / (limit == destination.shared ? destination.serving() : 1);
-            double rate = rampRate(Math.max(carried.perMs(), Math.max(asked, part)));
+        boolean slotAvailable() {
+            int freeSlots = settings.slots() - slotsUsed;
+            boolean fast = meanLatency <= FAST_LATENCY_MS && lastDeliveryAt > Double.NEGATIVE_INFINITY
+                    && calls.stream().skip(DOWN_OVERDUE_CALLS - 1).limit(1)
+                    .allMatch(c -> clock - c.sentAt <= overdueAfter());
+            boolean belowShare =
+                    destination.callsInFlight + 1 + 1e-6 < settings.slots() * destination.shareOfTotalDemand();
+            return fast && freeSlots > (belowShare ? 0 : 1)
+                    || freeSlots > 0 && destination.callsInFlight < Math.max(1, freeSlots - 1);
+        }
+        boolean isReady() {
+            return limiter.nextSendAt <= clock && ownReadyAt() <= clock
+                    && (isInFullService() || limiter.nextRecoverySendAt <= clock);
+        }
+        double readyAt() {
+            double earliest = Math.max(Math.max(limiter.retryAfterUntil, limiter.nextSendAt), nextSendAt);
+            return isInFullService() ? earliest : Math.max(earliest, limiter.nextRecoverySendAt);
+        }
+        /** When the endpoint itself is ready, without regard to its rate limit; never while a probe is in flight. */
+        double ownReadyAt() {
+            return state == EndpointState.DOWN && !calls.isEmpty() ? Double.POSITIVE_INFINITY : nextSendAt;
+        }
+        double overdueAfter() {
+            return meanLatency + OVERDUE_DEVIATIONS * latencyDeviation;
+        }
+        double expectedDuration(MessageClass messageClass) {
+            return messageClass.effect() == Effect.UNSAFE ? slowestLatency() : overdueAfter();
+        }
+        private double slowestLatency() {
+            return meanLatency + TIMEOUT_DEVIATIONS * latencyDeviation;
+        }
+        double timeout(MessageClass messageClass) {
+            double usual = Math.max(messageClass.targetLatencyMs() * TIMEOUT_TARGET_FACTOR, slowestLatency());
+            double unsafeMin = messageClass.effect() == Effect.UNSAFE
+                    ? messageClass.deadlineMs() * UNSAFE_TIMEOUT_SHARE : 0;
+            return Math.max(usual, unsafeMin);
+        }
+        double recoveryRate() {
+            double assumed = destination.demand.perMs() / destination.servingCount() * ASSUMED_DEMAND_SHARE;
+            double fairShare = limiter.fairShare(0)
+                    / (limiter == destination.sharedLimiter ? destination.servingCount() : 1);
+            double rate = slowStartRate(Math.max(sustainedRate.perMs(), Math.max(assumed, fairShare)));
             if (rate == 0) {
-                return leastTrialRate();
+                return minProbeRate();
             }
-            return state == EndpointState.DOWN ? Math.max(leastTrialRate(), Math.min(1 / TRIAL_LEAST_MS, rate)) : rate;
+            return state == EndpointState.DOWN
+                    ? Math.max(minProbeRate(), Math.min(1 / MIN_PROBE_INTERVAL_MS, rate)) : rate;
         }
-        double rampRate(double known) {
-            SlowStart cold = settings.slowStart();
-            double warm = state == EndpointState.WARMING ? (clock - warmSince) / cold.rampUpMs() : 0;
-            double capacity = cold.initialCapacityShare() + (1 - cold.initialCapacityShare()) * warm;
-            return RAMP_SAFETY * cold.overloadMultiple() * capacity * known;
+        double slowStartRate(double sustained) {
+            SlowStart slowStart = settings.slowStart();
+            double done = state == EndpointState.WARMING ? (clock - slowStartAt) / slowStart.rampUpMs() : 0;
+            double share = slowStart.initialCapacityShare() + (1 - slowStart.initialCapacityShare()) * done;
+            return SLOW_START_LOAD_SHARE * slowStart.overloadMultiple() * share * sustained;
         }
         boolean isInFullService() {
-            return state == EndpointState.UP && !limit.evidence.isSuspected(clock);
+            return state == EndpointState.UP && !limiter.evidence.isSuspected(clock);
         }
 
-        void observe(Call call, AttemptResult end) {
-            switch (end.outcome()) {
-                case DELIVERED -> good(call, end);
-                case FULL -> full(call, end.retryAfterMs());
-                case UNREACHABLE -> bad(UNREACHABLE_WEIGHT, "refuses connections");
+        void recordResult(Call call, AttemptResult result) {
+            switch (result.outcome()) {
+                case DELIVERED -> onDelivered(call, result);
+                case FULL -> onRefused(call, result.retryAfterMs());
+                case UNREACHABLE -> onFailure(UNREACHABLE_WEIGHT, "refuses connections");
                 case ERROR -> {
-                    bad(BAD_WEIGHT, "answers with errors");
-                    failing |= state == EndpointState.DOWN;
+                    onFailure(FAILURE_WEIGHT, "answers with errors");
+                    failedWhileDown |= state == EndpointState.DOWN;
                 }
                 default -> {
-                    connections.lost(call);
-                    bad(BAD_WEIGHT, "times out or drops connections");
+                    connectionReuse.connectionLost(call);
+                    onFailure(FAILURE_WEIGHT, "times out or drops connections");
                 }
             }
-            if (state == EndpointState.WARMING && clock - warmSince >= settings.slowStart().rampUpMs()) {
-                up("completed its slow start");
+            if (state == EndpointState.WARMING && clock - slowStartAt >= settings.slowStart().rampUpMs()) {
+                markUp("completed its slow start");
             }
         }
-        private void good(Call call, AttemptResult end) {
-            boolean blip = !failing && clock - lastGood < SHUT_MS;
-            boolean returns = limit.evidence.isSuspected(clock);
-            limit.good(returns);
-            connections.held(call);
-            bad *= GOOD_FACTOR;
-            silentCalls = 0;
-            calledOff = 0;
-            fruitless = 0;
-            lastGood = clock;
-            deviation += LATENCY_WEIGHT * (Math.abs(end.durationMs() - latency) - deviation);
-            latency += LATENCY_WEIGHT * (end.durationMs() - latency);
+        private void onDelivered(Call call, AttemptResult result) {
+            boolean briefFailure = !failedWhileDown && clock - lastDeliveryAt < MIN_OUTAGE_MS;
+            boolean mayEndOutage = limiter.evidence.isSuspected(clock);
+            limiter.endpointDelivered(mayEndOutage);
+            connectionReuse.connectionWorked(call);
+            failureScore *= DELIVERY_FACTOR;
+            overdueCalls = 0;
+            cancelledForSlots = 0;
+            consecutiveFailures = 0;
+            lastDeliveryAt = clock;
+            latencyDeviation += LATENCY_SAMPLE_WEIGHT
+                    * (Math.abs(result.durationMs() - meanLatency) - latencyDeviation);
+            meanLatency += LATENCY_SAMPLE_WEIGHT * (result.durationMs() - meanLatency);
             if (state == EndpointState.UP) {
-                carried.count();
-            } else if (state == EndpointState.DOWN && limit.isReturning()) {
-                latency = end.durationMs();
-                warm();
-            } else if (state == EndpointState.DOWN && silentOnly && call.sentAt < downAt
-                    && end.durationMs() < SHUT_MS) {
-                up("was slow but did answer, is up again");
-            } else if (state == EndpointState.DOWN && blip) {
-                up("failed only briefly, is up again");
+                sustainedRate.addEvent();
+            } else if (state == EndpointState.DOWN && limiter.isRecovering()) {
+                meanLatency = result.durationMs();
+                startSlowStart();
+            } else if (state == EndpointState.DOWN && downOnlyOverdue && call.sentAt < downAt
+                    && result.durationMs() < MIN_OUTAGE_MS) {
+                markUp("was slow but did answer, is up again");
+            } else if (state == EndpointState.DOWN && briefFailure) {
+                markUp("failed only briefly, is up again");
             } else if (state == EndpointState.DOWN) {
-                latency = end.durationMs();
-                warm();
+                meanLatency = result.durationMs();
+                startSlowStart();
             }
-            limit.delivered(end.report().left());
+            limiter.adjustRate(result.report().left());
         }
-        private void full(Call call, double waitMs) {
-            limit.refused(call);
-            if (noneGood()) {
-                shut();
+        private void onRefused(Call call, double retryAfterMs) {
+            limiter.cutRate(call);
+            if (countFailure()) {
+                markRefusing();
             }
-            limit.turnedAway(waitMs);
+            limiter.endpointRefused(retryAfterMs);
         }
-        private void shut() {
-            down("refuses all messages");
-            failing = true;
+        private void markRefusing() {
+            markDown("refuses all messages");
+            failedWhileDown = true;
         }
-        private boolean noneGood() {
-            if (fruitless++ == 0) {
-                fruitlessSince = clock;
+        private boolean countFailure() {
+            if (consecutiveFailures++ == 0) {
+                firstFailureAt = clock;
             }
-            return fruitless >= SHUT_ENDS && clock - fruitlessSince >= SHUT_MS;
+            return consecutiveFailures >= DOWN_FAILURES && clock - firstFailureAt >= MIN_OUTAGE_MS;
         }
-        private void bad(double weight, String symptom) {
-            bad += (1 - bad) * weight;
-            if (noneGood() || bad >= DOWN_AT) {
-                down(symptom);
+        private void onFailure(double weight, String reason) {
+            failureScore += (1 - failureScore) * weight;
+            if (countFailure() || failureScore >= DOWN_SCORE) {
+                markDown(reason);
             }
-            limit.failed(symptom);
+            limiter.endpointFailed(reason);
         }
 
-        void overdue(Call call) {
-            connections.lost(call);
-            limit.evidence.recordOverdue(call.sentAt);
-            if (lastGood < call.sentAt && ++silentCalls >= SILENT_CALLS) {
+        void onOverdue(Call call) {
+            connectionReuse.connectionLost(call);
+            limiter.evidence.recordOverdue(call.sentAt);
+            if (lastDeliveryAt < call.sentAt && ++overdueCalls >= DOWN_OVERDUE_CALLS) {
                 boolean wasDown = state == EndpointState.DOWN;
-                down("does not answer");
-                silentOnly = !wasDown;
+                markDown("does not answer");
+                downOnlyOverdue = !wasDown;
             }
         }
-        private void warm() {
+        private void startSlowStart() {
             state = EndpointState.WARMING;
-            warmSince = clock;
-            nextAt = clock + 1 / allowedRate();
+            slowStartAt = clock;
+            nextSendAt = clock + 1 / recoveryRate();
             actions.log("endpoint " + entry.id() + " answers again, slow start begins");
-            remember();
+            saveHealth();
         }
-        private void up(String symptom) {
+        private void markUp(String reason) {
             state = EndpointState.UP;
-            nextAt = clock;
-            carried.at = clock;
-            actions.log("endpoint " + entry.id() + " " + symptom);
-            remember();
+            nextSendAt = clock;
+            sustainedRate.updatedAtMs = clock;
+            actions.log("endpoint " + entry.id() + " " + reason);
+            saveHealth();
         }
-        private void down(String symptom) {
-            silentOnly = false;
+        private void markDown(String reason) {
+            downOnlyOverdue = false;
             if (state != EndpointState.DOWN) {
                 state = EndpointState.DOWN;
-                failing = false;
+                failedWhileDown = false;
                 downAt = clock;
-                nextAt = Math.max(clock, limit.waitUntil) + random.nextDouble() / allowedRate();
-                actions.log("endpoint " + entry.id() + " " + symptom + ", only probes are sent");
-                remember();
+                nextSendAt = Math.max(clock, limiter.retryAfterUntil) + random.nextDouble() / recoveryRate();
+                actions.log("endpoint " + entry.id() + " " + reason + ", only probes are sent");
+                saveHealth();
             }
         }
-        private void remember() {
-            actions.saveEndpointHealth(entry.id(), new EndpointHealth(state, clock, carried.perMs()));
+        private void saveHealth() {
+            actions.saveEndpointHealth(entry.id(), new EndpointHealth(state, clock, sustainedRate.perMs()));
         }
 
-        void recall(EndpointHealth health) {
+        void restore(EndpointHealth health) {
             state = health.state();
-            carried.recall(health.sustainedPerMs());
+            sustainedRate.restore(health.sustainedPerMs());
             if (state == EndpointState.WARMING) {
-                warmSince = health.sinceMs();
+                slowStartAt = health.sinceMs();
             }
             if (state != EndpointState.UP) {
-                nextAt = clock + random.nextDouble() / allowedRate();
+                nextSendAt = clock + random.nextDouble() / recoveryRate();
                 actions.log("endpoint " + entry.id() + " was " + state + " before the restart");
             }
         }
     }
 
-    private final class Connections {
-        private Optional<Call> suspect = Optional.empty();
-        private double lostAt = Double.NEGATIVE_INFINITY;
-        private boolean sure;
-        double take(Target target) {
-            double idle = !target.calls.isEmpty() ? 0 : clock - target.usedAt;
-            if (clock > lostAt + TRUST_MEMORY_MS) {
-                suspect = Optional.empty();
-                sure = false;
+    private final class IdleConnectionReuse {
+        private Optional<Call> loss = Optional.empty();
+        private double lastLossAt = Double.NEGATIVE_INFINITY;
+        private boolean confirmed;
+        double takeConnection(TrackedEndpoint endpoint) {
+            double idleMs = !endpoint.calls.isEmpty() ? 0 : clock - endpoint.lastUsedAt;
+            if (clock > lastLossAt + IDLE_LOSS_MEMORY_MS) {
+                loss = Optional.empty();
+                confirmed = false;
             }
-            if (idle < IDLE_LEAST_MS || idle >= settings.keepAliveMs()) {
+            if (idleMs < MIN_IDLE_MS || idleMs >= settings.keepAliveMs()) {
                 return 0;
             }
-            if (sure && suspect.filter(s -> idle > s.idledMs * TRUST_CUT).isPresent()) {
-                actions.closeIdleConnections(target.entry.id());
+            if (confirmed && loss.filter(l -> idleMs > l.connIdleMs * REUSE_IDLE_SHARE).isPresent()) {
+                actions.closeIdleConnections(endpoint.entry.id());
                 return 0;
             }
-            return idle;
+            return idleMs;
         }
 
-        void lost(Call call) {
-            if (call.idledMs > 0) {
-                sure |= suspect.filter(s -> s.target.destination != call.target.destination).isPresent();
-                suspect = suspect.filter(s -> s.idledMs < call.idledMs).or(() -> Optional.of(call));
-                lostAt = clock;
+        void connectionLost(Call call) {
+            if (call.connIdleMs > 0) {
+                confirmed |= loss.filter(l -> l.endpoint.destination != call.endpoint.destination).isPresent();
+                loss = loss.filter(l -> l.connIdleMs < call.connIdleMs).or(() -> Optional.of(call));
+                lastLossAt = clock;
             }
         }
 
-        void held(Call call) {
-            suspect = suspect.filter(s -> s != call && (call.late || call.idledMs < s.idledMs));
-            sure &= suspect.isPresent();
+        void connectionWorked(Call call) {
+            loss = loss.filter(l -> l != call && (call.overdue || call.connIdleMs < l.connIdleMs));
+            confirmed &= loss.isPresent();
         }
     }
 
-    private final class Throttle {
-        private final double base;
-        private final double share;
-        private final Deque<Double> extra = new ArrayDeque<>();
+    private final class SendBudget {
+        private final double alwaysAllowed;
+        private final double perFirstSend;
+        private final Deque<Double> extraSends = new ArrayDeque<>();
 
-        Throttle(double base, double share) {
-            this.base = base;
-            this.share = share;
+        SendBudget(double alwaysAllowed, double perFirstSend) {
+            this.alwaysAllowed = alwaysAllowed;
+            this.perFirstSend = perFirstSend;
         }
 
-        void sent(double at) {
-            extra.add(at);
-            timers.add(at + THROTTLE_PERIOD_MS + CLOCK_MARGIN_MS, () -> { });
+        void recordSend(double at) {
+            extraSends.add(at);
+            timers.add(at + BUDGET_PERIOD_MS + CLOCK_MARGIN_MS, () -> { });
         }
-        boolean allows() {
-            trim(extra, THROTTLE_PERIOD_MS);
-            trim(firstSends, THROTTLE_PERIOD_MS);
-            return extra.size() + 1 <= base + share * firstSends.size();
+        boolean allowsSend() {
+            removeOlderThan(extraSends, BUDGET_PERIOD_MS);
+            removeOlderThan(firstSends, BUDGET_PERIOD_MS);
+            return extraSends.size() + 1 <= alwaysAllowed + perFirstSend * firstSends.size();
         }
     }
 
+    /** Keeps the order of messages with the same key, like the key queues of {@link DeliveryScheduler}. */
     private final class KeyOrder {
-        private final Map<String, Line> lines = new LinkedHashMap<>();
-        private static final class Line {
-            final Deque<Delivery> waiting = new ArrayDeque<>();
-            double restUntil = Double.NEGATIVE_INFINITY;
-            int out;
+        private final Map<String, KeyQueue> queues = new LinkedHashMap<>();
+        private static final class KeyQueue {
+            final Deque<Delivery> deliveries = new ArrayDeque<>();
+            double coolDownUntil = Double.NEGATIVE_INFINITY;
+            int inFlight;
         }
-        private Optional<Line> line(Delivery d) {
-            return d.type.ordered() ? d.message.key().map(lines::get) : Optional.empty();
+        private Optional<KeyQueue> queue(Delivery d) {
+            return d.messageClass.ordered() ? d.message.key().map(queues::get) : Optional.empty();
         }
 
-        void taken(Delivery d) {
-            if (d.type.ordered()) {
-                d.message.key().ifPresent(key -> lines.computeIfAbsent(key, k -> new Line()).waiting.add(d));
+        void messageAccepted(Delivery d) {
+            if (d.messageClass.ordered()) {
+                d.message.key().ifPresent(key -> queues.computeIfAbsent(key, k -> new KeyQueue()).deliveries.add(d));
             }
         }
 
-        void resumed(Delivery d) {
+        void messageRestored(Delivery d) {
             if (d.attempts.stream().anyMatch(a -> a.mayHaveRun)) {
-                line(d).ifPresent(l -> l.restUntil = clock + settings.keyCoolDownMs());
-                timers.add(clock + settings.keyCoolDownMs(), () -> drop(d));
+                queue(d).ifPresent(q -> q.coolDownUntil = clock + settings.keyCoolDownMs());
+                timers.add(clock + settings.keyCoolDownMs(), () -> removeIfUnused(d));
             }
         }
-        boolean mayGo(Delivery d) {
-            return line(d).map(l -> l.waiting.peek() == d && l.out == d.out && l.restUntil <= clock)
+        boolean allows(Delivery d) {
+            return queue(d).map(q -> q.deliveries.peek() == d && q.inFlight == d.inFlight && q.coolDownUntil <= clock)
                     .orElse(true);
         }
 
         void attemptSent(Delivery d) {
-            line(d).ifPresent(l -> l.out++);
+            queue(d).ifPresent(q -> q.inFlight++);
         }
 
-        void attemptEnded(Delivery d, Outcome outcome) {
-            line(d).ifPresent(l -> {
-                l.out--;
+        void attemptCompleted(Delivery d, Outcome outcome) {
+            queue(d).ifPresent(q -> {
+                q.inFlight--;
                 if (outcome.mayHaveRun() && outcome != Outcome.ERROR) {
-                    l.restUntil = clock + settings.keyCoolDownMs();
-                    timers.add(l.restUntil, () -> drop(d));
+                    q.coolDownUntil = clock + settings.keyCoolDownMs();
+                    timers.add(q.coolDownUntil, () -> removeIfUnused(d));
                 }
-                drop(d);
+                removeIfUnused(d);
             });
         }
 
-        void ended(Delivery d) {
-            line(d).ifPresent(l -> l.waiting.remove(d));
-            drop(d);
+        void messageCompleted(Delivery d) {
+            queue(d).ifPresent(q -> q.deliveries.remove(d));
+            removeIfUnused(d);
         }
-        private void drop(Delivery d) {
-            line(d).filter(l -> l.waiting.isEmpty() && l.out == 0 && l.restUntil <= clock)
-                    .ifPresent(l -> lines.remove(d.message.key().get()));
+        private void removeIfUnused(Delivery d) {
+            queue(d).filter(q -> q.deliveries.isEmpty() && q.inFlight == 0 && q.coolDownUntil <= clock)
+                    .ifPresent(q -> queues.remove(d.message.key().get()));
         }
     }
 
     private final class Timers {
-        private final PriorityQueue<Timer> due =
-                new PriorityQueue<>(Comparator.comparingDouble(Timer::at).thenComparingLong(Timer::number));
-        private long count;
-        private double asked = Double.POSITIVE_INFINITY;
-        private record Timer(double at, long number, Runnable action) {
+        private final PriorityQueue<Timer> queue =
+                new PriorityQueue<>(Comparator.comparingDouble(Timer::dueAt).thenComparingLong(Timer::sequence));
+        private long nextSequence;
+        private double requestedAt = Double.POSITIVE_INFINITY;
+        private record Timer(double dueAt, long sequence, Runnable action) {
         }
 
-        void add(double at, Runnable action) {
-            due.add(new Timer(at, count++, action));
+        void add(double dueAt, Runnable action) {
+            queue.add(new Timer(dueAt, nextSequence++, action));
         }
 
-        void run(double now) {
-            while (!due.isEmpty() && due.peek().at() <= now) {
-                due.remove().action().run();
+        void fireDue(double nowMs) {
+            while (!queue.isEmpty() && queue.peek().dueAt() <= nowMs) {
+                queue.remove().action().run();
             }
         }
 
-        void ask(double now, double opening) {
-            double next = Math.min(opening, due.isEmpty() ? Double.POSITIVE_INFINITY : due.peek().at());
-            if (asked <= now + CLOCK_MARGIN_MS || next < asked) {
-                asked = next;
+        void requestWake(double nowMs, double otherwiseAt) {
+            double next = Math.min(otherwiseAt, queue.isEmpty() ? Double.POSITIVE_INFINITY : queue.peek().dueAt());
+            if (requestedAt <= nowMs + CLOCK_MARGIN_MS || next < requestedAt) {
+                requestedAt = next;
                 if (next < Double.POSITIVE_INFINITY) {
                     actions.wakeAt(next);
                 }
--- a/src/test/java/kestreldeal/SchedulerHarness.java
+++ b/src/test/java/kestreldeal/SchedulerHarness.java
@@ -19,41 +19,46 @@
 
 /**
  * Drives a {@link Relay} in tests: keeps a simulated clock, passes events to the relay and records its actions. If
- * {@link #strict} is set, each action is also checked against the delivery rules. Times are in milliseconds.
+ * {@link #checksRules} is set, each action is also checked against the delivery rules. Times are in milliseconds.
  */
 final class SchedulerHarness implements Relay.Actions {
-    private static final double STEP = 5;
+    private static final double STEP_MS = 5;
 
-    record Sent(long message, int attempt, long endpoint, double at, double timeout) {
+    record SentAttempt(long message, int attempt, long endpoint, double sentAt, double timeoutMs) {
     }
 
-    private record Due(double at, long number, Runnable event) {
+    private record ScheduledEvent(double at, long sequence, Runnable event) {
     }
 
-    final List<Sent> sends = new ArrayList<>();
-    final List<String> cancels = new ArrayList<>();
-    final List<Long> closes = new ArrayList<>();
-    final List<String> answers = new ArrayList<>();
-    final List<Double> wakes = new ArrayList<>();
+    final List<SentAttempt> sends = new ArrayList<>();
+    /** Cancelled attempts, as "message/attempt". */
+    final List<String> cancelledAttempts = new ArrayList<>();
+    final List<Long> closedIdleConnections = new ArrayList<>();
+    /** Final results, as "reject message" or "fail message". */
+    final List<String> finalResults = new ArrayList<>();
+    final List<Double> requestedWakes = new ArrayList<>();
     final Map<Long, Relay.EndpointHealth> health = new HashMap<>();
-    final List<Double> waits = new ArrayList<>();
+    /** The Retry-After waits of the rejections, in the order of these. */
+    final List<Double> rejectionRetryAfters = new ArrayList<>();
     final Relay relay;
-    Consumer<Sent> onSend = s -> { };
-    boolean strict;
+    Consumer<SentAttempt> onSend = s -> { };
+    boolean checksRules;
     double listedRate;
-    double toldRate;
-    double toldLeft = -1;
+    double reportedRate;
+    double reportedShareLeft = -1;
     double now;
 
-    private final PriorityQueue<Due> due =
-            new PriorityQueue<>(Comparator.comparingDouble(Due::at).thenComparingLong(Due::number));
+    private final PriorityQueue<ScheduledEvent> events =
+            new PriorityQueue<>(Comparator.comparingDouble(ScheduledEvent::at)
+            .thenComparingLong(ScheduledEvent::sequence));
     private final Map<Long, Relay.Message> messages = new HashMap<>();
-    private final Map<Long, Integer> attempts = new HashMap<>();
+    private final Map<Long, Integer> attemptCounts = new HashMap<>();
     private final Map<Long, Relay.Endpoint> endpoints = new HashMap<>();
-    private final Map<String, Outcome> ends = new HashMap<>();
-    private final Set<Long> over = new HashSet<>();
-    private final Map<String, List<Long>> byKey = new HashMap<>();
-    private long count;
+    /** The outcomes of attempts, by "message/attempt". */
+    private final Map<String, Outcome> outcomes = new HashMap<>();
+    private final Set<Long> finished = new HashSet<>();
+    private final Map<String, List<Long>> messagesByKey = new HashMap<>();
+    private long nextSequence;
 
     SchedulerHarness() {
         this(10);
@@ -63,28 +68,28 @@
         this(slots, 2);
     }
 
-    SchedulerHarness(int slots, int senders) {
-        this(slots, senders, 7);
+    SchedulerHarness(int slots, int senderCount) {
+        this(slots, senderCount, 7);
     }
 
-    SchedulerHarness(int slots, int senders, long seed) {
+    SchedulerHarness(int slots, int senderCount, long seed) {
         List<Relay.DestinationKind> kinds =
                 List.of(new Relay.DestinationKind(false, 1), new Relay.DestinationKind(false, 5),
                 new Relay.DestinationKind(true, 1));
         Relay.Settings settings = new Relay.Settings(DeliverySchedulerTest.CLASSES, kinds, true, Relay.Decay.LINEAR,
-                List.of(0.0, 0.06), senders, slots, 12, true, true, 500, 15_000,
+                List.of(0.0, 0.06), senderCount, slots, 12, true, true, 500, 15_000,
                 new Relay.SlowStart(0.2, 12_000, 2, 1500));
         relay = Relay.create(settings, seed, this);
     }
 
-    SchedulerHarness list(long destination, long... ids) {
+    SchedulerHarness addEndpoints(long destination, long... ids) {
         for (long id : ids) {
-            entry(id, destination, 0, 0, true);
+            putEndpoint(id, destination, 0, 0, true);
         }
         return this;
     }
 
-    SchedulerHarness entry(long id, long destination, int kind, int zone, boolean serving) {
+    SchedulerHarness putEndpoint(long id, long destination, int kind, int zone, boolean serving) {
         Relay.Endpoint entry = new Relay.Endpoint(id, destination, kind, zone, serving, listedRate);
         endpoints.put(id, entry);
         relay.endpointsChanged(now, false, List.of(entry));
@@ -92,154 +97,159 @@
         return this;
     }
 
-    void gone(long id, long destination) {
+    void removeEndpoint(long id, long destination) {
         relay.endpointsChanged(now, false, List.of(new Relay.Endpoint(id, destination, 0, 0, false, listedRate, true)));
         relay.endTurn(now);
     }
 
-    void take(long id, int type, long destination) {
-        take(id, type, destination, "key " + id);
+    void submit(long id, int messageClass, long destination) {
+        submit(id, messageClass, destination, "key " + id);
     }
 
-    void take(long id, int type, long destination, String key) {
-        handIn(id, type, destination, key);
+    void submit(long id, int messageClass, long destination, String key) {
+        submitInTurn(id, messageClass, destination, key);
         relay.endTurn(now);
     }
 
-    void takeTogether(int many, int type, long destination) {
-        for (long id = 1; id <= many; id++) {
-            handIn(id, type, destination, "key " + id);
+    /** Submits messages with the ids from 1 on in the same turn. */
+    void submitInOneTurn(int count, int messageClass, long destination) {
+        for (long id = 1; id <= count; id++) {
+            submitInTurn(id, messageClass, destination, "key " + id);
         }
         relay.endTurn(now);
     }
 
     /** Submits one message in each interval until the end time; ids continue from the number of messages so far. */
-    void takeEvery(double gap, int type, long destination, double end) {
-        while (now < end) {
-            take(messages.size(), type, destination);
-            until(now + gap);
+    void submitEvery(double intervalMs, int messageClass, long destination, double endMs) {
+        while (now < endMs) {
+            submit(messages.size(), messageClass, destination);
+            runUntil(now + intervalMs);
         }
     }
 
-    private void handIn(long id, int type, long destination, String key) {
-        Relay.Message m = new Relay.Message(id, type, 0, Optional.of(key), 16_000, destination);
-        relay.messageAccepted(now, m);
-        messages.put(id, m);
-        if (DeliverySchedulerTest.CLASSES.get(type).ordered()) {
-            byKey.computeIfAbsent(key, k -> new ArrayList<>()).add(id);
+    private void submitInTurn(long id, int messageClass, long destination, String key) {
+        Relay.Message message = new Relay.Message(id, messageClass, 0, Optional.of(key), 16_000, destination);
+        relay.messageAccepted(now, message);
+        messages.put(id, message);
+        if (DeliverySchedulerTest.CLASSES.get(messageClass).ordered()) {
+            messagesByKey.computeIfAbsent(key, k -> new ArrayList<>()).add(id);
         }
     }
 
     /** Restores a message of a previous process, with the attempts that it made. */
-    void resume(long id, int type, long destination, double leftMs, List<Relay.EarlierAttempt> earlier) {
-        resumeInTurn(id, type, destination, leftMs, earlier);
+    void restore(long id, int messageClass, long destination, double timeLeftMs, List<Relay.EarlierAttempt> earlier) {
+        restoreInTurn(id, messageClass, destination, timeLeftMs, earlier);
         relay.endTurn(now);
     }
 
-    void resumeInTurn(long id, int type, long destination, double leftMs, List<Relay.EarlierAttempt> earlier) {
-        Relay.Message m = new Relay.Message(id, type, 0, Optional.of("key " + id), leftMs, destination);
-        attempts.put(id, earlier.size());
-        messages.put(id, m);
-        relay.messageRestored(now, m, earlier);
+    void restoreInTurn(long id, int messageClass, long destination, double timeLeftMs,
+            List<Relay.EarlierAttempt> earlier) {
+        Relay.Message message =
+                new Relay.Message(id, messageClass, 0, Optional.of("key " + id), timeLeftMs, destination);
+        attemptCounts.put(id, earlier.size());
+        messages.put(id, message);
+        relay.messageRestored(now, message, earlier);
     }
 
-    void end(long message, int attempt, Outcome outcome) {
-        end(message, attempt, outcome, 0);
+    void complete(long message, int attempt, Outcome outcome) {
+        complete(message, attempt, outcome, 0);
     }
 
-    void end(long message, int attempt, Outcome outcome, double waitMs) {
-        boolean finished = outcome == Outcome.DELIVERED || over.contains(message);
-        ends.put(message + "/" + attempt, outcome);
+    void complete(long message, int attempt, Outcome outcome, double retryAfterMs) {
+        boolean messageFinished = outcome == Outcome.DELIVERED || finished.contains(message);
+        outcomes.put(message + "/" + attempt, outcome);
         if (outcome == Outcome.DELIVERED) {
-            over.add(message);
+            finished.add(message);
         }
-        relay.attemptCompleted(now, new Relay.AttemptResult(message, attempt, outcome, 10, finished, waitMs,
-                new Relay.LoadReport(toldRate, toldLeft)));
+        relay.attemptCompleted(now,
+                new Relay.AttemptResult(message, attempt, outcome, 10, messageFinished, retryAfterMs,
+                new Relay.LoadReport(reportedRate, reportedShareLeft)));
         relay.endTurn(now);
     }
 
-    void endLater(Sent s, Outcome outcome, double took) {
-        at(now + took, () -> {
-            if (!ends.containsKey(s.message + "/" + s.attempt)) {
-                end(s.message, s.attempt, outcome);
+    void completeLater(SentAttempt s, Outcome outcome, double durationMs) {
+        schedule(now + durationMs, () -> {
+            if (!outcomes.containsKey(s.message + "/" + s.attempt)) {
+                complete(s.message, s.attempt, outcome);
             }
         });
     }
 
-    void withdraw(long id) {
-        over.add(id);
+    void cancelMessage(long id) {
+        finished.add(id);
         relay.messageCancelled(now, id);
         relay.endTurn(now);
     }
 
-    void at(double time, Runnable event) {
-        due.add(new Due(time, count++, event));
+    void schedule(double timeMs, Runnable event) {
+        events.add(new ScheduledEvent(timeMs, nextSequence++, event));
     }
 
-    /** Advances the clock up to this time in steps of {@link #STEP}, and runs the events that become due. */
-    void until(double end) {
-        while (now + STEP <= end) {
-            now += STEP;
-            while (!due.isEmpty() && due.peek().at <= now) {
-                due.remove().event.run();
+    /** Advances the clock up to this time in steps of {@link #STEP_MS}, and runs the events that become due. */
+    void runUntil(double endMs) {
+        while (now + STEP_MS <= endMs) {
+            now += STEP_MS;
+            while (!events.isEmpty() && events.peek().at <= now) {
+                events.remove().event.run();
             }
         }
     }
 
-    long delivered() {
-        return ends.values().stream().filter(o -> o == Outcome.DELIVERED).count();
+    long deliveredCount() {
+        return outcomes.values().stream().filter(o -> o == Outcome.DELIVERED).count();
     }
 
-    List<Long> sent() {
-        return sends.stream().map(Sent::message).toList();
+    List<Long> sentMessages() {
+        return sends.stream().map(SentAttempt::message).toList();
     }
 
-    void allAnswered() {
+    void checkAllFinished() {
         for (long id : messages.keySet()) {
-            assertTrue(over.contains(id), "message " + id + " got no final result");
+            assertTrue(finished.contains(id), "message " + id + " got no final result");
         }
     }
 
     @Override
     public void send(long message, long endpoint, double timeoutMs) {
-        int attempt = attempts.merge(message, 1, Integer::sum) - 1;
-        Sent s = new Sent(message, attempt, endpoint, now, timeoutMs);
-        if (strict) {
-            check(s);
+        int attempt = attemptCounts.merge(message, 1, Integer::sum) - 1;
+        SentAttempt s = new SentAttempt(message, attempt, endpoint, now, timeoutMs);
+        if (checksRules) {
+            checkRules(s);
         }
         sends.add(s);
         onSend.accept(s);
     }
 
-    private void check(Sent s) {
-        Relay.Message m = messages.get(s.message);
-        Relay.MessageClass type = DeliverySchedulerTest.CLASSES.get(m.messageClass());
-        assertFalse(over.contains(s.message), "sent after its final result");
+    private void checkRules(SentAttempt s) {
+        Relay.Message message = messages.get(s.message);
+        Relay.MessageClass messageClass = DeliverySchedulerTest.CLASSES.get(message.messageClass());
+        assertFalse(finished.contains(s.message), "sent after its final result");
         assertTrue(endpoints.get(s.endpoint).serving(), "sent to a draining endpoint");
-        assertEquals(m.destination(), endpoints.get(s.endpoint).destination());
-        for (Sent earlier : sends) {
+        assertEquals(message.destination(), endpoints.get(s.endpoint).destination());
+        for (SentAttempt earlier : sends) {
             if (earlier.message != s.message) {
                 continue;
             }
-            Outcome outcome = ends.get(earlier.message + "/" + earlier.attempt);
+            Outcome outcome = outcomes.get(earlier.message + "/" + earlier.attempt);
             if (outcome != null && !outcome.mayHaveRun()) {
                 continue;
             }
-            assertFalse(type.effect() == Effect.UNSAFE, "an unsafe message may have run twice");
-            if (type.effect() == Effect.KEYED) {
-                assertTrue(now <= earlier.at + type.dedupWindowMs(), "repeated after the deduplication window");
-                assertTrue(!type.dedupWithinZone()
+            assertFalse(messageClass.effect() == Effect.UNSAFE, "an unsafe message may have run twice");
+            if (messageClass.effect() == Effect.KEYED) {
+                assertTrue(now <= earlier.sentAt + messageClass.dedupWindowMs(),
+                        "repeated after the deduplication window");
+                assertTrue(!messageClass.dedupWithinZone()
                         || endpoints.get(earlier.endpoint).zone() == endpoints.get(s.endpoint).zone());
             }
         }
-        if (type.ordered()) {
-            for (long other : byKey.get(m.key().orElseThrow())) {
+        if (messageClass.ordered()) {
+            for (long other : messagesByKey.get(message.key().orElseThrow())) {
                 if (other == s.message) {
                     break;
                 }
-                assertTrue(over.contains(other), "an earlier message of the key is unfinished");
-                for (int i = 0; i < attempts.getOrDefault(other, 0); i++) {
-                    assertTrue(ends.containsKey(other + "/" + i), "an earlier attempt of the key is in flight");
+                assertTrue(finished.contains(other), "an earlier message of the key is unfinished");
+                for (int i = 0; i < attemptCounts.getOrDefault(other, 0); i++) {
+                    assertTrue(outcomes.containsKey(other + "/" + i), "an earlier attempt of the key is in flight");
                 }
             }
         }
@@ -247,11 +257,11 @@
 
     @Override
     public void cancel(long message, int attempt) {
-        cancels.add(message + "/" + attempt);
-        if (strict) {
-            at(now, () -> {
-                if (!ends.containsKey(message + "/" + attempt)) {
-                    end(message, attempt, Outcome.CANCELLED);
+        cancelledAttempts.add(message + "/" + attempt);
+        if (checksRules) {
+            schedule(now, () -> {
+                if (!outcomes.containsKey(message + "/" + attempt)) {
+                    complete(message, attempt, Outcome.CANCELLED);
                 }
             });
         }
@@ -259,43 +269,43 @@
 
     @Override
     public void closeIdleConnections(long endpoint) {
-        closes.add(endpoint);
+        closedIdleConnections.add(endpoint);
     }
 
     @Override
-    public void reject(long message, double waitMs) {
-        waits.add(waitMs);
-        if (strict) {
+    public void reject(long message, double retryAfterMs) {
+        rejectionRetryAfters.add(retryAfterMs);
+        if (checksRules) {
             Effect effect = DeliverySchedulerTest.CLASSES.get(messages.get(message).messageClass()).effect();
-            for (int i = 0; effect == Effect.UNSAFE && i < attempts.getOrDefault(message, 0); i++) {
-                assertFalse(ends.get(message + "/" + i).mayHaveRun(), "rejected although it may have run");
+            for (int i = 0; effect == Effect.UNSAFE && i < attemptCounts.getOrDefault(message, 0); i++) {
+                assertFalse(outcomes.get(message + "/" + i).mayHaveRun(), "rejected although it may have run");
             }
         }
-        answer("reject ", message);
+        recordResult("reject ", message);
     }
 
     @Override
     public void fail(long message) {
-        answer("fail ", message);
+        recordResult("fail ", message);
     }
 
-    private void answer(String what, long message) {
-        assertTrue(over.add(message), "a second final result");
-        answers.add(what + message);
+    private void recordResult(String prefix, long message) {
+        assertTrue(finished.add(message), "a second final result");
+        finalResults.add(prefix + message);
     }
 
     @Override
-    public void wakeAt(double time) {
-        wakes.add(time);
-        at(Math.max(time, now + 0.001), () -> {
+    public void wakeAt(double timeMs) {
+        requestedWakes.add(timeMs);
+        schedule(Math.max(timeMs, now + 0.001), () -> {
             relay.wake(now);
             relay.endTurn(now);
         });
     }
 
     @Override
-    public void saveEndpointHealth(long endpoint, Relay.EndpointHealth now) {
-        health.put(endpoint, now);
+    public void saveEndpointHealth(long endpoint, Relay.EndpointHealth newHealth) {
+        health.put(endpoint, newHealth);
     }
 
     @Override
