--- a/src/main/java/kestreldeal/net/AcceptedMessage.java
+++ b/src/main/java/kestreldeal/net/AcceptedMessage.java
@@ -6,18 +6,19 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A message that this sender has accepted, with everything that the journal records of it. After a restart, whether and
- * how the message may be sent again is decided from this.
+ * A message that this sender has accepted, and its progress; most of this is recorded in the journal. After a restart,
+ * whether and how the message may be sent again is decided from the recorded part.
  */
 final class AcceptedMessage {
     /** How long a client waits for an answer, by the protocol, before it closes the connection. */
     private static final double CLIENT_RESPONSE_TIMEOUT_MS = 400;
-    /** Limits the time allowed for an unread request to this share of its class's deadline. */
+    /** Maximum assumed time that a request waited in the receive buffer, as a share of its class's deadline. */
     private static final double MAX_UNREAD_SHARE = 0.25;
     /**
-     * How long before the end of the client's budget a message is completed. The budget counts from when the request
-     * was sent. When CPU time is scarce, the request may stay unread for the 400 ms that its client waits, and the
-     * notice takes a turn or two of an event loop that is as late: results were up to 421 ms late after a start.
+     * Margin between the time by which a message is completed and the end of the client's budget, which counts from the
+     * request's last byte. When CPU time is scarce, the request may wait unread for the 400 ms that its client waits
+     * for the answer, and the event loop, being as slow, may delay the notice by one or two iterations more: results
+     * were up to 421 ms late after a start.
      */
     private static final long COMPLETION_MARGIN_MS = 700;
 
@@ -27,11 +28,15 @@
     final String tenant;
     final Optional<String> key;
     final long destination;
-    /** Latest time for attempts, by {@link MachineClock#nanos}. */
+    /**
+     * Time by which this process completes the message, by {@link MachineClock#nanos}. It lies {@link
+     * #COMPLETION_MARGIN_MS}, or half of a short budget, before the end of the client's budget or of its class's
+     * deadline, whichever is shorter.
+     */
     final long deadlineNanos;
     /**
-     * Earliest time at which the client's budget may be used up, counting the time that the request may have been
-     * unread. Not recorded: for a message restored from the journal this is its deadline.
+     * Earliest time at which the client's budget may be used up, by {@link MachineClock#nanos}, if the request waited
+     * unread for as long as possible. Not recorded: for a message restored from the journal this is its deadline.
      */
     private final long earliestExpiryNanos;
     final byte[] body;
@@ -41,28 +46,35 @@
     Optional<Notice> pendingNotice = Optional.empty();
     /** Bytes of the message's records in the journal. */
     long journalBytes;
-    /** Whether the client got the answer that the message is accepted; assumed for one restored from the journal. */
+    /**
+     * Whether the 202 response was written, or passed to the predecessor for a submission forwarded by it; assumed for
+     * a message restored from the journal.
+     */
     boolean acknowledged;
     /** Whether the message was reported as still not completed after its deadline. */
     boolean reportedOverdue;
     /**
-     * Whether nothing may be sent for the message any more: it was delivered, has expired at its destination, was ended
-     * by a notice, or its client never got the answer that it is accepted.
+     * Whether nothing may be sent for the message any more: it was delivered, its endpoint reported it as expired, it
+     * was rejected or failed by a notice, or its 202 response could not be written. A finished message is completed
+     * once its notice, if it has one, is confirmed or dropped.
      */
     boolean finished;
 
-    /** An attempt to deliver the message. It may have run unless its result proved otherwise, across restarts too. */
+    /**
+     * An attempt to deliver the message. Also after a restart it counts as one that may have run, unless {@link
+     * #neverRan} is set.
+     */
     static final class Attempt {
-        /** Index of an attempt that the journal has no record of. */
+        /** Value of {@link #record} for an attempt that the journal has no record of. */
         static final int UNRECORDED = -1;
         /** Age given to an attempt of unknown age: longer than any deduplication window. */
         private static final long UNKNOWN_AGE_MS = TimeUnit.DAYS.toMillis(365);
 
         final String endpoint;
-        /** When the attempt was decided on, by {@link MachineClock#nanos}. */
+        /** When the decision module started the attempt, before it was sent; by {@link MachineClock#nanos}. */
         final long sentNanos;
         boolean neverRan;
-        /** Index among the message's attempts in the journal, which does not count those that could not be recorded. */
+        /** Index among the message's recorded attempts, or {@link #UNRECORDED}. */
         int record = UNRECORDED;
 
         private Attempt(String endpoint, long sentNanos) {
@@ -70,23 +82,23 @@
             this.sentNanos = sentNanos;
         }
 
-        /** An attempt made the given time ago; a negative age can't be true and counts as unknown. */
+        /** An attempt started the given time ago; a negative age can't be true and counts as unknown. */
         static Attempt sentAgo(String endpoint, long agoMs, MachineClock clock) {
             long ageMs = agoMs < 0 ? UNKNOWN_AGE_MS : agoMs;
             return new Attempt(endpoint, clock.nanos() - TimeUnit.MILLISECONDS.toNanos(ageMs));
         }
 
-        /** An attempt made at the given time; a time in the future can't be true and counts as unknown. */
+        /** An attempt started at the given time; a time in the future can't be true and counts as unknown. */
         static Attempt sentAt(String endpoint, long sentNanos, MachineClock clock) {
             return sentNanos <= clock.nanos() ? new Attempt(endpoint, sentNanos) : ofUnknownAge(endpoint, clock);
         }
 
-        /** An attempt made an unknown time ago; it counts as older than any deduplication window. */
+        /** An attempt started an unknown time ago; it counts as older than any deduplication window. */
         static Attempt ofUnknownAge(String endpoint, MachineClock clock) {
             return sentAgo(endpoint, UNKNOWN_AGE_MS, clock);
         }
 
-        /** An attempt that was decided on but not made. */
+        /** An attempt that the decision module started, but that was suppressed before it was sent. */
         static Attempt neverSent(String endpoint, MachineClock clock) {
             Attempt attempt = sentAgo(endpoint, 0, clock);
             attempt.neverRan = true;
@@ -99,22 +111,27 @@
     }
 
     /**
-     * Whether an attempt that is written now falls within the deduplication window of every other attempt that may have
-     * run. That includes later ones: they may have overtaken this one while it waited for its connection.
+     * Whether the destination still recognizes an attempt as a repeat if it is written now: every other attempt that
+     * may have run was started at most {@code windowMs} ago. Later attempts count too, since they may have been written
+     * first while this one waited for its connection.
      */
     boolean isInDedupWindow(int attempt, long nowNanos, double windowMs) {
         Attempt own = attempts.get(attempt);
         return attempts.stream().allMatch(a -> a == own || a.neverRan || nowNanos - a.sentNanos <= windowMs * 1e6);
     }
 
-    /** The final result that is still to be reported to the platform's agent. */
+    /**
+     * A final result that is still to be reported to the platform's agent: the message was rejected or, if not, has
+     * failed. {@code retryAfterMs} is 0 without a wait.
+     */
     record Notice(boolean bounced, double retryAfterMs) {
     }
 
     /**
-     * The longest time that a request may have been unread, by which its budget may be used up: the budget counts from
-     * the request's last byte, and it may stay unread until its client stops waiting for the answer. For a class with a
-     * short deadline only a share of the deadline is assumed, or else none of its messages could be accepted.
+     * The longest time that a request may have waited unread. The budget counts from the request's last byte, so up to
+     * this much of it may be used up already: the client stops waiting for the answer only after its response timeout.
+     * For a class with a short deadline only a share of the deadline is assumed, or else none of its messages could be
+     * accepted.
      */
     static long maxUnreadMs(double classDeadlineMs) {
         return (long) Math.min(CLIENT_RESPONSE_TIMEOUT_MS, classDeadlineMs * MAX_UNREAD_SHARE);
@@ -124,6 +141,7 @@
     static AcceptedMessage fromSubmission(long number, ClientServer.Submission submission, double classDeadlineMs,
             MachineClock clock) {
         long budgetLeftMs = (long) Math.min(submission.budgetMs(), classDeadlineMs);
+        // A short budget keeps at least half of its time for attempts.
         long timeLeftMs = budgetLeftMs - Math.min(COMPLETION_MARGIN_MS, budgetLeftMs / 2);
         return new AcceptedMessage(number, submission.id(), submission.messageClass(), submission.tenant(),
                 submission.key(), submission.destination(), nanosFromNow(timeLeftMs, clock),
@@ -134,7 +152,7 @@
         return clock.nanos() + TimeUnit.MILLISECONDS.toNanos(ms);
     }
 
-    /** A message that may be tried for the given time from now on. */
+    /** For tests: a message whose deadline is the given time from now. */
     static AcceptedMessage withTimeLeft(long number, String id, String messageClass, String tenant,
             Optional<String> key, long destination, long timeLeftMs, byte[] body, MachineClock clock) {
         return new AcceptedMessage(number, id, messageClass, tenant, key, destination,
@@ -146,7 +164,7 @@
         return attempts.stream().anyMatch(a -> !a.neverRan);
     }
 
-    /** How long the message may still be tried; negative after its deadline. */
+    /** Time left until the deadline of the message; negative after it. */
     double timeLeftMs(MachineClock clock) {
         return (deadlineNanos - clock.nanos()) / 1e6;
     }
--- a/src/main/java/kestreldeal/net/ClientServer.java
+++ b/src/main/java/kestreldeal/net/ClientServer.java
@@ -55,31 +55,41 @@
 /**
  * The HTTP server that clients submit messages to. It validates requests and answers them. A message is written to the
  * journal before its 202 response, and passed to the decision module once the response has been written. Messages that
- * can't be accepted are rejected; malformed requests are answered and affect nothing else.
+ * can't be accepted are rejected; malformed requests get a 4xx response and have no other effect.
  *
- * <p>Each connection takes a file descriptor, so its time is limited: there are timeouts for completing the first
- * request after connecting, for completing a later request after its first byte, and for being idle. When there are too
- * many connections, those without any complete request are closed first.
+ * <p>Each connection takes a file descriptor, so there are timeouts after which it is closed: for completing the first
+ * request, counted from connecting; for completing a later request, counted from its first byte; and for being idle.
+ * When there are too many connections, some are closed in the order of {@link State}, but none that is in a request.
  */
 final class ClientServer {
     private static final int MAX_BODY_BYTES = 64 * 1024;
     /** The id is written to the journal and passed on to endpoints, so its length is limited. */
     private static final int MAX_ID_LENGTH = 256;
-    /** From connecting, or from the first byte of a later request, until the request is complete. */
+    /**
+     * From connecting, or from the first byte of a later request, until the request is complete; also the time limit
+     * for the answer to a forwarded request.
+     */
     private static final long REQUEST_TIMEOUT_MS = 2000;
-    /** Idle connections are closed after this time, so that clients with a single request don't block others. */
+    /** Time after which an idle connection is closed, so that it does not keep other clients from connecting. */
     private static final long IDLE_TIMEOUT_MS = 2500;
-    /** The same during an evacuation, so that all clients are gone well within the four seconds allowed for it. */
+    /**
+     * Idle timeout during an evacuation, so that all clients are gone well within the four seconds that it may take.
+     */
     private static final long EVACUATION_IDLE_TIMEOUT_MS = 1000;
     /**
-     * From the half-close after the last response until the close, unless the client closes first. Closing a socket
-     * with unread bytes resets the connection, and the last response could be lost with it.
+     * Time that a client has to read the last response, and then again to close its side after the half-close, before
+     * the connection is closed. Closing a socket with unread bytes resets the connection, and the last response could
+     * be lost with it.
      */
     private static final long LINGER_TIMEOUT_MS = 500;
-    /** Limit on the bytes that are read and discarded during that time, so that a flood is not read to its end. */
+    /**
+     * Limit on the bytes that are read and discarded while a connection is closing, so that a flood is not read to its
+     * end.
+     */
     private static final int MAX_DISCARDED_BYTES = MAX_BODY_BYTES;
+    /** Interval between checks for connections that have timed out. */
     private static final long SWEEP_INTERVAL_MS = 200;
-    /** Reads from one connection before the others are served. */
+    /** Maximum number of reads from one connection before other connections are served. */
     private static final int MAX_READS_PER_TURN = 16;
     /** Pause after a failed accept; it doubles with each further failure, up to the maximum. */
     private static final long MIN_ACCEPT_PAUSE_MS = 5;
@@ -87,24 +97,30 @@
     /** Minimum time between two log lines about failed accepts. */
     private static final long ACCEPT_LOG_INTERVAL_MS = 10_000;
 
-    /** A message that a client asks to have delivered. */
+    /**
+     * A message as submitted by a client. {@code budgetMs}: the time from the request's last byte within which the
+     * client wants a final result.
+     */
     record Submission(String id, String messageClass, String tenant, Optional<String> key, long destination,
                       long budgetMs, byte[] body) {
     }
 
     /** The part of the sender that accepts or rejects submissions. */
     interface SubmissionHandler {
-        /** Whether messages can be accepted now. */
+        /** Whether /healthz reports this process as healthy, so that new clients are sent to it. */
         boolean ready();
 
-        /** Whether this message class is configured; it is also the path of the request. */
+        /** Whether this message class is configured. The first segment of a request's path is its message class. */
         boolean knowsClass(String name);
 
         boolean knowsTenant(String name);
 
         boolean needsKey(String messageClass);
 
-        /** Whether an endpoint list has ever named this destination, even if none of its endpoints is left. */
+        /**
+         * Whether an endpoint list has ever named this destination, even if none of its endpoints is left. If not, this
+         * counts as a rejection of the submission.
+         */
         boolean knowsDestination(long destination);
 
         /** Whether submissions must be forwarded to another process, which decides on them. */
@@ -119,10 +135,13 @@
         /** The answer to an earlier submission with this id, if that message is pending or finished recently. */
         Optional<HttpResponseStatus> previousAnswer(String id);
 
-        /** Writes a message to the journal, or returns empty to reject it. */
+        /** Accepts a message and writes it to the journal; empty if it is rejected. */
         Optional<AcceptedMessage> accept(Submission submission);
 
-        /** This process closes a connection, for this reason. */
+        /**
+         * This process begins to close a connection, or closes it at once. It may report a connection again, above all
+         * as LINGERED if the client does not close it in time.
+         */
         default void connectionClosing(CloseReason reason) {
         }
 
@@ -145,6 +164,7 @@
     /** The connections in each state, ordered by the time when they entered it. */
     private final Map<State, Set<ClientConnection>> connectionsByState = new EnumMap<>(State.class);
     private final ServerBootstrap bootstrap;
+    /** Whether each connection is closed with its next response. */
     private boolean closing;
     /** Whether clients are being evacuated; messages that they submit nevertheless are still accepted. */
     private boolean evacuating;
@@ -170,7 +190,7 @@
                 .handler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
-                        // A new one for each attempt to bind.
+                        // A new handler for each attempt to bind, since it can be added to one channel only.
                         channel.pipeline().addLast(new AcceptFailureHandler());
                     }
                 })
@@ -178,7 +198,8 @@
                 .option(ChannelOption.SO_REUSEADDR, true)
                 .option(NioChannelOption.of(StandardSocketOptions.SO_REUSEPORT), true)
                 .childOption(ChannelOption.TCP_NODELAY, true)
-                // Reads until the socket is empty, so that a close right after a request is noticed with it.
+                // Reads until the socket is empty, so that if a client disconnects right after a request, that is
+                // noticed before the request is handled.
                 .childOption(ChannelOption.RECVBUF_ALLOCATOR,
                         new AdaptiveRecvByteBufAllocator().respectMaybeMoreData(false)
                                 .maxMessagesPerRead(MAX_READS_PER_TURN))
@@ -208,8 +229,9 @@
 
     /**
      * Closes all client connections because this process is about to exit. No further message is accepted, since the
-     * process could exit before the response is written. Requests already read are answered with 503, and clients
-     * submit again what crosses the half-close. The connections close when their clients close them, or soon after.
+     * process could exit before the response is written. Requests already read get a 503. A request that arrives after
+     * the half-close gets no answer, and its client submits it again. A connection is closed once its client has closed
+     * it, or after a timeout.
      */
     void shutDown() {
         connectionsByState.values().stream().flatMap(Set::stream).toList().forEach(ClientConnection::shutDown);
@@ -218,8 +240,8 @@
     /**
      * Starts or ends an evacuation of the clients. The front-end proxy learns of it from {@code /healthz}, for
      * which the listener stays open; a client learns of it from the response that closes its connection. Only
-     * connections that were idle for a while are closed without a response: the client must repeat a request that
-     * crosses such a close, on a new connection.
+     * connections that were idle for a while are closed without a response: a client whose request arrives during such
+     * a close must repeat it on a new connection.
      */
     void evacuate(boolean start) {
         evacuating = start;
@@ -239,7 +261,7 @@
         connectionLimit.setConfigured(limit);
     }
 
-    /** The number of connections on which a part of a request has arrived. */
+    /** For tests: the number of connections on which a part of a request has arrived. */
     long partialRequests() {
         return connectionsByState.values().stream().flatMap(Set::stream)
                 .filter(connection -> connection.requestStarted).count();
@@ -252,7 +274,7 @@
 
     /**
      * Closes idle connections because this process has no free descriptor for calls, the agent and the journal. The
-     * connection limit was too high for what this process has open besides, so it is lowered for a while.
+     * connection limit left too few descriptors for everything else, so it is lowered for a while.
      *
      * @return whether any connection could be closed without interrupting a request
      */
@@ -261,8 +283,8 @@
         connectionLimit.lower(connectionCount(), nowNanos);
         List<ClientConnection> idle = evictionCandidates().limit(ClientConnectionLimit.SPARE_DESCRIPTORS).toList();
         idle.forEach(ClientConnection::evict);
-        Log.write("out of file descriptors; closing " + idle.size() + " idle client connections and limiting them to "
-                + connectionLimit.current(nowNanos) + " for now");
+        Log.write("out of file descriptors; closing " + idle.size() + " idle client connections, and allowing "
+                + connectionLimit.current(nowNanos) + " client connections for now");
         return !idle.isEmpty();
     }
 
@@ -313,6 +335,7 @@
             long limitMs = switch (state) {
                 case CLOSING -> LINGER_TIMEOUT_MS;
                 case NEW, IN_REQUEST -> REQUEST_TIMEOUT_MS;
+                // While the server is closing, a connection is closed only with a response: closeAfterNextResponse().
                 case IDLE -> closing ? Long.MAX_VALUE : evacuating ? EVACUATION_IDLE_TIMEOUT_MS : IDLE_TIMEOUT_MS;
             };
             connections.stream()
@@ -329,9 +352,9 @@
         SILENT,
         /** A request was not complete in time. */
         REQUEST_TIMEOUT,
-        /** No request arrived for a while. */
+        /** No request arrived for a while, or the answer to a forwarded request did not arrive in time. */
         IDLE,
-        /** The response to its last request was written. */
+        /** The response to its last request is being written. */
         LAST_ANSWER,
         /** This process is stopping. */
         SHUTDOWN,
@@ -341,7 +364,7 @@
 
     /** State of a connection, in the order in which connections are closed to make room for others. */
     private enum State {
-        /** The last response is being written, or none is due; further input is discarded. */
+        /** The last response is being written, or the output has been shut down; further input is discarded. */
         CLOSING,
         /** No complete request has arrived yet. */
         NEW,
@@ -353,7 +376,7 @@
 
     /**
      * Netty's request decoder, extended to report first bytes and to decode one request at a time. Bytes after a
-     * complete request are decoded only once that request is answered, and only a limited number is buffered: otherwise
+     * complete request are decoded only once that request is handled, and only a limited number is buffered: otherwise
      * a client that sends many requests at once would delay all others.
      */
     private static final class SequentialRequestDecoder extends HttpRequestDecoder {
@@ -381,7 +404,7 @@
             decodeNext(ctx);
         }
 
-        /** Decodes up to the next complete request, unless the one before still waits for its answer. */
+        /** Decodes up to the next complete request, unless the one before is still to be handled. */
         private void decodeNext(ChannelHandlerContext ctx) throws Exception {
             while (connection.canDecodeNext() && !(needsInput && backlog.isEmpty())) {
                 ByteBuf input = needsInput ? backlog.remove() : Unpooled.EMPTY_BUFFER;
@@ -393,12 +416,13 @@
             connection.updateAutoRead();
         }
 
-        /** Resumes decoding after a response, but only after other pending events have been processed. */
+        /** Resumes decoding after a request was handled, but only after other pending events have been processed. */
         void decodeNextLater() {
             ChannelHandlerContext ctx = connection.channel.pipeline().context(this);
             if (ctx == null || !hasMoreInput()) {
                 return;
             }
+            // Scheduled, since a task added by execute() may run before the event loop handles I/O again.
             ctx.channel().eventLoop().schedule(() -> {
                 try {
                     decodeNext(ctx);
@@ -414,7 +438,7 @@
             backlog.clear();
         }
 
-        /** Leaves such a request unchanged, because {@link BodyLengthCheck} rejects it. */
+        /** Leaves a chunked request with a Content-Length unchanged, because {@link BodyLengthCheck} rejects it. */
         @Override
         protected void handleTransferEncodingChunkedWithContentLength(HttpMessage message) {
         }
@@ -470,7 +494,10 @@
         private long stateEnteredNanos = System.nanoTime();
         /** Whether the first bytes of the next request have arrived. */
         private boolean requestStarted;
-        /** Complete requests that wait for {@link #handleRequest}. */
+        /**
+         * Complete requests that wait for {@link #handleRequest}. A request that waits for the answer of the successor
+         * is not among them.
+         */
         private int unansweredRequests;
         /** Bytes that arrived while the connection was being closed. */
         private int discardedBytes;
@@ -489,7 +516,7 @@
 
         /**
          * Closes this connection in favour of another. It is removed from the map at once, so that several clients that
-         * connect in one turn of the event loop each replace a different connection.
+         * connect in one iteration of the event loop each replace a different connection.
          */
         private void evict() {
             reportClose(CloseReason.MAKES_ROOM);
@@ -529,6 +556,7 @@
                 reportClose(CloseReason.REQUEST_TIMEOUT);
                 respondAndClose(HttpResponseStatus.REQUEST_TIMEOUT, "the request did not come in time");
             } else {
+                // Idle, or waiting for the answer to a forwarded request.
                 reportClose(CloseReason.IDLE);
                 halfClose();
             }
@@ -581,6 +609,7 @@
             enterState(State.IN_REQUEST);
             unansweredRequests++;
             request.retain();
+            // Deferred until all input at hand has been read: see handleRequest.
             loop.execute(() -> {
                 unansweredRequests--;
                 try {
@@ -605,10 +634,10 @@
 
         /**
          * Answers a request after all input of its connection has been read, unless the client has disconnected in the
-         * meantime. Such a client has stopped waiting and submits its message again under another id. Skipping its
-         * request prevents a congestion collapse: whatever delays the reading of requests, each of them would otherwise
-         * cost a whole delivery that counts for nothing, and be submitted again. The drawback is that a client that
-         * half-closes its connection and still waits for the response gets none, but HTTP clients don't do that.
+         * meantime. Such a client has given up and submits its message again under another id. Its request is skipped
+         * to prevent a congestion collapse: when requests are read late, each would otherwise cost a delivery that is
+         * of no use, and be submitted again. The drawback is that a client that half-closes its connection and still waits
+         * for the response gets none, but HTTP clients don't do that.
          */
         private void handleRequest(FullHttpRequest request) {
             if (state == State.CLOSING || !channel.isActive()) {
@@ -676,7 +705,9 @@
             return writeLastResponse(response);
         }
 
-        /** Passes on the answer of the other process, unless the connection has timed out before. */
+        /**
+         * Responds with the successor's status and closes the connection, unless that has timed out in the meantime.
+         */
         private void respondForwarded(HttpResponseStatus status) {
             if (state != State.CLOSING) {
                 writeLastResponse(response(status, ""));
--- a/src/main/java/kestreldeal/net/EndpointClient.java
+++ b/src/main/java/kestreldeal/net/EndpointClient.java
@@ -92,7 +92,7 @@
         default void callWritten(int messages) {
         }
 
-        /** Whether an attempt may still be written: a turn and a connect may have passed since it was decided. */
+        /** Whether an attempt may still be written: a turn and a connect may have passed since it was started. */
         default boolean sendAllowed(OutboundAttempt attempt) {
             return true;
         }
--- a/src/main/java/kestreldeal/net/Invariants.java
+++ b/src/main/java/kestreldeal/net/Invariants.java
@@ -5,7 +5,8 @@
 
 /**
  * Invariants that must hold whatever clients, endpoints, the platform and the machine do. A breach is a bug in this
- * program: it is counted and logged, and if it is detected in time the step that would break the invariant is not made.
+ * program: it is counted and logged, and if it is detected in time, the step that would break the invariant is not
+ * taken.
  */
 final class Invariants {
     /** Maximum number of log lines for each rule; further breaches are only counted. */
@@ -14,17 +15,17 @@
     enum Rule {
         /** A message is sent only to endpoints of its own destination. */
         OWN_DESTINATION,
-        /** A message that must not run twice is not retried once an attempt may have run. */
+        /** A message with {@link kestreldeal.Relay.Effect#UNSAFE} is not sent again once an attempt may have run. */
         SINGLE_EFFECT,
         /** No message has more attempts than the settings allow. */
         ATTEMPT_LIMIT,
         /** A message has exactly one final result. */
         ONE_END,
-        /** An accepted message has its final result before its deadline. */
+        /** An accepted message has its final result by its deadline, with a tolerance of a second. */
         END_IN_TIME,
         /** A client's request that was read is answered before this process closes its connection. */
         REQUEST_ANSWERED,
-        /** Each message that the journal had at the start is restored or finished. */
+        /** Each live message of the journal is restored when this process becomes the leader, unless it is finished. */
         HELD_TAKEN_UP
     }
 
--- a/src/main/java/kestreldeal/net/Journal.java
+++ b/src/main/java/kestreldeal/net/Journal.java
@@ -21,14 +21,15 @@
 
 /**
  * Append-only journal of the messages that this sender has accepted, in a file that outlives its process. Each record
- * has a length and a checksum, and is written to the operating system's page cache before the step that it describes is
- * taken. That survives any end of the process, SIGKILL included, so nothing is forced to disk (fsync). Times are
- * those of the machine's monotonic clock; a record ahead of them names the boot in which they were taken.
+ * has a length and a checksum, and is written to the operating system's page cache, which survives any end of the
+ * process, SIGKILL included; so nothing is forced to disk (fsync). The records of steps that can still be avoided
+ * (accepting a message, starting an attempt) are written before the step, all others after the event. Times are those
+ * of the machine's monotonic clock, which starts anew with each boot; a record before them identifies the boot.
  *
- * <p>The folder never exceeds its size limit: before an append would leave no room for a compacted copy beside the
- * file, the live records (those that a restart would still need) are written to a new file, which then replaces the old
- * one. New messages are rejected while the live records, with the records that their messages may still need, fill half
- * of the limit.
+ * <p>The folder never exceeds its size limit. The journal is compacted before it becomes so large that the compacted
+ * copy would not fit beside it: the live records (those that a restart would still need) are written to a new file,
+ * which then replaces the old one. A message is rejected if the live records, plus the space reserved for the later
+ * records of all live messages, would take more than half of the limit.
  *
  * <p>Writes may fail for a while. Steps that can still be avoided (accepting a message, starting an attempt) are then
  * refused. Records of events that have already happened are kept in memory and written as soon as possible; until
@@ -38,30 +39,47 @@
     /** Types of records, by their numbers in the file. */
     private static final int ACCEPTED = 1;
     private static final int ATTEMPT = 2;
+    /** The result of an attempt proved that it never ran. */
     private static final int NEVER_RAN = 3;
+    /** The message was rejected or has failed, and its notice is still to be confirmed. */
     private static final int NOTICE = 4;
+    /** Nothing is left to do for a live message. */
     private static final int COMPLETED = 5;
     private static final int ENDPOINT_HEALTH = 6;
+    /** Written by a compaction: the id of a completed message, and whether it was delivered. */
     private static final int COMPLETED_ID = 7;
-    /** Names the boot whose monotonic clock gave the times in the records after it; without one they are wall times. */
+    /**
+     * Identifies the boot whose monotonic clock gave the times in the records after it; without one they are wall
+     * times.
+     */
     private static final int BOOT = 8;
-    /** Bytes reserved for the later records of a live message: for each attempt, and for its completion. */
+    /**
+     * Bytes reserved for the later records of a live message: for the ATTEMPT and NEVER_RAN records of each attempt,
+     * and for its NOTICE and COMPLETED records.
+     */
     private static final int ATTEMPT_RESERVE_BYTES = 128;
     private static final int COMPLETION_RESERVE_BYTES = 64;
-    /** Limits on the ids kept of completed messages: their number, and the folder's limit divided by this for bytes. */
+    /** Maximum number of ids of completed messages that are kept. */
     private static final int MAX_COMPLETED_IDS = 4096;
+    /** The records of these ids may take the journal's size limit divided by this. */
     private static final int COMPLETED_IDS_DIVISOR = 16;
     /**
-     * Disk use counts in whole blocks of 512 bytes, so each file may take up to a block more than its size: two journal
-     * files, the two files of {@link ProcessHandover}, and a spare block.
+     * Disk use is counted in blocks of 512 bytes, so each file may count up to a block more than its size: two journal
+     * files, the leader lock, the socket of {@link ProcessHandover}, and one block to spare.
      */
     private static final int BLOCK_ROUNDING_BYTES = 5 * 512;
     /** Delay before a failed write is retried: the first one, doubled after each failure up to the maximum. */
     private static final long INITIAL_RETRY_DELAY_MS = 10;
     private static final long MAX_RETRY_DELAY_MS = 320;
-    /** Bytes of unwritten records kept in memory; beyond that they are dropped and a compaction is written instead. */
+    /**
+     * Limit on the unwritten records kept in memory. Beyond it they are dropped, and the next write is a compaction,
+     * which contains the same state.
+     */
     private static final int MAX_UNWRITTEN_BYTES = 1 << 18;
-    /** Time left given to a message of another boot: longer than any class's deadline, to which the sender caps it. */
+    /**
+     * Time left of a message that was accepted before a reboot: longer than the deadline of any class. The sender caps
+     * it to the deadline of the message's class.
+     */
     private static final long OTHER_BOOT_TIME_LEFT_NANOS = TimeUnit.DAYS.toNanos(1);
 
     private final JournalFile file;
@@ -74,6 +92,7 @@
     private long completedIdsBytes;
     /** Last recorded health of each endpoint that is not in service. */
     private final Map<String, RecordedHealth> endpointHealth = new TreeMap<>();
+    /** Size of the records that a compaction would write now. */
     private long liveBytes;
     private long nextNumber;
     /** Records of past events that could not be written yet, in order; a compaction makes all of them obsolete. */
@@ -81,12 +100,16 @@
     private long unwrittenBytes;
     /** A compaction has to be written before anything else: the last one failed, or unwritten records were dropped. */
     private boolean needsCompaction;
+    /** Whether a failure has been logged and the recovery from it has not. */
     private boolean failing;
     private long writeFailures;
     private long retryDelayMs = INITIAL_RETRY_DELAY_MS;
     private long nextRetryNanos = Long.MIN_VALUE;
     private LongConsumer failureCallback = ms -> { };
-    /** What the times in the records being read, or already in the file, count from. */
+    /**
+     * The clock of the times in the file; while the file is read, of those in the records read since the last BOOT
+     * record.
+     */
     private TimeBase timeBase = TimeBase.WALL_CLOCK;
 
     private enum TimeBase {
@@ -123,9 +146,9 @@
             throw e;
         }
         if (timeBase == TimeBase.OTHER_BOOT && !liveMessages.isEmpty()) {
-            Log.write("the journal was written before the machine was rebooted, so its times are unknown: "
-                    + liveMessages.size() + " messages get their full deadline again,"
-                    + " and earlier attempts count as past the deduplication window");
+            Log.write("the journal was written before the machine was rebooted, so its times can't be compared: "
+                    + liveMessages.size() + " messages get the full deadline of their class again,"
+                    + " and their earlier attempts count as older than any deduplication window");
         }
     }
 
@@ -153,7 +176,7 @@
         failureCallback = callback;
     }
 
-    /** Whether something is still to be written after a failure; no message is accepted until it is. */
+    /** Whether a failed write is still to be retried; until then no message is accepted. */
     boolean isBehind() {
         return needsCompaction || !unwrittenRecords.isEmpty() || file.hasTornBytes();
     }
@@ -163,7 +186,10 @@
         return writeFailures;
     }
 
-    /** Retries failed writes unless the retry delay is still running; returns whether everything is written. */
+    /**
+     * Retries failed writes, if there are any and the retry delay has passed; returns whether nothing is left to be
+     * written.
+     */
     boolean catchUp() {
         if (isBehind()) {
             if (!file.isOpen() || clock.nanos() < nextRetryNanos) {
@@ -225,7 +251,8 @@
 
     /**
      * Records an attempt that is about to be made; from here on it counts as one that may have run. If this throws, the
-     * attempt must not be made. It still keeps its place in the message's list of attempts, as one that never ran.
+     * attempt must not be made. It keeps its number even then, because the decision module has counted it, and is
+     * marked as one that never ran.
      */
     void recordAttempt(AcceptedMessage message, AcceptedMessage.Attempt attempt) throws IOException {
         message.attempts.add(attempt);
@@ -254,8 +281,8 @@
     }
 
     /**
-     * Records that nothing is left to do for the message: it was delivered, its notice was confirmed, or its client
-     * never got the answer that it was accepted.
+     * Records that nothing is left to do for the message: it was delivered, it has expired at its destination, its
+     * notice was confirmed or was dropped after repeated rejections, or its 202 response could not be written.
      */
     void recordCompleted(AcceptedMessage message) {
         if (liveMessages.remove(message.number) != null) {
@@ -275,7 +302,10 @@
         return new LinkedHashMap<>(completedIds);
     }
 
-    /** Remembers the id of a completed message, so that neither this process nor the next accepts it again. */
+    /**
+     * Keeps the id of a completed message, so that the message is not accepted again. The id gets a record of its own
+     * only in the next compaction; until then the records of its message imply it.
+     */
     void rememberCompleted(String id, boolean delivered) {
         if (completedIds.put(id, delivered) == null) {
             completedIdsBytes += completedIdFrameLength(id);
@@ -289,7 +319,10 @@
         }
     }
 
-    /** A message with neither an attempt nor a notice is not remembered: its client does not know it was accepted. */
+    /**
+     * Keeps the id of a completed message unless it has neither an attempt nor a notice. Such a message was dropped
+     * because its 202 response could not be written, and its client may submit it again.
+     */
     private void rememberIfAttempted(AcceptedMessage message) {
         if (message.pendingNotice.isPresent() || !message.attempts.isEmpty()) {
             rememberCompleted(message.id, message.pendingNotice.isEmpty());
@@ -300,7 +333,10 @@
         return completedIdFrame(id, true).length;
     }
 
-    /** An endpoint's state, since when ({@link MachineClock#nanos}), and its sustained call rate before an outage. */
+    /**
+     * The recorded health of an endpoint: its state, the time at which that began (by {@link MachineClock#nanos}), and
+     * the calls per millisecond that it sustained before an outage.
+     */
     record RecordedHealth(Relay.EndpointState state, long sinceNanos, double sustainedPerMs) {
         /** A state that began the given time ago. */
         static RecordedHealth ofAge(double agoMs, Relay.EndpointState state, double sustainedPerMs,
@@ -314,7 +350,7 @@
         }
     }
 
-    /** Records a change of an endpoint's health; an endpoint in service needs no live record. */
+    /** Records a change of an endpoint's health. A compaction omits endpoints in service, which is the default. */
     void recordEndpointHealth(String endpoint, RecordedHealth health) {
         byte[] record = endpointHealthFrame(endpoint, health);
         writeOrQueue(record);
@@ -359,7 +395,7 @@
     private byte[] bootFrame() {
         return JournalFrames.frame(out -> {
             out.writeByte(BOOT);
-            // In the place of the message number in other records.
+            // Most records have the message number here; this one has the time.
             out.writeLong(clock.nanos());
             out.writeUTF(clock.bootId());
         });
@@ -410,7 +446,7 @@
     private static byte[] completedIdFrame(String id, boolean delivered) {
         return JournalFrames.frame(out -> {
             out.writeByte(COMPLETED_ID);
-            // In the place of the message number in other records.
+            // Most records have the message number here; in this one the field is unused.
             out.writeLong(0);
             out.writeUTF(id);
             out.writeBoolean(delivered);
@@ -420,7 +456,7 @@
     private static byte[] endpointHealthFrame(String endpoint, RecordedHealth health) {
         return JournalFrames.frame(out -> {
             out.writeByte(ENDPOINT_HEALTH);
-            // In the place of the message number in other records.
+            // Most records have the message number here; this one has a time.
             out.writeLong(health.sinceNanos());
             out.writeUTF(endpoint);
             out.writeByte(health.state().ordinal());
@@ -453,6 +489,7 @@
         } catch (JournalFullException e) {
             throw e;
         } catch (IOException e) {
+            // Without torn bytes it was not the append that failed, but the compaction before it.
             needsCompaction |= !file.hasTornBytes();
             writeFailed(e);
             throw e;
@@ -493,6 +530,7 @@
         file.append(record);
     }
 
+    /** Replaces the file by one with the live records only. That makes the unwritten records obsolete. */
     private void compact() throws IOException {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream((int) liveBytes);
         bytes.write(bootFrame());
@@ -530,7 +568,7 @@
         int type = in.readByte();
         long numberOrTime = in.readLong();
         if (type == BOOT) {
-            // A time later than this clock's is not of this boot, even if the boot id is the same.
+            // A time later than now can't be of this boot, even if the boot id is the same.
             String bootId = in.readUTF();
             boolean sameBoot = !bootId.isEmpty() && bootId.equals(clock.bootId()) && numberOrTime <= clock.nanos();
             timeBase = sameBoot ? TimeBase.THIS_BOOT : TimeBase.OTHER_BOOT;
@@ -587,7 +625,10 @@
         addRecordBytes(message, frameLength);
     }
 
-    /** A message of another boot gets a new deadline: retrying for too long does less harm than giving it up. */
+    /**
+     * A message that was accepted in another boot gets a new deadline: retrying for too long does less harm than giving
+     * it up.
+     */
     private long restoredDeadlineNanos(long recordedTime) {
         return switch (timeBase) {
             case THIS_BOOT -> recordedTime;
@@ -596,7 +637,10 @@
         };
     }
 
-    /** An attempt of another boot counts as older than any deduplication window, so that it is not repeated. */
+    /**
+     * An attempt of another boot counts as older than any deduplication window, so that a keyed message that may have
+     * run is not sent again.
+     */
     private AcceptedMessage.Attempt restoredAttempt(String endpoint, long recordedTime) {
         return switch (timeBase) {
             case THIS_BOOT -> AcceptedMessage.Attempt.sentAt(endpoint, recordedTime, clock);
@@ -605,7 +649,7 @@
         };
     }
 
-    /** The health of an endpoint from another boot counts as just begun, so that a slow start begins again. */
+    /** An endpoint state recorded in another boot counts as entered just now, so that a slow start begins again. */
     private RecordedHealth restoredHealth(Relay.EndpointState state, long recordedTime, double sustainedPerMs) {
         return switch (timeBase) {
             case THIS_BOOT -> new RecordedHealth(state, recordedTime, sustainedPerMs);
--- a/src/main/java/kestreldeal/net/Metrics.java
+++ b/src/main/java/kestreldeal/net/Metrics.java
@@ -9,7 +9,7 @@
 
 /** Counters of this process since its start, and their export for the operators' metrics collector. */
 final class Metrics {
-    /** Final results of messages that clients submitted. */
+    /** Results of submitted messages. */
     enum Completion {
         /** Delivered. */
         COMPLETED,
@@ -21,7 +21,16 @@
 
     /** Why a message was rejected on submission. */
     enum RejectionReason {
-        NOT_READY, NO_ROOM, TOO_LITTLE_TIME, JOURNAL, UNKNOWN_DESTINATION
+        /** The endpoint list or the journal has not been read yet. */
+        NOT_READY,
+        /** There are too many pending messages, or the journal is full. */
+        NO_ROOM,
+        /** The client's budget may already be used up. */
+        TOO_LITTLE_TIME,
+        /** The journal can't be written. */
+        JOURNAL,
+        /** No endpoint list has ever named the destination. */
+        UNKNOWN_DESTINATION
     }
 
     private static final String PREFIX = "edge_gw_";
@@ -41,7 +50,7 @@
         }
     }
 
-    /** Counts the final result of a message, unless its class is no longer configured. */
+    /** Counts the result of a message, unless its class is no longer configured. */
     void messageCompleted(String messageClass, Completion completion) {
         if (classes.contains(messageClass)) {
             completions.get(completion).merge(messageClass, 1L, Long::sum);
@@ -53,12 +62,12 @@
         rejections.merge(reason, 1L, Long::sum);
     }
 
-    /** Counts a call that was decided but not written. */
+    /** Counts an attempt that was started but not written. */
     void callSuppressed(SendGuard.SuppressionReason reason) {
         suppressedCalls.merge(reason, 1L, Long::sum);
     }
 
-    /** Counts a client connection that this process closed. */
+    /** Counts a step of closing a client connection; one that lingers is counted under two reasons. */
     void clientClosed(ClientServer.CloseReason reason) {
         clientCloses.merge(reason, 1L, Long::sum);
     }
--- a/src/main/java/kestreldeal/net/OperatorServer.java
+++ b/src/main/java/kestreldeal/net/OperatorServer.java
@@ -24,22 +24,22 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The server for operators' commands. Each connection carries one command line; it is answered and closed. A connection
- * without a complete line gets an answer after a timeout. When there are too many connections, the oldest one that
- * has not sent a command is closed.
+ * The server for operators' commands. Each connection carries one command line, and is closed after the answer. A
+ * connection without a complete line gets an answer after a timeout. When there are too many connections, the oldest
+ * one that has not sent a command is closed.
  */
 final class OperatorServer {
     /** Maximum number of connections, and so of descriptors used here. */
     static final int MAX_CONNECTIONS = 24;
     /** From connecting until the command line is complete. */
     private static final long COMMAND_TIMEOUT_MS = 2000;
-    /** From writing the answer until the close, if the operator does not read it. */
+    /** Time after which a connection is closed even if its answer could not be written completely. */
     private static final long CLOSE_TIMEOUT_MS = 1000;
     private static final int MAX_COMMAND_LENGTH = 256;
 
     /** The part of the sender that carries out commands. */
     interface CommandHandler {
-        /** Whether this process can serve. */
+        /** Whether this process accepts messages, or is a follower that can take over without a gap. */
         boolean canServe();
 
         /** All metrics, one per line. */
@@ -103,6 +103,7 @@
             timeout = ctx.executor().schedule(() -> respond(ctx, "NO no whole line in time\n"), COMMAND_TIMEOUT_MS,
                     TimeUnit.MILLISECONDS);
             if (++openConnections > MAX_CONNECTIONS) {
+                // Not empty: it contains this connection at least.
                 awaitingCommand.iterator().next().close();
             }
         }
@@ -124,7 +125,7 @@
                     .addListener(ChannelFutureListener.CLOSE);
         }
 
-        /** The input has ended; a complete line would have been read before. */
+        /** Answers with an error when the input ends: a complete line would have been answered before. */
         @Override
         public void userEventTriggered(ChannelHandlerContext ctx, Object event) {
             if (event == ChannelInputShutdownEvent.INSTANCE) {
--- a/src/main/java/kestreldeal/net/ProcessHandover.java
+++ b/src/main/java/kestreldeal/net/ProcessHandover.java
@@ -27,7 +27,21 @@
  * messages that its clients still submit and the results of its calls in flight. If the leader dies instead, the lock
  * is free, and the follower takes over with the journal alone.
  *
- * <p>To a leader, the process that led before it is the predecessor, and the follower that takes over is the successor.
+ * <p>A sender is one configured instance with one state folder; several of its processes may run at a time. To a
+ * leader, the process that led before it is the predecessor, and the follower that takes over is the successor.
+ *
+ * <p>Types of messages between the processes:
+ * <ul>
+ * <li>{@code follow}: the follower registers with the leader;
+ * <li>{@code welcome}: the leader confirms that, with its present state in {@code legacy};
+ * <li>{@code helm}: the leader hands over, with its final state in {@code legacy};
+ * <li>{@code message} and {@code answer}: a submission that the predecessor forwards, and the status that the successor
+ *     answers with; {@code ask} is the number that matches them;
+ * <li>{@code wait}: the predecessor passes on a Retry-After wait of an endpoint;
+ * <li>{@code end}: the predecessor passes on the result of an attempt;
+ * <li>{@code cancel}: the successor cancels an attempt of the predecessor;
+ * <li>{@code listening}: the successor accepts clients.
+ * </ul>
  */
 final class ProcessHandover {
     /** Interval between tries to acquire the leader lock or to connect to the leader. */
@@ -45,18 +59,24 @@
             Relay.LearnedState memory) {
     }
 
-    /** An attempt of the predecessor that is still in flight there; attempts with the same call number share a call. */
+    /**
+     * An attempt of the predecessor that is still in flight there: the numbers of its message, of the attempt, and of
+     * the call that carries it, which other attempts may share.
+     */
     record InFlightAttempt(long message, int attempt, long call) {
     }
 
-    /** The result of an attempt that the predecessor made; {@code gone}: the message has expired at its destination. */
+    /**
+     * The result of an attempt that the predecessor made. {@code gone}: the message has expired at its destination;
+     * {@code waitMs}: the Retry-After wait, or 0; {@code tookMs}: how long the attempt took.
+     */
     record InFlightResult(long message, int attempt, Relay.Outcome outcome, boolean gone, double waitMs,
                   Relay.LoadReport report, double tookMs) {
     }
 
-    /** What the sender does on the events of a handover. */
+    /** The sender's part in a handover. */
     interface Callbacks {
-        /** This process leads from now on, with the predecessor's state if that could hand it over. */
+        /** This process becomes the leader. The state is empty unless the predecessor handed it over. */
         void becomeLeader(Optional<HandoverState> handoverState) throws IOException;
 
         /** The state that this leader would hand over now. */
@@ -84,7 +104,7 @@
     private final EventLoop loop;
     private final LeaderLock leaderLock;
     private final Path socketPath;
-    /** Whether processes connect to each other; without it a process can only wait until the leader ends. */
+    /** Whether processes connect to each other; otherwise a process can take over only once the leader has ended. */
     private final boolean connectsProcesses;
     private final Callbacks callbacks;
     private final JsonMapper json = JsonMapper.builder()
@@ -94,11 +114,16 @@
     private Optional<ProcessConnection> predecessor = Optional.empty();
     /** The connection to the follower that will take over, or has taken over. */
     private Optional<ProcessConnection> successor = Optional.empty();
+    /** Listens for a follower; null unless this process has become the leader. */
     private Channel serverChannel;
     private boolean isLeader;
+    /** Whether the leader has confirmed this process as its follower. */
     private boolean registered;
     private boolean closed;
-    /** Why this process could not become the leader when it last tried, to log each reason once in a row. */
+    /**
+     * The last logged reason why this process could not become the leader, so that it is not logged again at each
+     * retry.
+     */
     private String lastFailureReason = "";
     /** Clients' answers that wait for the successor's status, by the number of the forwarded message. */
     private final Map<Long, Consumer<HttpResponseStatus>> pendingAnswers = new HashMap<>();
@@ -107,12 +132,13 @@
     ProcessHandover(EventLoop loop, Path folder, boolean connectsProcesses, Callbacks callbacks) {
         this.loop = loop;
         this.leaderLock = new LeaderLock(folder);
+        // The Unix domain socket on which the leader listens for a follower.
         this.socketPath = folder.resolve("helm.sock");
         this.connectsProcesses = connectsProcesses;
         this.callbacks = callbacks;
     }
 
-    /** Becomes the leader if no other process is, or else a follower; retries if the folder can't be used yet. */
+    /** Becomes the leader, or a follower if another process leads. Retries while the folder can't be used. */
     void start() {
         try {
             if (leaderLock.tryAcquire()) {
@@ -159,8 +185,8 @@
     }
 
     /**
-     * Listens for a follower, in the place of an earlier process's socket. If that fails, a successor can only start
-     * once this process has ended.
+     * Listens for a follower, after deleting the socket file of an earlier process. If that fails, no process can take
+     * over before this one has ended.
      */
     private void listenForFollower() {
         try {
@@ -212,7 +238,8 @@
         if (leaderLock.tryAcquire()) {
             becomeLeader(Optional.of(handoverState));
         } else {
-            Log.write("the leader lock was released to this process, but another process has acquired it");
+            Log.write("another process has acquired the leader lock before this one;"
+                    + " will retry when the predecessor has exited");
         }
     }
 
@@ -228,7 +255,8 @@
         public void received(ProcessConnection connection, JsonNode message) throws IOException {
             switch (message.path("do").asText()) {
                 case "welcome" -> {
-                    // Warms up the parser: the first parse takes long, and would delay the takeover itself.
+                    // Parsed only to load the classes and to warm up the parser: the first parse takes long, and would
+                    // delay the takeover itself.
                     json.treeToValue(message.path("legacy"), HandoverState.class);
                     registered = true;
                 }
@@ -242,7 +270,7 @@
                         message.path("wait").asDouble());
                 case "end" -> callbacks.predecessorAttemptCompleted(
                         json.treeToValue(message.path("end"), InFlightResult.class));
-                default -> Log.write("unknown type of handover message from the predecessor process is ignored");
+                default -> Log.write("ignoring a handover message of unknown type from the predecessor");
             }
         }
 
@@ -283,7 +311,10 @@
         sendToSuccessor(newMessage("helm").set("legacy", json.valueToTree(handoverState)));
     }
 
-    /** Forwards a client's message to the successor. The answer comes later; it is 503 if the successor is gone. */
+    /**
+     * Forwards a submission to the successor and passes on its status; that is 503 if the successor is gone or exits
+     * meanwhile.
+     */
     void forward(ClientServer.Submission submission, Consumer<HttpResponseStatus> answer) {
         if (successor.isEmpty()) {
             answer.accept(HttpResponseStatus.SERVICE_UNAVAILABLE);
@@ -331,7 +362,7 @@
                         .ifPresent(answer -> answer.accept(HttpResponseStatus.valueOf(message.path("status").asInt())));
                 case "cancel" -> callbacks.attemptCancelled(message.path("message").asLong(),
                         message.path("attempt").asInt());
-                default -> Log.write("unknown type of handover message from the successor process is ignored");
+                default -> Log.write("ignoring a handover message of unknown type from the successor");
             }
         }
 
@@ -345,7 +376,7 @@
         }
     }
 
-    /** Releases the lock and closes all connections, as the end of the process would. */
+    /** For tests: releases the lock and closes all connections, as the end of the process would. */
     void close() {
         closed = true;
         leaderLock.release();
--- a/src/main/java/kestreldeal/net/SendGuard.java
+++ b/src/main/java/kestreldeal/net/SendGuard.java
@@ -14,7 +14,7 @@
     /** Allowance for the time that a call takes to reach the endpoint. */
     private static final double MAX_NETWORK_DELAY_MS = 100;
 
-    /** Why an attempt that was decided is not written. */
+    /** Why an attempt that was started is not written. */
     enum SuppressionReason {
         /** Another process has taken over the decisions. */
         HANDED_OVER,
@@ -50,7 +50,7 @@
         return mayRunTwice ? Optional.of(Invariants.Rule.SINGLE_EFFECT) : Optional.empty();
     }
 
-    /** Returns why an attempt that was decided before must not be written now; empty if it may be. */
+    /** Returns why an attempt that was started before must not be written now; empty if it may be. */
     Optional<SuppressionReason> suppressionReason(AcceptedMessage message, int attemptNumber, boolean endpointEligible,
             long nowNanos) {
         if (message.finished) {
--- a/src/main/java/kestreldeal/net/Sender.java
+++ b/src/main/java/kestreldeal/net/Sender.java
@@ -25,39 +25,46 @@
 /**
  * One sender process. It connects the decision module ({@link Relay}) to the network, the journal and the clock:
  * it passes events to the module and carries out the actions that the module asks for, but decides nothing itself.
- * The decision module knows messages and endpoints by number; this class maps the numbers to their ids. All state
+ * The decision module identifies messages and endpoints by number, and this class maps these numbers to ids. All state
  * is confined to the thread of the event loop, so nothing here is locked.
  */
 public final class Sender implements Relay.Actions {
-    /** Descriptors for the JVM itself (about 30), the journal, the agent and the operators' connections. */
+    /**
+     * Descriptors that are not available for clients and endpoints: about 30 of the JVM itself, and those of the
+     * journal, the leader lock, the handover, the agent and the operators' connections.
+     */
     private static final int RESERVED_DESCRIPTORS = 48 + OperatorServer.MAX_CONNECTIONS;
     /**
      * Share of the remaining descriptors for client connections; the others are for calls to endpoints. Clients may
-     * use a third of all descriptors for requests.
+     * need up to a third of all descriptors for their requests.
      */
     private static final double CLIENT_DESCRIPTOR_SHARE = 0.5;
     /** Time from SIGTERM during which new client connections may still arrive and are accepted. */
     static final long DRAIN_ACCEPT_MS = 450;
-    /** Time limit for calls in flight, counted from SIGTERM; SIGKILL may come after 3.7 s. */
+    /**
+     * Time after SIGTERM at which calls in flight are abandoned. With {@link #CLIENT_CLOSE_TIMEOUT_MS} added it must be
+     * less than 3.7 s, when SIGKILL may come.
+     */
     static final long DRAIN_TIMEOUT_MS = 3300;
     private static final long DRAIN_POLL_INTERVAL_MS = 20;
-    /** How long clients may take after that to notice the end of their connections and to close them. */
+    /** Time that clients have after the drain to notice the end of their connections and to close them. */
     private static final long CLIENT_CLOSE_TIMEOUT_MS = 200;
-    /**
-     * Interval between checks for messages past their deadline, and the grace period after the deadline before one is
-     * reported.
-     */
+    /** Interval between checks for messages that are past their deadline. */
     private static final long OVERDUE_CHECK_INTERVAL_MS = 1000;
+    /** How long a message must be past its deadline before it is reported. */
     private static final double OVERDUE_GRACE_MS = 1000;
-    /** How long an endpoint is remembered after its removal from the list; no call lasts longer. */
+    /**
+     * How long an endpoint keeps its number after its removal from the list: longer than any call, so that late results
+     * can still be attributed to it.
+     */
     private static final long REMOVED_ENDPOINT_RETENTION_MS = 60_000;
 
     /** Share of the heap for listed endpoints; the rest is for messages, buffers and reading the journal. */
     private static final double ENDPOINT_HEAP_SHARE = 0.6;
     /**
-     * Heap that one listed endpoint takes in all parts of the sender, at 1.6 endpoints per destination. Live bytes
-     * per endpoint after a full garbage collection: 1,157 between 1,000 and 20,000 listed endpoints, 1,131 between
-     * 1,000 and 25,000.
+     * Heap per listed endpoint, over all parts of the sender. Measured as the growth of the live heap with the length
+     * of the list, at 1.6 endpoints per destination: 1,157 bytes per endpoint from 1,000 to 20,000 endpoints, 1,131
+     * from 1,000 to 25,000.
      */
     private static final int BYTES_PER_ENDPOINT = 1160;
     /** Limit on the endpoints that are known at once; more could exhaust the heap. */
@@ -76,13 +83,14 @@
     private final CountDownLatch stopped = new CountDownLatch(1);
     private final long startNanos = System.nanoTime();
     private final EndpointRegistry registry = new EndpointRegistry(MAX_ENDPOINTS);
-    /** Accepted messages that are not finished, by the number that the decision module uses. */
+    /** Accepted messages without a final result, by the number that the decision module uses. */
     private final Map<Long, AcceptedMessage> openMessages = new HashMap<>();
     /** The same messages by the id that the client gave them. */
     private final Map<String, AcceptedMessage> openMessagesById = new HashMap<>();
-    /** Calls of the attempts in flight. */
+    /** Attempts whose results this process awaits. Several of them may share a call. */
     private final Map<AttemptId, EndpointClient.OutboundAttempt> callsInFlight = new HashMap<>();
     private final Relay relay;
+    /** Opened when this process becomes the leader; null before that. */
     private Journal journal;
     private EndpointClient endpointClient;
     private NoticeClient noticeClient;
@@ -97,22 +105,30 @@
     private RetryingListener clientListener;
     /** Empty if the configuration has no address for operators. */
     private Optional<RetryingListener> operatorListener = Optional.empty();
+    /** Whether a turn of the decision module has begun and not ended; see {@link Relay}. */
     private boolean turnOpen;
+    /** Time of the current turn, in milliseconds since the start of this process. */
     private double turnTimeMs;
     private boolean shuttingDown;
     private int maxClients;
-    /** Whether an endpoint list is known and the journal has been replayed. */
+    /**
+     * Whether this process leads, has an endpoint list, and has begun to restore the journal. Without that, no message
+     * is accepted.
+     */
     private boolean ready;
     /** Whether an endpoint list has been read, from the configuration or from the agent. */
     private boolean listKnown;
-    /** Whether the agent has been asked for the list and has either answered or timed out. */
+    /** Whether the first request to the agent for the list has been answered or has failed. */
     private boolean listQueryDone;
     private ProcessHandover handover;
-    /** State received from the previous process; kept until the journal is replayed. */
+    /** State received from the predecessor; kept until the messages of the journal are restored. */
     private Optional<ProcessHandover.HandoverState> receivedState = Optional.empty();
-    /** Attempts that the previous process made and still awaits. */
+    /** Attempts that the predecessor started and whose results it still awaits. */
     private final Map<AttemptId, AcceptedMessage> predecessorAttempts = new HashMap<>();
-    /** Whether another process has taken over; from then on this one decides nothing. */
+    /**
+     * Whether this process has handed over to a successor; from then on it starts no attempts and accepts no messages
+     * itself.
+     */
     private boolean handedOver;
     private final SubmissionService submissionService = new SubmissionService();
 
@@ -123,7 +139,7 @@
         this(config, handoverAllowed, drainAcceptMs, drainTimeoutMs, MachineClock.system());
     }
 
-    /** Creates a sender with other clocks; the monotonic one must agree with {@link System#nanoTime}. */
+    /** Creates a sender with the given clocks. Their monotonic time must be that of {@link System#nanoTime}. */
     Sender(Config config, boolean handoverAllowed, long drainAcceptMs, long drainTimeoutMs, MachineClock machineClock) {
         this.machineClock = machineClock;
         this.config = config;
@@ -157,23 +173,24 @@
     }
 
     /**
-     * Starts to lead, or to follow the process that leads. Does not wait for resources that are not available yet: each
-     * is retried in the background.
+     * Starts this process as the leader or, if another process of this sender leads, as its follower (see {@link
+     * ProcessHandover}). Does not wait for anything that fails at first, such as a bind: it is retried in the
+     * background.
      */
     private void launch() {
         loop.submit(this::initialize).syncUninterruptibly();
     }
 
     /**
-     * Starts as {@link #launch} does. If this process leads, waits until clients can connect and returns the address
-     * bound; otherwise returns the configured address.
+     * For tests: starts as {@link #launch} does. If this process leads, waits until clients can connect and returns the
+     * address bound; otherwise returns the configured address.
      */
     InetSocketAddress start() {
         launch();
         return journal == null ? config.clientAddress() : clientListener.boundAddress().join();
     }
 
-    /** Waits until operators can connect, and returns the address. */
+    /** For tests: waits until operators can connect, and returns the address. */
     InetSocketAddress operatorAddress() {
         return operatorListener.orElseThrow().boundAddress().join();
     }
@@ -185,10 +202,11 @@
         }
         int descriptors = Math.max(config.maxSockets() - RESERVED_DESCRIPTORS, 64);
         maxClients = (int) (descriptors * CLIENT_DESCRIPTOR_SHARE);
-        // Twice the slots: the connection of an abandoned call lingers while its slot is already in use again.
+        // Twice the slots (the limit on calls in flight): the connection of an abandoned call may still be open when
+        // its slot is in use again.
         int maxIdleConnections = Math.max(1, descriptors - maxClients - 2 * config.settings().slots());
-        endpointClient = new EndpointClient(loop, config.connectTimeoutMs(), config.settings().keepAliveMs(), maxIdleConnections,
-                new CallResults(), NioSocketChannel::new, machineClock);
+        endpointClient = new EndpointClient(loop, config.connectTimeoutMs(), config.settings().keepAliveMs(),
+                maxIdleConnections, new CallResults(), NioSocketChannel::new, machineClock);
         agentAddress = config.discoveryAddress();
         noticeClient = new NoticeClient(loop, new AgentClient(loop, agentAddress), this::closeInJournal);
         clientServer = new ClientServer(loop, maxClients, submissionService);
@@ -209,10 +227,14 @@
                 TimeUnit.MILLISECONDS);
     }
 
-    /** Reports each message without a final result past its deadline: every accepted message must finish in time. */
+    /**
+     * Reports each message that still has no final result when its deadline has passed by {@link #OVERDUE_GRACE_MS},
+     * which is a bug.
+     */
     private void checkOverdue() {
         for (AcceptedMessage message : openMessages.values()) {
-            if (message.acknowledged && !message.reportedOverdue && message.timeLeftMs(machineClock) < -OVERDUE_GRACE_MS) {
+            if (message.acknowledged && !message.reportedOverdue
+                    && message.timeLeftMs(machineClock) < -OVERDUE_GRACE_MS) {
                 message.reportedOverdue = true;
                 invariants.reportBreach(Invariants.Rule.END_IN_TIME, message.id, message.attempts.size()
                         + " attempts, no final result " + (long) -message.timeLeftMs(machineClock)
@@ -222,9 +244,9 @@
     }
 
     /**
-     * Restores the messages of the journal as soon as this process leads and has an endpoint list. The agent's list is
-     * preferred if the agent answers: a process must respect the agent's current list from its start, and the list in
-     * the configuration may be outdated.
+     * Restores the messages of the journal once this process leads, has an endpoint list, and its first request to the
+     * agent has been answered or has failed. It waits for the agent because the list in the configuration may be
+     * outdated, and a process must respect the agent's current list from its start.
      */
     private void restoreWhenReady() {
         if (ready || journal == null || !listKnown || !listQueryDone) {
@@ -235,9 +257,9 @@
     }
 
     /**
-     * Reads the configuration again, on the caller's thread because reading a file may block. Only the address of
-     * discovery changes; all other settings stay as they were when the process started. If the file can't be read or
-     * has no address, the current address stays in use.
+     * Reads the configuration again, on the caller's thread because reading a file may block. Only the agent's address
+     * changes; all other settings stay as they were when the process started. If the file can't be read or has no
+     * address, the current address stays in use.
      */
     void reload(Map<String, String> environment) {
         try {
@@ -249,7 +271,7 @@
     }
 
     private void setAgentAddress(InetSocketAddress address) {
-        Log.write("configuration reloaded; the discovery address is " + EndpointClient.hostPort(address));
+        Log.write("configuration reloaded; the agent's address is " + EndpointClient.hostPort(address));
         if (!address.equals(agentAddress)) {
             agentAddress = address;
             discovery.switchAgent(new AgentClient(loop, address));
@@ -258,9 +280,9 @@
     }
 
     /**
-     * Restores the state of the previous process: passes its unfinished messages with their attempts to the decision
-     * module, and sends its pending notices again. This must wait for an endpoint list, without which the module could
-     * only fail all of these messages.
+     * Restores the state of the previous process: passes its pending messages with their attempts to the decision
+     * module, and sends its unconfirmed notices again. An endpoint list must be known before: without one the decision
+     * module would fail all of these messages.
      */
     private void restoreFromJournal() {
         int restored = 0;
@@ -318,6 +340,7 @@
     private void restoreHandoverState(ProcessHandover.HandoverState state) {
         state.ended().forEach(journal::rememberCompleted);
         List<Relay.LearnedEndpointState> learned = new ArrayList<>();
+        // The ids in state.endpoints() have the same order, so the size of the new list is the index of the next id.
         for (Relay.LearnedEndpointState endpoint : state.memory().endpoints()) {
             learned.add(endpoint.withEndpointId(endpointNumber(state.endpoints().get(learned.size()))));
         }
@@ -326,16 +349,18 @@
     }
 
     private Relay.Message toRelayMessage(AcceptedMessage message, int messageClass, double leftMs) {
+        // A message restored after a reboot has more time left than its class allows.
         double boundedLeftMs = Math.min(leftMs, config.settings().classes().get(messageClass).deadlineMs());
-        return new Relay.Message(message.number, messageClass, Math.max(0, config.tenantNames().indexOf(message.tenant)),
-                message.key, boundedLeftMs, message.destination);
+        // A tenant that is no longer configured counts as the first one.
+        return new Relay.Message(message.number, messageClass,
+                Math.max(0, config.tenantNames().indexOf(message.tenant)), message.key, boundedLeftMs, message.destination);
     }
 
     // ---- the clock and turns ----
 
     /**
-     * The time to pass to the decision module. All events of a turn share one time; the turn opens with its first event
-     * and ends when the event loop has run the tasks that were queued before.
+     * Returns the time of the current turn for the decision module, and begins a turn if there is none. All events of a
+     * turn share one time; the turn ends when the event loop has run the tasks that were queued before its first event.
      */
     private double openTurn() {
         if (!turnOpen) {
@@ -356,11 +381,15 @@
         turnOpen = false;
     }
 
-    /** Logs an internal error. An error in handling one message must not end the process and with it all others. */
+    /** Logs an exception of the decision module. */
     private static void logModuleFault(RuntimeException fault) {
         Log.write("fault in the module: " + fault + " at " + List.of(fault.getStackTrace()).stream().limit(5).toList());
     }
 
+    /**
+     * Calls the decision module, unless this process has handed over. An exception is logged and not rethrown, so that
+     * a bug in handling one message does not affect the others.
+     */
     private void runEvent(Runnable moduleCall) {
         if (handedOver) {
             return;
@@ -378,7 +407,8 @@
     public void send(long messageNumber, long endpoint, double timeoutMs) {
         AcceptedMessage message = openMessages.get(messageNumber);
         int attemptNumber = message.attempts.size();
-        Optional<Invariants.Rule> breach = sendGuard.violatedRule(message, registry.findDestination(endpoint).orElse(-1));
+        Optional<Invariants.Rule> breach =
+                sendGuard.violatedRule(message, registry.findDestination(endpoint).orElse(-1));
         if (breach.isPresent()) {
             invariants.reportBreach(breach.get(), message.id,
                     "an attempt at " + registry.id(endpoint) + " was prevented");
@@ -465,11 +495,11 @@
 
     // ---- events for the decision module ----
 
-    /** Passes results of calls to the decision module, or to the next process after a handover. */
+    /** Passes the results of attempts to the decision module, or to the successor after a handover. */
     private final class CallResults implements EndpointClient.CallListener {
         @Override
-        public void completed(EndpointClient.OutboundAttempt call, Relay.Outcome outcome, boolean messageOver, double retryAfterMs,
-                Relay.LoadReport report) {
+        public void completed(EndpointClient.OutboundAttempt call, Relay.Outcome outcome, boolean messageOver,
+                double retryAfterMs, Relay.LoadReport report) {
             callsInFlight.remove(new AttemptId(call.message.number, call.attemptNumber));
             double durationMs = (System.nanoTime() - call.startedNanos) / 1e6;
             if (handedOver) {
@@ -495,10 +525,11 @@
         }
 
         /**
-         * The decision module respects Retry-After waits, draining endpoints and the deduplication windows of keyed
-         * messages as of the time of its decision. They may change before the call is written if CPU time is scarce, as
-         * after a start, or if connecting takes long. After a handover, calls that are not yet written are for the next
-         * process to make. If calls can't be cancelled, the call of a finished message gets here as well.
+         * Checks an attempt again just before its call is written. Time has passed since the decision module started
+         * the attempt, above all if CPU time is scarce or connecting took long: meanwhile the endpoint may have asked
+         * to back off or begun to drain, the deduplication window may have ended, the message may be finished (its
+         * calls stay in flight if cancellation is disabled), or a successor may have taken over, which then makes the
+         * attempt itself.
          */
         @Override
         public boolean sendAllowed(EndpointClient.OutboundAttempt call) {
@@ -513,7 +544,9 @@
         }
     }
 
-    /** The wait counts from now, but the turn's time may be older, so the difference is added. */
+    /**
+     * Reports a Retry-After wait. It starts now, possibly later than the turn's time, so the difference is added to it.
+     */
     private void retryAfterReceived(long endpoint, double retryAfterMs) {
         runEvent(() -> relay.retryAfterReceived(openTurn(), endpoint, retryAfterMs + nowMs() - turnTimeMs));
     }
@@ -541,6 +574,10 @@
         openMessagesById.remove(message.id);
     }
 
+    /**
+     * Records that nothing is left to do for a message: its notice is confirmed or dropped, or its 202 response could
+     * not be written.
+     */
     private void closeInJournal(AcceptedMessage message) {
         trace.step("heard", message.id);
         journal.recordCompleted(message);
@@ -605,18 +642,20 @@
                 continue;
             }
             long endpointNumber = assigned.getAsLong();
+            // An unknown kind or zone counts as the first one configured.
             int kindIndex = Math.max(0, config.kindNames().indexOf(entry.kind()));
             entry.address().ifPresent(address -> endpointClient.updateEndpoint(endpointNumber, address, entry.serving(),
                     config.settings().kinds().get(kindIndex).maxBatchSize()));
             changes.add(new Relay.Endpoint(endpointNumber, entry.destination(), kindIndex,
-                    Math.max(0, config.zoneNames().indexOf(entry.zone())), entry.serving(), entry.weight(), entry.removed()));
+                    Math.max(0, config.zoneNames().indexOf(entry.zone())), entry.serving(), entry.weight(),
+                    entry.removed()));
         }
         runEvent(() -> relay.endpointsChanged(openTurn(), false, changes));
     }
 
     /**
-     * Removes the endpoints that a full list did not name, once it has been read. Each is reported with the rate that
-     * the list gave last for an endpoint of its destination.
+     * Reports the endpoints that the full list just read did not name as removed. The rate limit belongs to the
+     * destination, so each is reported with the rate that was listed last for any endpoint of its destination.
      */
     private void removeUnlisted() {
         List<Relay.Endpoint> removed = registry.markUnnamedRemoved(System.nanoTime()).stream()
@@ -628,12 +667,17 @@
         return new Relay.Endpoint(endpoint.number(), endpoint.destination(), 0, 0, false, endpoint.listedRate(), true);
     }
 
-    /** Forgets removed endpoints, later than the decision module does, which must not name one unknown here. */
+    /**
+     * Evicts endpoints that were removed long ago. The decision module must have evicted them before, since it must not
+     * name an endpoint that is unknown here.
+     */
     private void forgetRemoved() {
         for (EndpointRegistry.RegisteredEndpoint endpoint
-                : registry.evictRemoved(System.nanoTime(), TimeUnit.MILLISECONDS.toNanos(REMOVED_ENDPOINT_RETENTION_MS))) {
+                : registry.evictRemoved(System.nanoTime(),
+                        TimeUnit.MILLISECONDS.toNanos(REMOVED_ENDPOINT_RETENTION_MS))) {
             endpointClient.removeEndpoint(endpoint.number());
             if (registry.findNumber(endpoint.id()).isEmpty()) {
+                // Deletes the recorded health: an endpoint in service needs no record.
                 saveHealth(endpoint.id(), new Journal.RecordedHealth(Relay.EndpointState.UP, 0, 0));
             }
         }
@@ -647,6 +691,7 @@
     private final class SubmissionService implements ClientServer.SubmissionHandler {
         @Override
         public boolean ready() {
+            // After a handover submissions are still answered, by forwarding them.
             return ready && !shuttingDown || handedOver;
         }
 
@@ -701,7 +746,10 @@
             metrics.messageCompleted(messageClass, Metrics.Completion.REJECTED);
         }
 
-        /** A message that ended with a notice is not accepted again under its id, and needs no further notice. */
+        /**
+         * Returns 202 for a message that is pending, was delivered or has expired at its destination; 409 for one that
+         * was rejected or failed by a notice, which is not accepted again under its id.
+         */
         @Override
         public Optional<HttpResponseStatus> previousAnswer(String id) {
             if (openMessagesById.containsKey(id)) {
@@ -719,7 +767,8 @@
             double classDeadlineMs = config.settings().classes()
                     .get(config.classNames().indexOf(submission.messageClass())).deadlineMs();
             if (submission.budgetMs() < AcceptedMessage.maxUnreadMs(classDeadlineMs)) {
-                // The deadline may have passed already, and a result would be too late; a rejection does no harm.
+                // The client's budget may already be used up, since the request may have waited unread for that long; a
+                // result would be too late, while a rejection does no harm.
                 return reject(submission, Metrics.RejectionReason.TOO_LITTLE_TIME);
             }
             AcceptedMessage message = AcceptedMessage.fromSubmission(journal.nextNumber(), submission, classDeadlineMs,
@@ -751,7 +800,8 @@
             message.acknowledged = written;
             trace.step(written ? "answered" : "unheard", message.id);
             if (!written) {
-                // The client did not get the answer: it submits the message again, and this one needs no result.
+                // Without a 202 the client does not count the message as accepted: it submits it again, and this
+                // submission needs no final result.
                 finishMessage(message);
                 Sender.this.closeInJournal(message);
                 return;
@@ -784,12 +834,12 @@
         }
     }
 
-    /** Reacts to the process before and the process after this one. */
+    /** Handles the events of a handover from the predecessor or to the successor. */
     private final class HandoverEvents implements ProcessHandover.Callbacks {
         @Override
         public void becomeLeader(Optional<ProcessHandover.HandoverState> state) throws IOException {
-            journal = new Journal(config.stateFolder(), config.diskBytes(), config.settings().maxAttempts(), machineClock,
-                    FileChannel::open);
+            journal = new Journal(config.stateFolder(), config.diskBytes(), config.settings().maxAttempts(),
+                    machineClock, FileChannel::open);
             journal.onFailure(afterMs -> loop.schedule(Sender.this::catchUpJournal, afterMs, TimeUnit.MILLISECONDS));
             receivedState = state;
             if (handover.hasPredecessor()) {
@@ -812,11 +862,12 @@
 
         @Override
         public void successorListening() {
-            // Deferred, so that connections already waiting are accepted first.
+            // Deferred until the event loop has handled the I/O events at hand, so that connections already waiting are
+            // accepted first.
             loop.execute(clientListener::close);
         }
 
-        /** Accepts a message that a client submitted to the previous process, which passes on the answer. */
+        /** Accepts or rejects a message that a client submitted to the predecessor, which passes on the answer. */
         @Override
         public HttpResponseStatus messageForwarded(ClientServer.Submission submission) {
             Optional<HttpResponseStatus> previousAnswer = submissionService.previousAnswer(submission.id());
@@ -849,10 +900,14 @@
             cancel(messageNumber, attempt);
         }
 
-        /** The attempts that the previous process had in flight may have run; its journal was taken over before. */
+        /**
+         * Completes the predecessor's attempts in flight as broken, since they may have run. Its journal needs no
+         * handling: this process took it over when it became the leader.
+         */
         @Override
         public void predecessorGone() {
-            Log.write("the previous process has exited; " + predecessorAttempts.size() + " attempts were in flight");
+            Log.write("the predecessor has exited; " + predecessorAttempts.size()
+                    + " of its attempts were still in flight and count as broken");
             Map<AttemptId, AcceptedMessage> lost = new HashMap<>(predecessorAttempts);
             predecessorAttempts.clear();
             lost.forEach((id, message) -> attemptCompleted(message, id.attempt(), Relay.Outcome.BROKEN, false, 0,
@@ -862,8 +917,8 @@
     }
 
     /**
-     * Hands all messages over to the process that follows, which makes the decisions from here on. This process still
-     * awaits the results of its calls in flight, and forwards the requests on its remaining client connections.
+     * Hands all messages over to the follower, which becomes the leader. This process still awaits the results of its
+     * attempts in flight, and forwards the requests on its remaining client connections.
      */
     private void handOver() {
         ProcessHandover.HandoverState state = new HandoverEvents().handoverState();
@@ -874,7 +929,7 @@
         handover.handOver(state);
         clientServer.handOver();
         endpointClient.closeAllIdleConnections();
-        Log.write(config.name() + " has handed over " + openMessages.size() + " messages to the next process, with "
+        Log.write(config.name() + " has handed over " + openMessages.size() + " messages to its successor, with "
                 + state.out().size() + " attempts in flight");
         openMessages.clear();
         openMessagesById.clear();
@@ -885,7 +940,7 @@
     /**
      * Shuts down gracefully within the time before SIGKILL: accepts messages while new connections may still arrive,
      * starts no call that can't finish in time, and waits for calls and notices in flight. The journal keeps the rest.
-     * If another process follows, everything is handed over to it instead.
+     * If a follower is connected, everything is handed over to it instead.
      */
     void drain() {
         long drainStartNanos = System.nanoTime();
@@ -919,9 +974,10 @@
         boolean idle = openMessages.isEmpty() && noticeClient.pendingCount() == 0 && clientServer.connectionCount() == 0
                 && (!handedOver || callsInFlight.isEmpty());
         if (idle || System.nanoTime() - drainStartNanos >= TimeUnit.MILLISECONDS.toNanos(drainTimeoutMs)) {
-            Log.write(config.name() + " is stopping; " + (handedOver ? callsInFlight.size() + " attempts are in flight"
-                    : "its journal keeps " + openMessages.size() + " messages and " + noticeClient.pendingCount()
-                            + " notices"));
+            Log.write(config.name() + " is stopping; "
+                    + (handedOver ? callsInFlight.size() + " attempts are still in flight"
+                    : "its journal holds " + openMessages.size() + " pending messages and "
+                            + noticeClient.pendingCount() + " unconfirmed notices"));
             clientServer.shutDown();
             awaitClientsClosed(System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(CLIENT_CLOSE_TIMEOUT_MS));
             return;
