--- a/src/main/java/kestreldeal/net/AcceptedMessage.java
+++ b/src/main/java/kestreldeal/net/AcceptedMessage.java
@@ -13,7 +13,7 @@
     /** How long a client waits for an answer, by the protocol, before it closes the connection. */
     private static final double CLIENT_RESPONSE_TIMEOUT_MS = 400;
     /** Maximum assumed time that a request waited in the receive buffer, as a share of its class's deadline. */
-    private static final double MAX_UNREAD_SHARE = 0.25;
+    private static final double MAX_UNREAD_DEADLINE_SHARE = 0.25;
     /**
      * Margin between the time by which a message is completed and the end of the client's budget, which counts from the
      * request's last byte. When CPU time is scarce, the request may wait unread for the 400 ms that its client waits
@@ -33,16 +33,16 @@
      * #COMPLETION_MARGIN_MS}, or half of a short budget, before the end of the client's budget or of its class's
      * deadline, whichever is shorter.
      */
-    final long deadlineNanos;
+    final long completionDeadlineNanos;
     /**
      * Earliest time at which the client's budget may be used up, by {@link MachineClock#nanos}, if the request waited
      * unread for as long as possible. Not recorded: for a message restored from the journal this is its deadline.
      */
-    private final long earliestExpiryNanos;
+    private final long earliestBudgetEndNanos;
     final byte[] body;
     final List<Attempt> attempts = new ArrayList<>();
     /** Number of attempts that the journal has a record of. */
-    int recordedAttempts;
+    int recordedAttemptCount;
     Optional<Notice> pendingNotice = Optional.empty();
     /** Bytes of the message's records in the journal. */
     long journalBytes;
@@ -65,48 +65,48 @@
      * #neverRan} is set.
      */
     static final class Attempt {
-        /** Value of {@link #record} for an attempt that the journal has no record of. */
+        /** Value of {@link #recordIndex} for an attempt that the journal has no record of. */
         static final int UNRECORDED = -1;
         /** Age given to an attempt of unknown age: longer than any deduplication window. */
         private static final long UNKNOWN_AGE_MS = TimeUnit.DAYS.toMillis(365);
 
         final String endpoint;
         /** When the decision module started the attempt, before it was sent; by {@link MachineClock#nanos}. */
-        final long sentNanos;
+        final long startedNanos;
         boolean neverRan;
         /** Index among the message's recorded attempts, or {@link #UNRECORDED}. */
-        int record = UNRECORDED;
+        int recordIndex = UNRECORDED;
 
-        private Attempt(String endpoint, long sentNanos) {
+        private Attempt(String endpoint, long startedNanos) {
             this.endpoint = endpoint;
-            this.sentNanos = sentNanos;
+            this.startedNanos = startedNanos;
         }
 
         /** An attempt started the given time ago; a negative age can't be true and counts as unknown. */
-        static Attempt sentAgo(String endpoint, long agoMs, MachineClock clock) {
+        static Attempt startedAgo(String endpoint, long agoMs, MachineClock clock) {
             long ageMs = agoMs < 0 ? UNKNOWN_AGE_MS : agoMs;
             return new Attempt(endpoint, clock.nanos() - TimeUnit.MILLISECONDS.toNanos(ageMs));
         }
 
         /** An attempt started at the given time; a time in the future can't be true and counts as unknown. */
-        static Attempt sentAt(String endpoint, long sentNanos, MachineClock clock) {
-            return sentNanos <= clock.nanos() ? new Attempt(endpoint, sentNanos) : ofUnknownAge(endpoint, clock);
+        static Attempt startedAt(String endpoint, long startedNanos, MachineClock clock) {
+            return startedNanos <= clock.nanos() ? new Attempt(endpoint, startedNanos) : ofUnknownAge(endpoint, clock);
         }
 
         /** An attempt started an unknown time ago; it counts as older than any deduplication window. */
         static Attempt ofUnknownAge(String endpoint, MachineClock clock) {
-            return sentAgo(endpoint, UNKNOWN_AGE_MS, clock);
+            return startedAgo(endpoint, UNKNOWN_AGE_MS, clock);
         }
 
         /** An attempt that the decision module started, but that was suppressed before it was sent. */
         static Attempt neverSent(String endpoint, MachineClock clock) {
-            Attempt attempt = sentAgo(endpoint, 0, clock);
+            Attempt attempt = startedAgo(endpoint, 0, clock);
             attempt.neverRan = true;
             return attempt;
         }
 
         double ageMs(MachineClock clock) {
-            return (clock.nanos() - sentNanos) / 1e6;
+            return (clock.nanos() - startedNanos) / 1e6;
         }
     }
 
@@ -115,16 +115,16 @@
      * may have run was started at most {@code windowMs} ago. Later attempts count too, since they may have been written
      * first while this one waited for its connection.
      */
-    boolean isInDedupWindow(int attempt, long nowNanos, double windowMs) {
-        Attempt own = attempts.get(attempt);
-        return attempts.stream().allMatch(a -> a == own || a.neverRan || nowNanos - a.sentNanos <= windowMs * 1e6);
+    boolean isWithinDedupWindows(int attemptNumber, long nowNanos, double windowMs) {
+        Attempt own = attempts.get(attemptNumber);
+        return attempts.stream().allMatch(a -> a == own || a.neverRan || nowNanos - a.startedNanos <= windowMs * 1e6);
     }
 
     /**
      * A final result that is still to be reported to the platform's agent: the message was rejected or, if not, has
      * failed. {@code retryAfterMs} is 0 without a wait.
      */
-    record Notice(boolean bounced, double retryAfterMs) {
+    record Notice(boolean rejected, double retryAfterMs) {
     }
 
     /**
@@ -134,7 +134,7 @@
      * accepted.
      */
     static long maxUnreadMs(double classDeadlineMs) {
-        return (long) Math.min(CLIENT_RESPONSE_TIMEOUT_MS, classDeadlineMs * MAX_UNREAD_SHARE);
+        return (long) Math.min(CLIENT_RESPONSE_TIMEOUT_MS, classDeadlineMs * MAX_UNREAD_DEADLINE_SHARE);
     }
 
     /** A message that is being accepted now, of a class with the given deadline. */
@@ -166,29 +166,30 @@
 
     /** Time left until the deadline of the message; negative after it. */
     double timeLeftMs(MachineClock clock) {
-        return (deadlineNanos - clock.nanos()) / 1e6;
+        return (completionDeadlineNanos - clock.nanos()) / 1e6;
     }
 
     /** Whether the client's budget may be used up. */
-    boolean mayHaveExpired(MachineClock clock) {
-        return clock.nanos() >= earliestExpiryNanos;
+    boolean budgetMayBeUsedUp(MachineClock clock) {
+        return clock.nanos() >= earliestBudgetEndNanos;
     }
 
     AcceptedMessage(long number, String id, String messageClass, String tenant, Optional<String> key, long destination,
-            long deadlineNanos, byte[] body) {
-        this(number, id, messageClass, tenant, key, destination, deadlineNanos, deadlineNanos, body);
+            long completionDeadlineNanos, byte[] body) {
+        this(number, id, messageClass, tenant, key, destination, completionDeadlineNanos, completionDeadlineNanos,
+                body);
     }
 
     private AcceptedMessage(long number, String id, String messageClass, String tenant, Optional<String> key,
-            long destination, long deadlineNanos, long earliestExpiryNanos, byte[] body) {
+            long destination, long completionDeadlineNanos, long earliestBudgetEndNanos, byte[] body) {
         this.number = number;
         this.id = id;
         this.messageClass = messageClass;
         this.tenant = tenant;
         this.key = key;
         this.destination = destination;
-        this.deadlineNanos = deadlineNanos;
-        this.earliestExpiryNanos = earliestExpiryNanos;
+        this.completionDeadlineNanos = completionDeadlineNanos;
+        this.earliestBudgetEndNanos = earliestBudgetEndNanos;
         this.body = body;
     }
 }
--- a/src/main/java/kestreldeal/net/ClientServer.java
+++ b/src/main/java/kestreldeal/net/ClientServer.java
@@ -81,16 +81,16 @@
      * the connection is closed. Closing a socket with unread bytes resets the connection, and the last response could
      * be lost with it.
      */
-    private static final long LINGER_TIMEOUT_MS = 500;
+    private static final long CLOSING_TIMEOUT_MS = 500;
     /**
      * Limit on the bytes that are read and discarded while a connection is closing, so that a flood is not read to its
      * end.
      */
     private static final int MAX_DISCARDED_BYTES = MAX_BODY_BYTES;
     /** Interval between checks for connections that have timed out. */
-    private static final long SWEEP_INTERVAL_MS = 200;
+    private static final long TIMEOUT_CHECK_INTERVAL_MS = 200;
     /** Maximum number of reads from one connection before other connections are served. */
-    private static final int MAX_READS_PER_TURN = 16;
+    private static final int MAX_READS_PER_LOOP_ITERATION = 16;
     /** Pause after a failed accept; it doubles with each further failure, up to the maximum. */
     private static final long MIN_ACCEPT_PAUSE_MS = 5;
     private static final long MAX_ACCEPT_PAUSE_MS = 160;
@@ -108,7 +108,7 @@
     /** The part of the sender that accepts or rejects submissions. */
     interface SubmissionHandler {
         /** Whether /healthz reports this process as healthy, so that new clients are sent to it. */
-        boolean ready();
+        boolean isHealthy();
 
         /** Whether this message class is configured. The first segment of a request's path is its message class. */
         boolean knowsClass(String name);
@@ -121,7 +121,7 @@
          * Whether an endpoint list has ever named this destination, even if none of its endpoints is left. If not, this
          * counts as a rejection of the submission.
          */
-        boolean knowsDestination(long destination);
+        boolean checkDestination(long destination);
 
         /** Whether submissions must be forwarded to another process, which decides on them. */
         default boolean forwardsSubmissions() {
@@ -165,23 +165,23 @@
     private final Map<State, Set<ClientConnection>> connectionsByState = new EnumMap<>(State.class);
     private final ServerBootstrap bootstrap;
     /** Whether each connection is closed with its next response. */
-    private boolean closing;
+    private boolean closesAfterNextResponse;
     /** Whether clients are being evacuated; messages that they submit nevertheless are still accepted. */
     private boolean evacuating;
     /** Whether another process has taken over, or is about to. */
     private boolean handedOver;
 
-    ClientServer(EventLoop loop, int maxClients, SubmissionHandler handler) {
-        this(loop, maxClients, handler, NioServerSocketChannel::new, FileDescriptors.system());
+    ClientServer(EventLoop loop, int maxClientConnections, SubmissionHandler handler) {
+        this(loop, maxClientConnections, handler, NioServerSocketChannel::new, FileDescriptors.system());
     }
 
     /** Creates a server with another factory for the listening channel; tests use one whose accepts fail. */
-    ClientServer(EventLoop loop, int maxClients, SubmissionHandler handler,
+    ClientServer(EventLoop loop, int maxClientConnections, SubmissionHandler handler,
             ChannelFactory<NioServerSocketChannel> listenerFactory, FileDescriptors fileDescriptors) {
         this.loop = loop;
         this.fileDescriptors = fileDescriptors;
         this.handler = handler;
-        this.connectionLimit = new ClientConnectionLimit(maxClients);
+        this.connectionLimit = new ClientConnectionLimit(maxClientConnections);
         for (State state : State.values()) {
             connectionsByState.put(state, new LinkedHashSet<>());
         }
@@ -202,7 +202,7 @@
                 // noticed before the request is handled.
                 .childOption(ChannelOption.RECVBUF_ALLOCATOR,
                         new AdaptiveRecvByteBufAllocator().respectMaybeMoreData(false)
-                                .maxMessagesPerRead(MAX_READS_PER_TURN))
+                                .maxMessagesPerRead(MAX_READS_PER_LOOP_ITERATION))
                 .childHandler(new ChannelInitializer<Channel>() {
                     @Override
                     protected void initChannel(Channel channel) {
@@ -211,7 +211,8 @@
                                 new BodyAggregator(connection), connection);
                     }
                 });
-        loop.scheduleWithFixedDelay(this::closeTimedOut, SWEEP_INTERVAL_MS, SWEEP_INTERVAL_MS, TimeUnit.MILLISECONDS);
+        loop.scheduleWithFixedDelay(this::closeTimedOut, TIMEOUT_CHECK_INTERVAL_MS, TIMEOUT_CHECK_INTERVAL_MS,
+                TimeUnit.MILLISECONDS);
     }
 
     /** Binds to the address; another process may be bound to it at the same time. */
@@ -224,7 +225,7 @@
      * request that is already on its way would get no answer.
      */
     void closeAfterNextResponse() {
-        closing = true;
+        closesAfterNextResponse = true;
     }
 
     /**
@@ -243,8 +244,8 @@
      * connections that were idle for a while are closed without a response: a client whose request arrives during such
      * a close must repeat it on a new connection.
      */
-    void evacuate(boolean start) {
-        evacuating = start;
+    void setEvacuating(boolean active) {
+        evacuating = active;
     }
 
     /**
@@ -262,7 +263,7 @@
     }
 
     /** For tests: the number of connections on which a part of a request has arrived. */
-    long partialRequests() {
+    long partialRequestCount() {
         return connectionsByState.values().stream().flatMap(Set::stream)
                 .filter(connection -> connection.requestStarted).count();
     }
@@ -333,10 +334,11 @@
         long nowNanos = System.nanoTime();
         connectionsByState.forEach((state, connections) -> {
             long limitMs = switch (state) {
-                case CLOSING -> LINGER_TIMEOUT_MS;
+                case CLOSING -> CLOSING_TIMEOUT_MS;
                 case NEW, IN_REQUEST -> REQUEST_TIMEOUT_MS;
                 // While the server is closing, a connection is closed only with a response: closeAfterNextResponse().
-                case IDLE -> closing ? Long.MAX_VALUE : evacuating ? EVACUATION_IDLE_TIMEOUT_MS : IDLE_TIMEOUT_MS;
+                case IDLE -> closesAfterNextResponse ? Long.MAX_VALUE
+                        : evacuating ? EVACUATION_IDLE_TIMEOUT_MS : IDLE_TIMEOUT_MS;
             };
             connections.stream()
                     .takeWhile(c -> TimeUnit.NANOSECONDS.toMillis(nowNanos - c.stateEnteredNanos) >= limitMs).toList()
@@ -498,7 +500,7 @@
          * Complete requests that wait for {@link #handleRequest}. A request that waits for the answer of the successor
          * is not among them.
          */
-        private int unansweredRequests;
+        private int queuedRequests;
         /** Bytes that arrived while the connection was being closed. */
         private int discardedBytes;
 
@@ -564,7 +566,7 @@
 
         private void reportClose(CloseReason reason) {
             handler.connectionClosing(reason);
-            if (unansweredRequests > 0 && state != State.CLOSING) {
+            if (queuedRequests > 0 && state != State.CLOSING) {
                 handler.requestLeftUnanswered(reason);
             }
         }
@@ -574,7 +576,7 @@
                 return;
             }
             handler.connectionClosing(CloseReason.SHUTDOWN);
-            if (requestStarted || unansweredRequests > 0) {
+            if (requestStarted || queuedRequests > 0) {
                 respondAndClose(HttpResponseStatus.SERVICE_UNAVAILABLE, "the sender ends");
             } else {
                 halfClose();
@@ -607,11 +609,11 @@
             requestStarted = decoder.hasMoreInput();
             // In this state the connection is not closed to make room for others before the answer.
             enterState(State.IN_REQUEST);
-            unansweredRequests++;
+            queuedRequests++;
             request.retain();
             // Deferred until all input at hand has been read: see handleRequest.
             loop.execute(() -> {
-                unansweredRequests--;
+                queuedRequests--;
                 try {
                     handleRequest(request);
                 } finally {
@@ -622,7 +624,7 @@
         }
 
         private boolean canDecodeNext() {
-            return unansweredRequests == 0 && state != State.CLOSING;
+            return queuedRequests == 0 && state != State.CLOSING;
         }
 
         /** Applies backpressure: stops reading if the client does not read its responses or sends too far ahead. */
@@ -636,8 +638,8 @@
          * Answers a request after all input of its connection has been read, unless the client has disconnected in the
          * meantime. Such a client has given up and submits its message again under another id. Its request is skipped
          * to prevent a congestion collapse: when requests are read late, each would otherwise cost a delivery that is
-         * of no use, and be submitted again. The drawback is that a client that half-closes its connection and still waits
-         * for the response gets none, but HTTP clients don't do that.
+         * of no use, and be submitted again. The drawback is that a client that half-closes its connection and still
+         * waits for the response gets none, but HTTP clients don't do that.
          */
         private void handleRequest(FullHttpRequest request) {
             if (state == State.CLOSING || !channel.isActive()) {
@@ -648,7 +650,7 @@
             if (request.decoderResult().isFailure()) {
                 respondAndClose(HttpResponseStatus.BAD_REQUEST, "not HTTP");
             } else if (path.equals("/healthz")) {
-                respond(request, handler.ready() && !evacuating ? HttpResponseStatus.OK
+                respond(request, handler.isHealthy() && !evacuating ? HttpResponseStatus.OK
                         : HttpResponseStatus.SERVICE_UNAVAILABLE, "");
             } else if (!handler.knowsClass(path.split("/", 3).length > 1 ? path.split("/", 3)[1] : "")) {
                 respond(request, HttpResponseStatus.NOT_FOUND, "no such path");
@@ -678,7 +680,7 @@
                 respond(request, previousAnswer.get(), "");
                 return;
             }
-            if (!handler.knowsDestination(submission.destination())) {
+            if (!handler.checkDestination(submission.destination())) {
                 reject(request, submission, "no list names this dest");
                 return;
             }
@@ -698,7 +700,7 @@
 
         private ChannelFuture respond(FullHttpRequest request, HttpResponseStatus status, String text) {
             FullHttpResponse response = response(status, request.method().equals(HttpMethod.HEAD) ? "" : text);
-            if (!closing && !evacuating && !handedOver && HttpUtil.isKeepAlive(request)) {
+            if (!closesAfterNextResponse && !evacuating && !handedOver && HttpUtil.isKeepAlive(request)) {
                 return channel.writeAndFlush(response);
             }
             handler.connectionClosing(CloseReason.LAST_ANSWER);
--- a/src/main/java/kestreldeal/net/Config.java
+++ b/src/main/java/kestreldeal/net/Config.java
@@ -27,7 +27,7 @@
  * simulator's adapter read them in the same way.
  */
 record Config(String name, InetSocketAddress clientAddress, Optional<InetSocketAddress> operatorAddress,
-              InetSocketAddress discoveryAddress, Path stateFolder, long seed,
+              InetSocketAddress agentAddress, Path stateFolder, long seed,
               int maxSockets, long diskBytes, Relay.Settings settings, List<String> classNames,
               List<String> tenantNames, List<String> kindNames, List<String> zoneNames, int maxPendingMessages,
               double connectTimeoutMs, Path file) {
--- a/src/main/java/kestreldeal/net/Discovery.java
+++ b/src/main/java/kestreldeal/net/Discovery.java
@@ -38,7 +38,7 @@
      * whose address is missing or invalid counts as not serving.
      */
     record Entry(String id, Optional<InetSocketAddress> address, String zone, String kind, long destination,
-                 boolean serving, double weight, boolean removed) {
+                 boolean serving, double listedRate, boolean removed) {
     }
 
     /**
--- a/src/main/java/kestreldeal/net/EndpointClient.java
+++ b/src/main/java/kestreldeal/net/EndpointClient.java
@@ -80,12 +80,12 @@
     private static final Deque<Connection> NO_CONNECTIONS = new ArrayDeque<>(0);
 
     /** Receives the results of attempts, and decides at the last moment whether an attempt may be written. */
-    interface CallListener {
+    interface AttemptListener {
         /**
          * Reports the only result of an attempt. {@code messageFinished}: the endpoint reported the message as expired,
          * so that it needs no further attempt, whatever the outcome.
          */
-        void completed(OutboundAttempt attempt, Outcome outcome, boolean messageFinished, double retryAfterMs,
+        void attemptCompleted(OutboundAttempt attempt, Outcome outcome, boolean messageExpired, double retryAfterMs,
                 LoadReport report);
 
         /** A call has been written completely; it carries this number of messages. */
@@ -107,7 +107,7 @@
 
     private final EventLoop loop;
     private final MachineClock clock;
-    private final CallListener listener;
+    private final AttemptListener listener;
     private final Connector connector;
     private final long maxIdleNanos;
     private final int maxIdleConnections;
@@ -119,14 +119,14 @@
     private long lastCallId;
 
     EndpointClient(EventLoop loop, double connectTimeoutMs, double keepAliveMs, int maxIdleConnections,
-            CallListener listener) {
+            AttemptListener listener) {
         this(loop, connectTimeoutMs, keepAliveMs, maxIdleConnections, listener, NioSocketChannel::new,
                 MachineClock.system());
     }
 
     /** Creates a client with its own channel factory, which may throw, and its own clock. */
     EndpointClient(EventLoop loop, double connectTimeoutMs, double keepAliveMs, int maxIdleConnections,
-            CallListener listener, ChannelFactory<NioSocketChannel> channelFactory, MachineClock clock) {
+            AttemptListener listener, ChannelFactory<NioSocketChannel> channelFactory, MachineClock clock) {
         this.loop = loop;
         this.clock = clock;
         this.listener = listener;
@@ -331,14 +331,14 @@
             complete(outcome, false, 0);
         }
 
-        private void complete(Outcome outcome, boolean messageFinished, double retryAfterMs) {
+        private void complete(Outcome outcome, boolean messageExpired, double retryAfterMs) {
             if (completed) {
                 return;
             }
             completed = true;
             timeoutTimer.cancel(false);
             // Deferred: the result may be found while the decision module is running, and must not call back into it.
-            loop.execute(() -> listener.completed(this, outcome, messageFinished, retryAfterMs, call.report));
+            loop.execute(() -> listener.attemptCompleted(this, outcome, messageExpired, retryAfterMs, call.report));
         }
 
         /** Completes the attempt by the status code of the response, as the protocol's table says. */
@@ -563,7 +563,7 @@
          * messages has passed: such a response has said "accepted" for messages that had not been delivered.
          */
         private void batchResponseReceived(String body) {
-            if (attempts.stream().anyMatch(a -> a.message.mayHaveExpired(clock))) {
+            if (attempts.stream().anyMatch(a -> a.message.budgetMayBeUsedUp(clock))) {
                 Log.write("ignored the response to a batch of " + attempts.size()
                         + " messages: it arrived after the deadline of one of them");
                 responseMalformed();
--- a/src/main/java/kestreldeal/net/EndpointRegistry.java
+++ b/src/main/java/kestreldeal/net/EndpointRegistry.java
@@ -149,7 +149,7 @@
             destination = new Destination(entry.destination());
             destinations.put(entry.destination(), destination);
         }
-        destination.listedRate = entry.weight();
+        destination.listedRate = entry.listedRate();
         if (!entry.removed() || endpoint.destination == null) {
             endpoint.destination = destination;
         }
--- a/src/main/java/kestreldeal/net/Invariants.java
+++ b/src/main/java/kestreldeal/net/Invariants.java
@@ -10,7 +10,7 @@
  */
 final class Invariants {
     /** Maximum number of log lines for each rule; further breaches are only counted. */
-    private static final int MAX_LOG_LINES = 20;
+    private static final int MAX_LOG_LINES_PER_RULE = 20;
 
     enum Rule {
         /** A message is sent only to endpoints of its own destination. */
@@ -33,7 +33,7 @@
 
     /** Reports that a rule was broken, or would have been, for the message with this id. */
     void reportBreach(Rule rule, String id, String detail) {
-        if (breaches.merge(rule, 1L, Long::sum) <= MAX_LOG_LINES) {
+        if (breaches.merge(rule, 1L, Long::sum) <= MAX_LOG_LINES_PER_RULE) {
             Log.write("invariant broken: " + rule + ", message " + id + ": " + detail);
         }
     }
--- a/src/main/java/kestreldeal/net/Journal.java
+++ b/src/main/java/kestreldeal/net/Journal.java
@@ -62,7 +62,7 @@
     /** Maximum number of ids of completed messages that are kept. */
     private static final int MAX_COMPLETED_IDS = 4096;
     /** The records of these ids may take the journal's size limit divided by this. */
-    private static final int COMPLETED_IDS_DIVISOR = 16;
+    private static final int COMPLETED_IDS_SIZE_DIVISOR = 16;
     /**
      * Disk use is counted in blocks of 512 bytes, so each file may count up to a block more than its size: two journal
      * files, the leader lock, the socket of {@link ProcessHandover}, and one block to spare.
@@ -88,7 +88,7 @@
     private final MachineClock clock;
     private final Map<Long, AcceptedMessage> liveMessages = new TreeMap<>();
     /** Ids of the most recently completed messages, oldest first, and whether each was delivered. */
-    private final Map<String, Boolean> completedIds = new LinkedHashMap<>();
+    private final Map<String, Boolean> deliveredByCompletedId = new LinkedHashMap<>();
     private long completedIdsBytes;
     /** Last recorded health of each endpoint that is not in service. */
     private final Map<String, RecordedHealth> endpointHealth = new TreeMap<>();
@@ -101,7 +101,7 @@
     /** A compaction has to be written before anything else: the last one failed, or unwritten records were dropped. */
     private boolean needsCompaction;
     /** Whether a failure has been logged and the recovery from it has not. */
-    private boolean failing;
+    private boolean failureLogged;
     private long writeFailures;
     private long retryDelayMs = INITIAL_RETRY_DELAY_MS;
     private long nextRetryNanos = Long.MIN_VALUE;
@@ -110,9 +110,9 @@
      * The clock of the times in the file; while the file is read, of those in the records read since the last BOOT
      * record.
      */
-    private TimeBase timeBase = TimeBase.WALL_CLOCK;
+    private RecordedClock recordedClock = RecordedClock.WALL_CLOCK;
 
-    private enum TimeBase {
+    private enum RecordedClock {
         /** Unix time in milliseconds, as written by an earlier release that recorded no boot. */
         WALL_CLOCK,
         /** The monotonic clock of this boot, in nanoseconds. */
@@ -136,7 +136,7 @@
         this.clock = clock;
         this.maxBytes = diskBytes - BLOCK_ROUNDING_BYTES;
         this.reservedBytesPerMessage = (long) maxAttempts * ATTEMPT_RESERVE_BYTES + COMPLETION_RESERVE_BYTES;
-        this.liveBytes = bootFrame().length;
+        this.liveBytes = encodeBoot().length;
         this.file = new JournalFile(folder, fileOpener);
         try {
             byte[] bytes = file.read();
@@ -145,7 +145,7 @@
             file.close();
             throw e;
         }
-        if (timeBase == TimeBase.OTHER_BOOT && !liveMessages.isEmpty()) {
+        if (recordedClock == RecordedClock.OTHER_BOOT && !liveMessages.isEmpty()) {
             Log.write("the journal was written before the machine was rebooted, so its times can't be compared: "
                     + liveMessages.size() + " messages get the full deadline of their class again,"
                     + " and their earlier attempts count as older than any deduplication window");
@@ -167,17 +167,20 @@
     }
 
     /** Returns a number for the next message, above all numbers used before. */
-    long nextNumber() {
+    long assignNumber() {
         return nextNumber++;
     }
 
-    /** Sets a callback for failed writes; it gets the delay in milliseconds after which to call {@link #catchUp}. */
+    /**
+     * Sets a callback for failed writes; it gets the delay in milliseconds after which to call {@link
+     * #retryFailedWrites}.
+     */
     void onFailure(LongConsumer callback) {
         failureCallback = callback;
     }
 
     /** Whether a failed write is still to be retried; until then no message is accepted. */
-    boolean isBehind() {
+    boolean hasUnwrittenState() {
         return needsCompaction || !unwrittenRecords.isEmpty() || file.hasTornBytes();
     }
 
@@ -190,27 +193,27 @@
      * Retries failed writes, if there are any and the retry delay has passed; returns whether nothing is left to be
      * written.
      */
-    boolean catchUp() {
-        if (isBehind()) {
+    boolean retryFailedWrites() {
+        if (hasUnwrittenState()) {
             if (!file.isOpen() || clock.nanos() < nextRetryNanos) {
                 return false;
             }
             try {
-                retryWrites();
+                writeUnwrittenRecords();
             } catch (IOException e) {
-                writeFailed(e);
+                handleWriteFailure(e);
                 return false;
             }
         }
-        if (failing) {
-            failing = false;
+        if (failureLogged) {
+            failureLogged = false;
             retryDelayMs = INITIAL_RETRY_DELAY_MS;
             Log.write("the journal can be written again; messages are accepted");
         }
         return true;
     }
 
-    private void retryWrites() throws IOException {
+    private void writeUnwrittenRecords() throws IOException {
         if (needsCompaction) {
             compact();
         }
@@ -226,10 +229,10 @@
         }
     }
 
-    private void writeFailed(IOException e) {
+    private void handleWriteFailure(IOException e) {
         writeFailures++;
-        if (!failing) {
-            failing = true;
+        if (!failureLogged) {
+            failureLogged = true;
             Log.write("the journal can't be written; messages are rejected until a retry succeeds: " + e.getMessage());
         }
         nextRetryNanos = clock.nanos() + TimeUnit.MILLISECONDS.toNanos(retryDelayMs);
@@ -239,7 +242,7 @@
 
     /** Records that a message is accepted. If this throws, the message must be rejected. */
     void recordAccepted(AcceptedMessage message) throws IOException {
-        byte[] record = acceptedFrame(message);
+        byte[] record = encodeAccepted(message);
         long needed = liveBytes + record.length + reservedBytesPerMessage * (liveMessages.size() + 1L);
         if (2 * needed > maxBytes) {
             throw new JournalFullException("the journal has no room for another message");
@@ -257,19 +260,19 @@
     void recordAttempt(AcceptedMessage message, AcceptedMessage.Attempt attempt) throws IOException {
         message.attempts.add(attempt);
         attempt.neverRan = true;
-        byte[] record = attemptFrame(message, attempt);
+        byte[] record = encodeAttempt(message, attempt);
         writeAhead(record);
         addRecordBytes(message, record.length);
         attempt.neverRan = false;
-        attempt.record = message.recordedAttempts++;
+        attempt.recordIndex = message.recordedAttemptCount++;
     }
 
     /** Records that the result of an attempt proved that it never ran. */
     void recordNeverRan(AcceptedMessage message, int attemptNumber) {
         AcceptedMessage.Attempt attempt = message.attempts.get(attemptNumber);
         attempt.neverRan = true;
-        if (attempt.record != AcceptedMessage.Attempt.UNRECORDED) {
-            writeMessageRecord(message, neverRanFrame(message, attempt.record));
+        if (attempt.recordIndex != AcceptedMessage.Attempt.UNRECORDED) {
+            writeMessageRecord(message, encodeNeverRan(message, attempt.recordIndex));
         }
     }
 
@@ -277,7 +280,7 @@
     void recordNotice(AcceptedMessage message, AcceptedMessage.Notice notice) {
         message.pendingNotice = Optional.of(notice);
         rememberCompleted(message.id, false);
-        writeMessageRecord(message, noticeFrame(message, notice));
+        writeMessageRecord(message, encodeNotice(message, notice));
     }
 
     /**
@@ -288,18 +291,18 @@
         if (liveMessages.remove(message.number) != null) {
             liveBytes -= message.journalBytes;
             rememberIfAttempted(message);
-            writeOrQueue(completedFrame(message));
+            writeOrQueue(encodeCompleted(message));
         }
     }
 
     /** Whether the message with this id was delivered; empty if it is not among the most recently completed ones. */
-    Optional<Boolean> deliveredBefore(String id) {
-        return Optional.ofNullable(completedIds.get(id));
+    Optional<Boolean> wasDelivered(String id) {
+        return Optional.ofNullable(deliveredByCompletedId.get(id));
     }
 
     /** Ids of the most recently completed messages, oldest first, and whether each was delivered. */
-    Map<String, Boolean> completedIds() {
-        return new LinkedHashMap<>(completedIds);
+    Map<String, Boolean> deliveredByCompletedId() {
+        return new LinkedHashMap<>(deliveredByCompletedId);
     }
 
     /**
@@ -307,15 +310,16 @@
      * only in the next compaction; until then the records of its message imply it.
      */
     void rememberCompleted(String id, boolean delivered) {
-        if (completedIds.put(id, delivered) == null) {
-            completedIdsBytes += completedIdFrameLength(id);
-            liveBytes += completedIdFrameLength(id);
+        if (deliveredByCompletedId.put(id, delivered) == null) {
+            completedIdsBytes += completedIdRecordBytes(id);
+            liveBytes += completedIdRecordBytes(id);
         }
-        while (completedIds.size() > MAX_COMPLETED_IDS || completedIdsBytes > maxBytes / COMPLETED_IDS_DIVISOR) {
-            String oldest = completedIds.keySet().iterator().next();
-            completedIds.remove(oldest);
-            completedIdsBytes -= completedIdFrameLength(oldest);
-            liveBytes -= completedIdFrameLength(oldest);
+        while (deliveredByCompletedId.size() > MAX_COMPLETED_IDS
+                || completedIdsBytes > maxBytes / COMPLETED_IDS_SIZE_DIVISOR) {
+            String oldest = deliveredByCompletedId.keySet().iterator().next();
+            deliveredByCompletedId.remove(oldest);
+            completedIdsBytes -= completedIdRecordBytes(oldest);
+            liveBytes -= completedIdRecordBytes(oldest);
         }
     }
 
@@ -329,8 +333,8 @@
         }
     }
 
-    private static int completedIdFrameLength(String id) {
-        return completedIdFrame(id, true).length;
+    private static int completedIdRecordBytes(String id) {
+        return encodeCompletedId(id, true).length;
     }
 
     /**
@@ -339,9 +343,9 @@
      */
     record RecordedHealth(Relay.EndpointState state, long sinceNanos, double sustainedPerMs) {
         /** A state that began the given time ago. */
-        static RecordedHealth ofAge(double agoMs, Relay.EndpointState state, double sustainedPerMs,
+        static RecordedHealth ofAge(double ageMs, Relay.EndpointState state, double sustainedPerMs,
                 MachineClock clock) {
-            return new RecordedHealth(state, clock.nanos() - (long) (agoMs * 1e6), sustainedPerMs);
+            return new RecordedHealth(state, clock.nanos() - (long) (ageMs * 1e6), sustainedPerMs);
         }
 
         /** How long the endpoint has been in this state. */
@@ -352,7 +356,7 @@
 
     /** Records a change of an endpoint's health. A compaction omits endpoints in service, which is the default. */
     void recordEndpointHealth(String endpoint, RecordedHealth health) {
-        byte[] record = endpointHealthFrame(endpoint, health);
+        byte[] record = encodeEndpointHealth(endpoint, health);
         writeOrQueue(record);
         storeEndpointHealth(endpoint, health, record.length);
     }
@@ -392,7 +396,7 @@
 
     // ---- writing ----
 
-    private byte[] bootFrame() {
+    private byte[] encodeBoot() {
         return JournalFrames.frame(out -> {
             out.writeByte(BOOT);
             // Most records have the message number here; this one has the time.
@@ -401,7 +405,7 @@
         });
     }
 
-    private static byte[] acceptedFrame(AcceptedMessage message) {
+    private static byte[] encodeAccepted(AcceptedMessage message) {
         return JournalFrames.frame(out -> {
             out.writeByte(ACCEPTED);
             out.writeLong(message.number);
@@ -411,22 +415,22 @@
             out.writeBoolean(message.key.isPresent());
             out.writeUTF(message.key.orElse(""));
             out.writeLong(message.destination);
-            out.writeLong(message.deadlineNanos);
+            out.writeLong(message.completionDeadlineNanos);
             out.writeInt(message.body.length);
             out.write(message.body);
         });
     }
 
-    private static byte[] attemptFrame(AcceptedMessage message, AcceptedMessage.Attempt attempt) {
+    private static byte[] encodeAttempt(AcceptedMessage message, AcceptedMessage.Attempt attempt) {
         return JournalFrames.frame(out -> {
             out.writeByte(ATTEMPT);
             out.writeLong(message.number);
             out.writeUTF(attempt.endpoint);
-            out.writeLong(attempt.sentNanos);
+            out.writeLong(attempt.startedNanos);
         });
     }
 
-    private static byte[] neverRanFrame(AcceptedMessage message, int recordIndex) {
+    private static byte[] encodeNeverRan(AcceptedMessage message, int recordIndex) {
         return JournalFrames.frame(out -> {
             out.writeByte(NEVER_RAN);
             out.writeLong(message.number);
@@ -434,16 +438,16 @@
         });
     }
 
-    private static byte[] noticeFrame(AcceptedMessage message, AcceptedMessage.Notice notice) {
+    private static byte[] encodeNotice(AcceptedMessage message, AcceptedMessage.Notice notice) {
         return JournalFrames.frame(out -> {
             out.writeByte(NOTICE);
             out.writeLong(message.number);
-            out.writeBoolean(notice.bounced());
+            out.writeBoolean(notice.rejected());
             out.writeDouble(notice.retryAfterMs());
         });
     }
 
-    private static byte[] completedIdFrame(String id, boolean delivered) {
+    private static byte[] encodeCompletedId(String id, boolean delivered) {
         return JournalFrames.frame(out -> {
             out.writeByte(COMPLETED_ID);
             // Most records have the message number here; in this one the field is unused.
@@ -453,7 +457,7 @@
         });
     }
 
-    private static byte[] endpointHealthFrame(String endpoint, RecordedHealth health) {
+    private static byte[] encodeEndpointHealth(String endpoint, RecordedHealth health) {
         return JournalFrames.frame(out -> {
             out.writeByte(ENDPOINT_HEALTH);
             // Most records have the message number here; this one has a time.
@@ -464,7 +468,7 @@
         });
     }
 
-    private static byte[] completedFrame(AcceptedMessage message) {
+    private static byte[] encodeCompleted(AcceptedMessage message) {
         return JournalFrames.frame(out -> {
             out.writeByte(COMPLETED);
             out.writeLong(message.number);
@@ -481,7 +485,7 @@
         if (!file.isOpen()) {
             throw new ClosedChannelException();
         }
-        if (!catchUp()) {
+        if (!retryFailedWrites()) {
             throw new IOException("the journal can't be written: an earlier write failed and is still to be retried");
         }
         try {
@@ -491,7 +495,7 @@
         } catch (IOException e) {
             // Without torn bytes it was not the append that failed, but the compaction before it.
             needsCompaction |= !file.hasTornBytes();
-            writeFailed(e);
+            handleWriteFailure(e);
             throw e;
         }
     }
@@ -502,12 +506,12 @@
             // Another process owns the file by now, or this process is ending.
             return;
         }
-        if (catchUp()) {
+        if (retryFailedWrites()) {
             try {
                 appendRecord(record);
                 return;
             } catch (IOException e) {
-                writeFailed(e);
+                handleWriteFailure(e);
             }
         }
         unwrittenRecords.add(record);
@@ -521,7 +525,7 @@
     }
 
     private void appendRecord(byte[] record) throws IOException {
-        if (timeBase != TimeBase.THIS_BOOT || file.size() + liveBytes + 2L * record.length > maxBytes) {
+        if (recordedClock != RecordedClock.THIS_BOOT || file.size() + liveBytes + 2L * record.length > maxBytes) {
             compact();
         }
         if (file.size() + record.length > maxBytes) {
@@ -533,33 +537,33 @@
     /** Replaces the file by one with the live records only. That makes the unwritten records obsolete. */
     private void compact() throws IOException {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream((int) liveBytes);
-        bytes.write(bootFrame());
+        bytes.write(encodeBoot());
         for (Map.Entry<String, RecordedHealth> entry : endpointHealth.entrySet()) {
-            bytes.write(endpointHealthFrame(entry.getKey(), entry.getValue()));
+            bytes.write(encodeEndpointHealth(entry.getKey(), entry.getValue()));
         }
-        for (Map.Entry<String, Boolean> entry : completedIds.entrySet()) {
-            bytes.write(completedIdFrame(entry.getKey(), entry.getValue()));
+        for (Map.Entry<String, Boolean> entry : deliveredByCompletedId.entrySet()) {
+            bytes.write(encodeCompletedId(entry.getKey(), entry.getValue()));
         }
         for (AcceptedMessage message : liveMessages.values()) {
-            bytes.write(acceptedFrame(message));
+            bytes.write(encodeAccepted(message));
             for (AcceptedMessage.Attempt attempt : message.attempts) {
-                if (attempt.record == AcceptedMessage.Attempt.UNRECORDED) {
+                if (attempt.recordIndex == AcceptedMessage.Attempt.UNRECORDED) {
                     continue;
                 }
-                bytes.write(attemptFrame(message, attempt));
+                bytes.write(encodeAttempt(message, attempt));
                 if (attempt.neverRan) {
-                    bytes.write(neverRanFrame(message, attempt.record));
+                    bytes.write(encodeNeverRan(message, attempt.recordIndex));
                 }
             }
             if (message.pendingNotice.isPresent()) {
-                bytes.write(noticeFrame(message, message.pendingNotice.get()));
+                bytes.write(encodeNotice(message, message.pendingNotice.get()));
             }
         }
         file.replace(bytes.toByteArray());
         unwrittenRecords.clear();
         unwrittenBytes = 0;
         needsCompaction = false;
-        timeBase = TimeBase.THIS_BOOT;
+        recordedClock = RecordedClock.THIS_BOOT;
     }
 
     // ---- reading ----
@@ -571,7 +575,7 @@
             // A time later than now can't be of this boot, even if the boot id is the same.
             String bootId = in.readUTF();
             boolean sameBoot = !bootId.isEmpty() && bootId.equals(clock.bootId()) && numberOrTime <= clock.nanos();
-            timeBase = sameBoot ? TimeBase.THIS_BOOT : TimeBase.OTHER_BOOT;
+            recordedClock = sameBoot ? RecordedClock.THIS_BOOT : RecordedClock.OTHER_BOOT;
             return;
         }
         if (type == ENDPOINT_HEALTH) {
@@ -606,7 +610,7 @@
             case ATTEMPT -> {
                 AcceptedMessage.Attempt attempt = restoredAttempt(in.readUTF(), in.readLong());
                 message.attempts.add(attempt);
-                attempt.record = message.recordedAttempts++;
+                attempt.recordIndex = message.recordedAttemptCount++;
             }
             case NEVER_RAN -> message.attempts.get(in.readInt()).neverRan = true;
             case NOTICE -> {
@@ -630,7 +634,7 @@
      * it up.
      */
     private long restoredDeadlineNanos(long recordedTime) {
-        return switch (timeBase) {
+        return switch (recordedClock) {
             case THIS_BOOT -> recordedTime;
             case OTHER_BOOT -> clock.nanos() + OTHER_BOOT_TIME_LEFT_NANOS;
             case WALL_CLOCK -> clock.nanos() + TimeUnit.MILLISECONDS.toNanos(recordedTime - clock.wallMillis());
@@ -642,16 +646,16 @@
      * run is not sent again.
      */
     private AcceptedMessage.Attempt restoredAttempt(String endpoint, long recordedTime) {
-        return switch (timeBase) {
-            case THIS_BOOT -> AcceptedMessage.Attempt.sentAt(endpoint, recordedTime, clock);
+        return switch (recordedClock) {
+            case THIS_BOOT -> AcceptedMessage.Attempt.startedAt(endpoint, recordedTime, clock);
             case OTHER_BOOT -> AcceptedMessage.Attempt.ofUnknownAge(endpoint, clock);
-            case WALL_CLOCK -> AcceptedMessage.Attempt.sentAgo(endpoint, clock.wallMillis() - recordedTime, clock);
+            case WALL_CLOCK -> AcceptedMessage.Attempt.startedAgo(endpoint, clock.wallMillis() - recordedTime, clock);
         };
     }
 
     /** An endpoint state recorded in another boot counts as entered just now, so that a slow start begins again. */
     private RecordedHealth restoredHealth(Relay.EndpointState state, long recordedTime, double sustainedPerMs) {
-        return switch (timeBase) {
+        return switch (recordedClock) {
             case THIS_BOOT -> new RecordedHealth(state, recordedTime, sustainedPerMs);
             case OTHER_BOOT -> RecordedHealth.ofAge(0, state, sustainedPerMs, clock);
             case WALL_CLOCK -> RecordedHealth.ofAge(clock.wallMillis() - recordedTime, state, sustainedPerMs, clock);
--- a/src/main/java/kestreldeal/net/Metrics.java
+++ b/src/main/java/kestreldeal/net/Metrics.java
@@ -38,7 +38,7 @@
     private final List<String> classes;
     private final Map<Completion, Map<String, Long>> completions = new LinkedHashMap<>();
     private final Map<RejectionReason, Long> rejections = new EnumMap<>(RejectionReason.class);
-    private final Map<SendGuard.SuppressionReason, Long> suppressedCalls =
+    private final Map<SendGuard.SuppressionReason, Long> suppressedAttempts =
             new EnumMap<>(SendGuard.SuppressionReason.class);
     private final Map<ClientServer.CloseReason, Long> clientCloses = new EnumMap<>(ClientServer.CloseReason.class);
     private long messagesWritten;
@@ -63,8 +63,8 @@
     }
 
     /** Counts an attempt that was started but not written. */
-    void callSuppressed(SendGuard.SuppressionReason reason) {
-        suppressedCalls.merge(reason, 1L, Long::sum);
+    void attemptSuppressed(SendGuard.SuppressionReason reason) {
+        suppressedAttempts.merge(reason, 1L, Long::sum);
     }
 
     /** Counts a step of closing a client connection; one that lingers is counted under two reasons. */
@@ -78,8 +78,8 @@
     }
 
     /** All metrics in the Prometheus text format, with the current values of those that are not counted here. */
-    String toPrometheusText(int pending, int members, int unavailable, long journalFailures, boolean journalBehind,
-            Invariants invariants) {
+    String toPrometheusText(int pendingMessages, int listedEndpoints, int unavailableEndpoints,
+            long journalWriteFailures, boolean journalBehind, Invariants invariants) {
         StringBuilder text = new StringBuilder();
         completions.forEach((completion, counts) -> {
             for (String messageClass : classes) {
@@ -88,15 +88,15 @@
             }
         });
         appendValue(text, "upstream_requests_total", messagesWritten);
-        appendValue(text, "pending", pending);
-        appendValue(text, "members", members);
-        appendValue(text, "members_unavailable", unavailable);
-        appendValue(text, "journal_write_failures_total", journalFailures);
+        appendValue(text, "pending", pendingMessages);
+        appendValue(text, "members", listedEndpoints);
+        appendValue(text, "members_unavailable", unavailableEndpoints);
+        appendValue(text, "journal_write_failures_total", journalWriteFailures);
         appendValue(text, "journal_behind", journalBehind ? 1 : 0);
         appendByReason(text, "refusals_total", Metrics.RejectionReason.values(),
                 reason -> rejections.getOrDefault(reason, 0L));
         appendByReason(text, "calls_held_back_total", SendGuard.SuppressionReason.values(),
-                reason -> suppressedCalls.getOrDefault(reason, 0L));
+                reason -> suppressedAttempts.getOrDefault(reason, 0L));
         appendByReason(text, "client_closes_total", ClientServer.CloseReason.values(),
                 reason -> clientCloses.getOrDefault(reason, 0L));
         appendByReason(text, "invariant_breaches_total", Invariants.Rule.values(), invariants::breachCount);
--- a/src/main/java/kestreldeal/net/NoticeClient.java
+++ b/src/main/java/kestreldeal/net/NoticeClient.java
@@ -177,8 +177,8 @@
     private byte[] encodeLine(AcceptedMessage message) {
         AcceptedMessage.Notice notice = message.pendingNotice.orElseThrow();
         ObjectNode line = json.createObjectNode().put("ref", message.id)
-                .put("result", notice.bounced() ? "bounced" : "dead");
-        if (notice.bounced() && notice.retryAfterMs() > 0) {
+                .put("result", notice.rejected() ? "bounced" : "dead");
+        if (notice.rejected() && notice.retryAfterMs() > 0) {
             line.put("wait_ms", (long) Math.ceil(notice.retryAfterMs()));
         }
         return (line + "\n").getBytes(StandardCharsets.UTF_8);
--- a/src/main/java/kestreldeal/net/OperatorServer.java
+++ b/src/main/java/kestreldeal/net/OperatorServer.java
@@ -40,13 +40,13 @@
     /** The part of the sender that carries out commands. */
     interface CommandHandler {
         /** Whether this process accepts messages, or is a follower that can take over without a gap. */
-        boolean canServe();
+        boolean isReady();
 
         /** All metrics, one per line. */
         String metrics();
 
         /** Starts or ends an evacuation of the clients; repeating it does no harm. */
-        void evacuate(boolean start);
+        void setEvacuating(boolean active);
     }
 
     private final CommandHandler handler;
@@ -79,14 +79,14 @@
 
     private String execute(String command) {
         return switch (command.strip()) {
-            case "readyz" -> handler.canServe() ? "YES\n" : "NO not serving\n";
+            case "readyz" -> handler.isReady() ? "YES\n" : "NO not serving\n";
             case "telemetry" -> handler.metrics() + "END\n";
             case "evacuate" -> {
-                handler.evacuate(true);
+                handler.setEvacuating(true);
                 yield "YES\n";
             }
             case "activate" -> {
-                handler.evacuate(false);
+                handler.setEvacuating(false);
                 yield "YES\n";
             }
             default -> "NO unknown call\n";
--- a/src/main/java/kestreldeal/net/ProcessHandover.java
+++ b/src/main/java/kestreldeal/net/ProcessHandover.java
@@ -86,7 +86,7 @@
         void successorListening();
 
         /** The predecessor forwards a message that a client submitted there; returns the status to answer with. */
-        HttpResponseStatus messageForwarded(ClientServer.Submission submission);
+        HttpResponseStatus acceptForwarded(ClientServer.Submission submission);
 
         /** An attempt of the predecessor has completed. */
         void predecessorAttemptCompleted(InFlightResult result);
@@ -105,7 +105,7 @@
     private final LeaderLock leaderLock;
     private final Path socketPath;
     /** Whether processes connect to each other; otherwise a process can take over only once the leader has ended. */
-    private final boolean connectsProcesses;
+    private final boolean handoverAllowed;
     private final Callbacks callbacks;
     private final JsonMapper json = JsonMapper.builder()
             // A later release may send more fields.
@@ -118,7 +118,7 @@
     private Channel serverChannel;
     private boolean isLeader;
     /** Whether the leader has confirmed this process as its follower. */
-    private boolean registered;
+    private boolean registeredWithLeader;
     private boolean closed;
     /**
      * The last logged reason why this process could not become the leader, so that it is not logged again at each
@@ -129,12 +129,12 @@
     private final Map<Long, Consumer<HttpResponseStatus>> pendingAnswers = new HashMap<>();
     private long lastForwardNumber;
 
-    ProcessHandover(EventLoop loop, Path folder, boolean connectsProcesses, Callbacks callbacks) {
+    ProcessHandover(EventLoop loop, Path folder, boolean handoverAllowed, Callbacks callbacks) {
         this.loop = loop;
         this.leaderLock = new LeaderLock(folder);
         // The Unix domain socket on which the leader listens for a follower.
         this.socketPath = folder.resolve("helm.sock");
-        this.connectsProcesses = connectsProcesses;
+        this.handoverAllowed = handoverAllowed;
         this.callbacks = callbacks;
     }
 
@@ -149,7 +149,7 @@
         } catch (IOException e) {
             logCannotLead(e);
         }
-        leadOrConnect();
+        becomeLeaderOrConnect();
     }
 
     /** Logs why this process can't lead yet; since it retries, a repeated reason is not logged again. */
@@ -163,7 +163,7 @@
 
     /** Whether the leader has registered this process as its follower, so that it can take over without a gap. */
     boolean isRegisteredFollower() {
-        return !isLeader && registered;
+        return !isLeader && registeredWithLeader;
     }
 
     /** Whether this process leads and is still connected to the one that it took over from. */
@@ -179,7 +179,7 @@
             isLeader = false;
             throw e;
         }
-        if (connectsProcesses) {
+        if (handoverAllowed) {
             listenForFollower();
         }
     }
@@ -206,7 +206,7 @@
 
     // ---- as a follower ----
 
-    private void leadOrConnect() {
+    private void becomeLeaderOrConnect() {
         if (closed) {
             return;
         }
@@ -218,19 +218,19 @@
         } catch (IOException e) {
             logCannotLead(e);
         }
-        if (!connectsProcesses) {
-            leadOrConnectLater();
+        if (!handoverAllowed) {
+            scheduleRetry();
             return;
         }
         ProcessConnection.connect(loop, socketPath, new PredecessorHandler()).addListener(f -> {
             if (!f.isSuccess()) {
-                leadOrConnectLater();
+                scheduleRetry();
             }
         });
     }
 
-    private void leadOrConnectLater() {
-        loop.schedule(this::leadOrConnect, RETRY_INTERVAL_MS, TimeUnit.MILLISECONDS);
+    private void scheduleRetry() {
+        loop.schedule(this::becomeLeaderOrConnect, RETRY_INTERVAL_MS, TimeUnit.MILLISECONDS);
     }
 
     /** Takes over with the leader's state; the leader released the lock before it sent that. */
@@ -258,11 +258,11 @@
                     // Parsed only to load the classes and to warm up the parser: the first parse takes long, and would
                     // delay the takeover itself.
                     json.treeToValue(message.path("legacy"), HandoverState.class);
-                    registered = true;
+                    registeredWithLeader = true;
                 }
                 case "helm" -> takeOver(json.treeToValue(message.path("legacy"), HandoverState.class));
                 case "message" -> {
-                    HttpResponseStatus status = callbacks.messageForwarded(parseSubmission(message));
+                    HttpResponseStatus status = callbacks.acceptForwarded(parseSubmission(message));
                     connection.send(newMessage("answer").put("ask", message.path("ask").asLong())
                             .put("status", status.code()));
                 }
@@ -277,11 +277,11 @@
         @Override
         public void closed(ProcessConnection connection) {
             predecessor = Optional.empty();
-            registered = false;
+            registeredWithLeader = false;
             if (isLeader) {
                 callbacks.predecessorGone();
             } else {
-                leadOrConnect();
+                becomeLeaderOrConnect();
             }
         }
     }
@@ -368,9 +368,10 @@
 
         @Override
         public void closed(ProcessConnection connection) {
-            if (successor.filter(n -> n == connection).isPresent()) {
+            if (successor.filter(current -> current == connection).isPresent()) {
                 successor = Optional.empty();
-                new ArrayList<>(pendingAnswers.values()).forEach(a -> a.accept(HttpResponseStatus.SERVICE_UNAVAILABLE));
+                new ArrayList<>(pendingAnswers.values())
+                        .forEach(answer -> answer.accept(HttpResponseStatus.SERVICE_UNAVAILABLE));
                 pendingAnswers.clear();
             }
         }
--- a/src/main/java/kestreldeal/net/SendGuard.java
+++ b/src/main/java/kestreldeal/net/SendGuard.java
@@ -61,7 +61,7 @@
         }
         Relay.MessageClass messageClass = classOf(message);
         boolean inWindow = messageClass.effect() != Relay.Effect.KEYED
-                || message.isInDedupWindow(attemptNumber, nowNanos,
+                || message.isWithinDedupWindows(attemptNumber, nowNanos,
                         messageClass.dedupWindowMs() - MAX_WRITE_DELAY_MS - MAX_NETWORK_DELAY_MS);
         return inWindow ? Optional.empty() : Optional.of(SuppressionReason.WINDOW_PASSED);
     }
--- a/src/main/java/kestreldeal/net/Sender.java
+++ b/src/main/java/kestreldeal/net/Sender.java
@@ -84,11 +84,11 @@
     private final long startNanos = System.nanoTime();
     private final EndpointRegistry registry = new EndpointRegistry(MAX_ENDPOINTS);
     /** Accepted messages without a final result, by the number that the decision module uses. */
-    private final Map<Long, AcceptedMessage> openMessages = new HashMap<>();
+    private final Map<Long, AcceptedMessage> pendingMessages = new HashMap<>();
     /** The same messages by the id that the client gave them. */
-    private final Map<String, AcceptedMessage> openMessagesById = new HashMap<>();
+    private final Map<String, AcceptedMessage> pendingMessagesById = new HashMap<>();
     /** Attempts whose results this process awaits. Several of them may share a call. */
-    private final Map<AttemptId, EndpointClient.OutboundAttempt> callsInFlight = new HashMap<>();
+    private final Map<AttemptId, EndpointClient.OutboundAttempt> attemptsInFlight = new HashMap<>();
     private final Relay relay;
     /** Opened when this process becomes the leader; null before that. */
     private Journal journal;
@@ -110,7 +110,7 @@
     /** Time of the current turn, in milliseconds since the start of this process. */
     private double turnTimeMs;
     private boolean shuttingDown;
-    private int maxClients;
+    private int maxClientConnections;
     /**
      * Whether this process leads, has an endpoint list, and has begun to restore the journal. Without that, no message
      * is accepted.
@@ -119,7 +119,7 @@
     /** Whether an endpoint list has been read, from the configuration or from the agent. */
     private boolean listKnown;
     /** Whether the first request to the agent for the list has been answered or has failed. */
-    private boolean listQueryDone;
+    private boolean firstListRequestEnded;
     private ProcessHandover handover;
     /** State received from the predecessor; kept until the messages of the journal are restored. */
     private Optional<ProcessHandover.HandoverState> receivedState = Optional.empty();
@@ -178,14 +178,14 @@
      * background.
      */
     private void launch() {
-        loop.submit(this::initialize).syncUninterruptibly();
+        loop.submit(this::startOnEventLoop).syncUninterruptibly();
     }
 
     /**
      * For tests: starts as {@link #launch} does. If this process leads, waits until clients can connect and returns the
      * address bound; otherwise returns the configured address.
      */
-    InetSocketAddress start() {
+    InetSocketAddress startAndAwaitListening() {
         launch();
         return journal == null ? config.clientAddress() : clientListener.boundAddress().join();
     }
@@ -195,21 +195,21 @@
         return operatorListener.orElseThrow().boundAddress().join();
     }
 
-    private void initialize() {
+    private void startOnEventLoop() {
         if (shuttingDown) {
             // SIGTERM came before the start.
             return;
         }
         int descriptors = Math.max(config.maxSockets() - RESERVED_DESCRIPTORS, 64);
-        maxClients = (int) (descriptors * CLIENT_DESCRIPTOR_SHARE);
+        maxClientConnections = (int) (descriptors * CLIENT_DESCRIPTOR_SHARE);
         // Twice the slots (the limit on calls in flight): the connection of an abandoned call may still be open when
         // its slot is in use again.
-        int maxIdleConnections = Math.max(1, descriptors - maxClients - 2 * config.settings().slots());
+        int maxIdleConnections = Math.max(1, descriptors - maxClientConnections - 2 * config.settings().slots());
         endpointClient = new EndpointClient(loop, config.connectTimeoutMs(), config.settings().keepAliveMs(),
-                maxIdleConnections, new CallResults(), NioSocketChannel::new, machineClock);
-        agentAddress = config.discoveryAddress();
-        noticeClient = new NoticeClient(loop, new AgentClient(loop, agentAddress), this::closeInJournal);
-        clientServer = new ClientServer(loop, maxClients, submissionService);
+                maxIdleConnections, new AttemptResults(), NioSocketChannel::new, machineClock);
+        agentAddress = config.agentAddress();
+        noticeClient = new NoticeClient(loop, new AgentClient(loop, agentAddress), this::recordCompleted);
+        clientServer = new ClientServer(loop, maxClientConnections, submissionService);
         operatorServer = new OperatorServer(loop, new OperatorCommands());
         discovery = new Discovery(loop, new AgentClient(loop, agentAddress), new EndpointListUpdates());
         handover = new ProcessHandover(loop, config.stateFolder(), handoverAllowed, new HandoverEvents());
@@ -232,7 +232,7 @@
      * which is a bug.
      */
     private void checkOverdue() {
-        for (AcceptedMessage message : openMessages.values()) {
+        for (AcceptedMessage message : pendingMessages.values()) {
             if (message.acknowledged && !message.reportedOverdue
                     && message.timeLeftMs(machineClock) < -OVERDUE_GRACE_MS) {
                 message.reportedOverdue = true;
@@ -248,12 +248,12 @@
      * agent has been answered or has failed. It waits for the agent because the list in the configuration may be
      * outdated, and a process must respect the agent's current list from its start.
      */
-    private void restoreWhenReady() {
-        if (ready || journal == null || !listKnown || !listQueryDone) {
+    private void restoreIfReady() {
+        if (ready || journal == null || !listKnown || !firstListRequestEnded) {
             return;
         }
         ready = true;
-        runEvent(this::restoreFromJournal);
+        callDecisionModule(this::restoreFromJournal);
     }
 
     /**
@@ -263,7 +263,7 @@
      */
     void reload(Map<String, String> environment) {
         try {
-            InetSocketAddress address = Config.read(environment).discoveryAddress();
+            InetSocketAddress address = Config.read(environment).agentAddress();
             loop.execute(() -> setAgentAddress(address));
         } catch (InvalidInputException | IOException e) {
             Log.write("can't reload the configuration; keeping the current one: " + e.getMessage());
@@ -288,13 +288,13 @@
         int restored = 0;
         Collection<AcceptedMessage> messages = journal.liveMessages();
         receivedState.ifPresent(this::restoreHandoverState);
-        Map<AttemptId, Long> callsBefore = new HashMap<>();
+        Map<AttemptId, Long> predecessorCallIds = new HashMap<>();
         receivedState.filter(state -> handover.hasPredecessor()).ifPresent(state ->
                 state.out().forEach(attempt ->
-                        callsBefore.put(new AttemptId(attempt.message(), attempt.attempt()), attempt.call())));
+                        predecessorCallIds.put(new AttemptId(attempt.message(), attempt.attempt()), attempt.call())));
         receivedState = Optional.empty();
         journal.endpointHealth().forEach((id, health) -> {
-            double nowMs = openTurn();
+            double nowMs = currentTurnTimeMs();
             double sinceMs = nowMs - health.ageMs(machineClock);
             relay.restoreEndpointHealth(nowMs, endpointNumber(id),
                     new Relay.EndpointHealth(health.state(), sinceMs, health.sustainedPerMs()));
@@ -312,26 +312,26 @@
                 completeWithNotice(message, new AcceptedMessage.Notice(false, 0));
                 continue;
             }
-            double nowMs = openTurn();
+            double nowMs = currentTurnTimeMs();
             List<Relay.EarlierAttempt> earlierAttempts = new ArrayList<>();
             for (AcceptedMessage.Attempt attempt : message.attempts) {
-                double sentAtMs = Math.min(nowMs, (attempt.sentNanos - startNanos) / 1e6);
+                double sentAtMs = Math.min(nowMs, (attempt.startedNanos - startNanos) / 1e6);
                 AttemptId attemptId = new AttemptId(message.number, earlierAttempts.size());
-                OptionalLong callId = callsBefore.containsKey(attemptId) ? OptionalLong.of(callsBefore.get(attemptId))
-                        : OptionalLong.empty();
+                OptionalLong callId = predecessorCallIds.containsKey(attemptId)
+                        ? OptionalLong.of(predecessorCallIds.get(attemptId)) : OptionalLong.empty();
                 callId.ifPresent(id -> predecessorAttempts.put(attemptId, message));
                 earlierAttempts.add(new Relay.EarlierAttempt(endpointNumber(attempt.endpoint), sentAtMs,
                         !attempt.neverRan, callId));
             }
-            openMessages.put(message.number, message);
-            openMessagesById.put(message.id, message);
+            pendingMessages.put(message.number, message);
+            pendingMessagesById.put(message.id, message);
             message.acknowledged = true;
             restored++;
             trace.step("resumed", message.id, (long) message.timeLeftMs(machineClock), message.attempts.size());
             relay.messageRestored(nowMs, toRelayMessage(message, messageClass, message.timeLeftMs(machineClock)),
                     earlierAttempts);
         }
-        messages.stream().filter(message -> !message.finished && !openMessages.containsKey(message.number))
+        messages.stream().filter(message -> !message.finished && !pendingMessages.containsKey(message.number))
                 .forEach(message -> invariants.reportBreach(Invariants.Rule.HELD_TAKEN_UP, message.id,
                         "not restored from the journal"));
         Log.write(config.name() + " is ready; restored " + restored + " messages from its journal");
@@ -344,16 +344,17 @@
         for (Relay.LearnedEndpointState endpoint : state.memory().endpoints()) {
             learned.add(endpoint.withEndpointId(endpointNumber(state.endpoints().get(learned.size()))));
         }
-        relay.restoreLearnedState(openTurn(), new Relay.LearnedState(learned, state.memory().firstSendsAgo(),
+        relay.restoreLearnedState(currentTurnTimeMs(), new Relay.LearnedState(learned, state.memory().firstSendsAgo(),
                 state.memory().copiesAgo(), state.memory().retriesAgo()));
     }
 
-    private Relay.Message toRelayMessage(AcceptedMessage message, int messageClass, double leftMs) {
+    private Relay.Message toRelayMessage(AcceptedMessage message, int messageClass, double timeLeftMs) {
         // A message restored after a reboot has more time left than its class allows.
-        double boundedLeftMs = Math.min(leftMs, config.settings().classes().get(messageClass).deadlineMs());
+        double cappedTimeLeftMs = Math.min(timeLeftMs, config.settings().classes().get(messageClass).deadlineMs());
         // A tenant that is no longer configured counts as the first one.
         return new Relay.Message(message.number, messageClass,
-                Math.max(0, config.tenantNames().indexOf(message.tenant)), message.key, boundedLeftMs, message.destination);
+                Math.max(0, config.tenantNames().indexOf(message.tenant)), message.key, cappedTimeLeftMs,
+                message.destination);
     }
 
     // ---- the clock and turns ----
@@ -362,7 +363,7 @@
      * Returns the time of the current turn for the decision module, and begins a turn if there is none. All events of a
      * turn share one time; the turn ends when the event loop has run the tasks that were queued before its first event.
      */
-    private double openTurn() {
+    private double currentTurnTimeMs() {
         if (!turnOpen) {
             turnOpen = true;
             turnTimeMs = nowMs();
@@ -377,7 +378,7 @@
     }
 
     private void endTurn() {
-        runEvent(() -> relay.endTurn(turnTimeMs));
+        callDecisionModule(() -> relay.endTurn(turnTimeMs));
         turnOpen = false;
     }
 
@@ -390,12 +391,12 @@
      * Calls the decision module, unless this process has handed over. An exception is logged and not rethrown, so that
      * a bug in handling one message does not affect the others.
      */
-    private void runEvent(Runnable moduleCall) {
+    private void callDecisionModule(Runnable call) {
         if (handedOver) {
             return;
         }
         try {
-            moduleCall.run();
+            call.run();
         } catch (RuntimeException fault) {
             logModuleFault(fault);
         }
@@ -405,7 +406,7 @@
 
     @Override
     public void send(long messageNumber, long endpoint, double timeoutMs) {
-        AcceptedMessage message = openMessages.get(messageNumber);
+        AcceptedMessage message = pendingMessages.get(messageNumber);
         int attemptNumber = message.attempts.size();
         Optional<Invariants.Rule> breach =
                 sendGuard.violatedRule(message, registry.findDestination(endpoint).orElse(-1));
@@ -413,30 +414,30 @@
             invariants.reportBreach(breach.get(), message.id,
                     "an attempt at " + registry.id(endpoint) + " was prevented");
             message.attempts.add(AcceptedMessage.Attempt.neverSent(registry.id(endpoint), machineClock));
-            loop.execute(() -> attemptCompleted(message, attemptNumber, Relay.Outcome.NOT_SENT, false, 0,
+            loop.execute(() -> processAttemptResult(message, attemptNumber, Relay.Outcome.NOT_SENT, false, 0,
                     Relay.LoadReport.NONE, 0));
             return;
         }
-        AcceptedMessage.Attempt attempt = AcceptedMessage.Attempt.sentAgo(registry.id(endpoint), 0, machineClock);
+        AcceptedMessage.Attempt attempt = AcceptedMessage.Attempt.startedAgo(registry.id(endpoint), 0, machineClock);
         try {
             journal.recordAttempt(message, attempt);
         } catch (IOException e) {
             // Without a record in the journal the message could run twice after a restart, so the attempt is not made.
-            loop.execute(() -> attemptCompleted(message, attemptNumber, Relay.Outcome.NOT_SENT, false, 0,
+            loop.execute(() -> processAttemptResult(message, attemptNumber, Relay.Outcome.NOT_SENT, false, 0,
                     Relay.LoadReport.NONE, 0));
             return;
         }
         trace.step("attempt", message.id, attemptNumber, attempt.endpoint);
-        callsInFlight.put(new AttemptId(messageNumber, attemptNumber),
+        attemptsInFlight.put(new AttemptId(messageNumber, attemptNumber),
                 endpointClient.startAttempt(message, attemptNumber, endpoint, timeoutMs,
                         startNanos + (long) (turnTimeMs * 1e6)));
     }
 
     @Override
     public void cancel(long messageNumber, int attempt) {
-        EndpointClient.OutboundAttempt call = callsInFlight.get(new AttemptId(messageNumber, attempt));
-        if (call != null) {
-            endpointClient.cancel(call);
+        EndpointClient.OutboundAttempt outboundAttempt = attemptsInFlight.get(new AttemptId(messageNumber, attempt));
+        if (outboundAttempt != null) {
+            endpointClient.cancel(outboundAttempt);
         } else if (predecessorAttempts.containsKey(new AttemptId(messageNumber, attempt))) {
             handover.cancelAttempt(messageNumber, attempt);
         }
@@ -449,20 +450,21 @@
 
     @Override
     public void reject(long messageNumber, double retryAfterMs) {
-        metrics.messageCompleted(openMessages.get(messageNumber).messageClass, Metrics.Completion.REJECTED);
-        completeWithNotice(openMessages.get(messageNumber), new AcceptedMessage.Notice(true, retryAfterMs));
+        metrics.messageCompleted(pendingMessages.get(messageNumber).messageClass, Metrics.Completion.REJECTED);
+        completeWithNotice(pendingMessages.get(messageNumber), new AcceptedMessage.Notice(true, retryAfterMs));
     }
 
     @Override
     public void fail(long messageNumber) {
-        metrics.messageCompleted(openMessages.get(messageNumber).messageClass, Metrics.Completion.FAILED);
-        completeWithNotice(openMessages.get(messageNumber), new AcceptedMessage.Notice(false, 0));
+        metrics.messageCompleted(pendingMessages.get(messageNumber).messageClass, Metrics.Completion.FAILED);
+        completeWithNotice(pendingMessages.get(messageNumber), new AcceptedMessage.Notice(false, 0));
     }
 
     @Override
     public void wakeAt(double timeMs) {
         long delayNanos = (long) (timeMs * 1e6) - (System.nanoTime() - startNanos);
-        loop.schedule(() -> runEvent(() -> relay.wake(openTurn())), Math.max(0, delayNanos), TimeUnit.NANOSECONDS);
+        loop.schedule(() -> callDecisionModule(() -> relay.wake(currentTurnTimeMs())), Math.max(0, delayNanos),
+                TimeUnit.NANOSECONDS);
     }
 
     @Override
@@ -472,11 +474,11 @@
 
     @Override
     public void saveEndpointHealth(long endpoint, Relay.EndpointHealth health) {
-        saveHealth(registry.id(endpoint), Journal.RecordedHealth.ofAge(turnTimeMs - health.sinceMs(), health.state(),
-                health.sustainedPerMs(), machineClock));
+        recordEndpointHealth(registry.id(endpoint), Journal.RecordedHealth.ofAge(turnTimeMs - health.sinceMs(),
+                health.state(), health.sustainedPerMs(), machineClock));
     }
 
-    private void saveHealth(String endpoint, Journal.RecordedHealth health) {
+    private void recordEndpointHealth(String endpoint, Journal.RecordedHealth health) {
         if (journal != null) {
             journal.recordEndpointHealth(endpoint, health);
         }
@@ -487,7 +489,7 @@
             invariants.reportBreach(Invariants.Rule.ONE_END, message.id, "a second final result: " + notice);
             return;
         }
-        trace.step(notice.bounced() ? "refused" : "failed", message.id, message.attempts.size());
+        trace.step(notice.rejected() ? "refused" : "failed", message.id, message.attempts.size());
         finishMessage(message);
         journal.recordNotice(message, notice);
         noticeClient.enqueue(message);
@@ -496,18 +498,19 @@
     // ---- events for the decision module ----
 
     /** Passes the results of attempts to the decision module, or to the successor after a handover. */
-    private final class CallResults implements EndpointClient.CallListener {
+    private final class AttemptResults implements EndpointClient.AttemptListener {
         @Override
-        public void completed(EndpointClient.OutboundAttempt call, Relay.Outcome outcome, boolean messageOver,
-                double retryAfterMs, Relay.LoadReport report) {
-            callsInFlight.remove(new AttemptId(call.message.number, call.attemptNumber));
-            double durationMs = (System.nanoTime() - call.startedNanos) / 1e6;
+        public void attemptCompleted(EndpointClient.OutboundAttempt attempt, Relay.Outcome outcome,
+                boolean messageExpired, double retryAfterMs, Relay.LoadReport report) {
+            attemptsInFlight.remove(new AttemptId(attempt.message.number, attempt.attemptNumber));
+            double durationMs = (System.nanoTime() - attempt.startedNanos) / 1e6;
             if (handedOver) {
-                handover.sendResult(new ProcessHandover.InFlightResult(call.message.number, call.attemptNumber, outcome,
-                        messageOver, retryAfterMs, report, durationMs));
+                handover.sendResult(new ProcessHandover.InFlightResult(attempt.message.number, attempt.attemptNumber,
+                        outcome, messageExpired, retryAfterMs, report, durationMs));
                 return;
             }
-            attemptCompleted(call.message, call.attemptNumber, outcome, messageOver, retryAfterMs, report, durationMs);
+            processAttemptResult(attempt.message, attempt.attemptNumber, outcome, messageExpired, retryAfterMs, report,
+                    durationMs);
         }
 
         @Override
@@ -532,14 +535,14 @@
          * attempt itself.
          */
         @Override
-        public boolean sendAllowed(EndpointClient.OutboundAttempt call) {
+        public boolean sendAllowed(EndpointClient.OutboundAttempt attempt) {
             Optional<SendGuard.SuppressionReason> reason = handedOver
                     ? Optional.of(SendGuard.SuppressionReason.HANDED_OVER)
-                    : sendGuard.suppressionReason(call.message, call.attemptNumber,
-                            relay.sendAllowed(nowMs(), call.endpoint()),
+                    : sendGuard.suppressionReason(attempt.message, attempt.attemptNumber,
+                            relay.sendAllowed(nowMs(), attempt.endpoint()),
                             machineClock.nanos());
-            reason.ifPresent(metrics::callSuppressed);
-            trace.step(reason.map(r -> "heldback:" + r).orElse("write"), call.message.id, call.attemptNumber);
+            reason.ifPresent(metrics::attemptSuppressed);
+            trace.step(reason.map(r -> "heldback:" + r).orElse("write"), attempt.message.id, attempt.attemptNumber);
             return reason.isEmpty();
         }
     }
@@ -548,13 +551,14 @@
      * Reports a Retry-After wait. It starts now, possibly later than the turn's time, so the difference is added to it.
      */
     private void retryAfterReceived(long endpoint, double retryAfterMs) {
-        runEvent(() -> relay.retryAfterReceived(openTurn(), endpoint, retryAfterMs + nowMs() - turnTimeMs));
+        callDecisionModule(() ->
+                relay.retryAfterReceived(currentTurnTimeMs(), endpoint, retryAfterMs + nowMs() - turnTimeMs));
     }
 
-    private void attemptCompleted(AcceptedMessage message, int attempt, Relay.Outcome outcome, boolean messageOver,
-            double retryAfterMs, Relay.LoadReport report, double durationMs) {
+    private void processAttemptResult(AcceptedMessage message, int attempt, Relay.Outcome outcome,
+            boolean messageExpired, double retryAfterMs, Relay.LoadReport report, double durationMs) {
         trace.step("ended", message.id, attempt, outcome, (long) durationMs, (long) retryAfterMs);
-        if (!message.finished && (messageOver || outcome == Relay.Outcome.DELIVERED)) {
+        if (!message.finished && (messageExpired || outcome == Relay.Outcome.DELIVERED)) {
             finishMessage(message);
             if (outcome == Relay.Outcome.DELIVERED) {
                 metrics.messageCompleted(message.messageClass, Metrics.Completion.COMPLETED);
@@ -564,28 +568,28 @@
             journal.recordNeverRan(message, attempt);
         }
         boolean finished = message.finished;
-        runEvent(() -> relay.attemptCompleted(openTurn(), new Relay.AttemptResult(message.number, attempt, outcome,
-                durationMs, finished, retryAfterMs, report)));
+        callDecisionModule(() -> relay.attemptCompleted(currentTurnTimeMs(), new Relay.AttemptResult(message.number,
+                attempt, outcome, durationMs, finished, retryAfterMs, report)));
     }
 
     private void finishMessage(AcceptedMessage message) {
         message.finished = true;
-        openMessages.remove(message.number);
-        openMessagesById.remove(message.id);
+        pendingMessages.remove(message.number);
+        pendingMessagesById.remove(message.id);
     }
 
     /**
      * Records that nothing is left to do for a message: its notice is confirmed or dropped, or its 202 response could
      * not be written.
      */
-    private void closeInJournal(AcceptedMessage message) {
+    private void recordCompleted(AcceptedMessage message) {
         trace.step("heard", message.id);
         journal.recordCompleted(message);
     }
 
-    private void catchUpJournal() {
+    private void retryJournalWrites() {
         if (!handedOver) {
-            journal.catchUp();
+            journal.retryFailedWrites();
         }
     }
 
@@ -606,19 +610,19 @@
             if (fullList) {
                 removeUnlisted();
             }
-            forgetRemoved();
+            evictRemovedEndpoints();
             if (registry.skippedCount() > 0) {
                 Log.write("the endpoint list is too long: ignoring " + registry.skippedCount()
                         + " endpoints beyond the " + MAX_ENDPOINTS + " that fit into the heap");
             }
             listKnown = true;
-            restoreWhenReady();
+            restoreIfReady();
         }
 
         @Override
         public void firstRequestEnded() {
-            listQueryDone = true;
-            restoreWhenReady();
+            firstListRequestEnded = true;
+            restoreIfReady();
         }
     }
 
@@ -647,10 +651,10 @@
             entry.address().ifPresent(address -> endpointClient.updateEndpoint(endpointNumber, address, entry.serving(),
                     config.settings().kinds().get(kindIndex).maxBatchSize()));
             changes.add(new Relay.Endpoint(endpointNumber, entry.destination(), kindIndex,
-                    Math.max(0, config.zoneNames().indexOf(entry.zone())), entry.serving(), entry.weight(),
+                    Math.max(0, config.zoneNames().indexOf(entry.zone())), entry.serving(), entry.listedRate(),
                     entry.removed()));
         }
-        runEvent(() -> relay.endpointsChanged(openTurn(), false, changes));
+        callDecisionModule(() -> relay.endpointsChanged(currentTurnTimeMs(), false, changes));
     }
 
     /**
@@ -660,7 +664,7 @@
     private void removeUnlisted() {
         List<Relay.Endpoint> removed = registry.markUnnamedRemoved(System.nanoTime()).stream()
                 .map(Sender::removedEndpoint).toList();
-        runEvent(() -> relay.endpointsChanged(openTurn(), false, removed));
+        callDecisionModule(() -> relay.endpointsChanged(currentTurnTimeMs(), false, removed));
     }
 
     private static Relay.Endpoint removedEndpoint(EndpointRegistry.RegisteredEndpoint endpoint) {
@@ -671,14 +675,14 @@
      * Evicts endpoints that were removed long ago. The decision module must have evicted them before, since it must not
      * name an endpoint that is unknown here.
      */
-    private void forgetRemoved() {
+    private void evictRemovedEndpoints() {
         for (EndpointRegistry.RegisteredEndpoint endpoint
                 : registry.evictRemoved(System.nanoTime(),
                         TimeUnit.MILLISECONDS.toNanos(REMOVED_ENDPOINT_RETENTION_MS))) {
             endpointClient.removeEndpoint(endpoint.number());
             if (registry.findNumber(endpoint.id()).isEmpty()) {
                 // Deletes the recorded health: an endpoint in service needs no record.
-                saveHealth(endpoint.id(), new Journal.RecordedHealth(Relay.EndpointState.UP, 0, 0));
+                recordEndpointHealth(endpoint.id(), new Journal.RecordedHealth(Relay.EndpointState.UP, 0, 0));
             }
         }
     }
@@ -690,7 +694,7 @@
     /** Accepts or rejects what clients submit. */
     private final class SubmissionService implements ClientServer.SubmissionHandler {
         @Override
-        public boolean ready() {
+        public boolean isHealthy() {
             // After a handover submissions are still answered, by forwarding them.
             return ready && !shuttingDown || handedOver;
         }
@@ -712,7 +716,7 @@
         }
 
         @Override
-        public boolean knowsDestination(long destination) {
+        public boolean checkDestination(long destination) {
             boolean known = registry.knowsDestination(destination);
             if (!known) {
                 metrics.messageRejected(Metrics.RejectionReason.UNKNOWN_DESTINATION);
@@ -752,16 +756,16 @@
          */
         @Override
         public Optional<HttpResponseStatus> previousAnswer(String id) {
-            if (openMessagesById.containsKey(id)) {
+            if (pendingMessagesById.containsKey(id)) {
                 return Optional.of(HttpResponseStatus.ACCEPTED);
             }
-            return journal.deliveredBefore(id).map(delivered ->
+            return journal.wasDelivered(id).map(delivered ->
                     delivered ? HttpResponseStatus.ACCEPTED : HttpResponseStatus.CONFLICT);
         }
 
         @Override
         public Optional<AcceptedMessage> accept(ClientServer.Submission submission) {
-            if (!ready || openMessages.size() >= config.maxPendingMessages()) {
+            if (!ready || pendingMessages.size() >= config.maxPendingMessages()) {
                 return reject(submission, ready ? Metrics.RejectionReason.NO_ROOM : Metrics.RejectionReason.NOT_READY);
             }
             double classDeadlineMs = config.settings().classes()
@@ -771,8 +775,8 @@
                 // result would be too late, while a rejection does no harm.
                 return reject(submission, Metrics.RejectionReason.TOO_LITTLE_TIME);
             }
-            AcceptedMessage message = AcceptedMessage.fromSubmission(journal.nextNumber(), submission, classDeadlineMs,
-                    machineClock);
+            AcceptedMessage message = AcceptedMessage.fromSubmission(journal.assignNumber(), submission,
+                    classDeadlineMs, machineClock);
             try {
                 journal.recordAccepted(message);
             } catch (Journal.JournalFullException e) {
@@ -780,8 +784,8 @@
             } catch (IOException e) {
                 return reject(submission, Metrics.RejectionReason.JOURNAL);
             }
-            openMessages.put(message.number, message);
-            openMessagesById.put(message.id, message);
+            pendingMessages.put(message.number, message);
+            pendingMessagesById.put(message.id, message);
             trace.step("taken", message.id, message.messageClass, message.destination, submission.budgetMs());
             return Optional.of(message);
         }
@@ -793,21 +797,21 @@
         }
 
         @Override
-        public void responseWritten(AcceptedMessage message, boolean written) {
+        public void responseWritten(AcceptedMessage message, boolean success) {
             if (message.acknowledged || message.finished || handedOver) {
                 return;
             }
-            message.acknowledged = written;
-            trace.step(written ? "answered" : "unheard", message.id);
-            if (!written) {
+            message.acknowledged = success;
+            trace.step(success ? "answered" : "unheard", message.id);
+            if (!success) {
                 // Without a 202 the client does not count the message as accepted: it submits it again, and this
                 // submission needs no final result.
                 finishMessage(message);
-                Sender.this.closeInJournal(message);
+                Sender.this.recordCompleted(message);
                 return;
             }
             int messageClass = config.classNames().indexOf(message.messageClass);
-            runEvent(() -> relay.messageAccepted(openTurn(),
+            callDecisionModule(() -> relay.messageAccepted(currentTurnTimeMs(),
                     toRelayMessage(message, messageClass, message.timeLeftMs(machineClock))));
         }
     }
@@ -815,22 +819,22 @@
     /** Carries out the operators' commands. */
     private final class OperatorCommands implements OperatorServer.CommandHandler {
         @Override
-        public boolean canServe() {
+        public boolean isReady() {
             return !shuttingDown && (ready || listKnown && handover.isRegisteredFollower());
         }
 
         @Override
         public String metrics() {
             Relay.EndpointCounts counts = relay.endpointCounts();
-            return metrics.toPrometheusText(openMessages.size(), counts.listed(), counts.unavailable(),
+            return metrics.toPrometheusText(pendingMessages.size(), counts.listed(), counts.unavailable(),
                     Optional.ofNullable(journal).map(Journal::writeFailures).orElse(0L),
-                    Optional.ofNullable(journal).filter(Journal::isBehind).isPresent(), invariants);
+                    Optional.ofNullable(journal).filter(Journal::hasUnwrittenState).isPresent(), invariants);
         }
 
         @Override
-        public void evacuate(boolean start) {
-            Log.write(start ? "operator command: evacuating clients" : "operator command: accepting clients again");
-            clientServer.evacuate(start);
+        public void setEvacuating(boolean active) {
+            Log.write(active ? "operator command: evacuating clients" : "operator command: accepting clients again");
+            clientServer.setEvacuating(active);
         }
     }
 
@@ -840,22 +844,23 @@
         public void becomeLeader(Optional<ProcessHandover.HandoverState> state) throws IOException {
             journal = new Journal(config.stateFolder(), config.diskBytes(), config.settings().maxAttempts(),
                     machineClock, FileChannel::open);
-            journal.onFailure(afterMs -> loop.schedule(Sender.this::catchUpJournal, afterMs, TimeUnit.MILLISECONDS));
+            journal.onFailure(afterMs ->
+                    loop.schedule(Sender.this::retryJournalWrites, afterMs, TimeUnit.MILLISECONDS));
             receivedState = state;
             if (handover.hasPredecessor()) {
-                clientServer.setConnectionLimit(maxClients / 2);
+                clientServer.setConnectionLimit(maxClientConnections / 2);
             }
-            restoreWhenReady();
+            restoreIfReady();
             clientListener.start();
         }
 
         @Override
         public ProcessHandover.HandoverState handoverState() {
-            Relay.LearnedState learnedState = relay.learnedState(openTurn());
+            Relay.LearnedState learnedState = relay.learnedState(currentTurnTimeMs());
             List<ProcessHandover.InFlightAttempt> inFlight = new ArrayList<>();
-            callsInFlight.forEach((id, call) ->
-                    inFlight.add(new ProcessHandover.InFlightAttempt(id.messageNumber(), id.attempt(), call.callId())));
-            return new ProcessHandover.HandoverState(journal.completedIds(), inFlight,
+            attemptsInFlight.forEach((id, attempt) -> inFlight.add(
+                    new ProcessHandover.InFlightAttempt(id.messageNumber(), id.attempt(), attempt.callId())));
+            return new ProcessHandover.HandoverState(journal.deliveredByCompletedId(), inFlight,
                     learnedState.endpoints().stream().map(endpoint -> registry.id(endpoint.endpoint())).toList(),
                     learnedState);
         }
@@ -869,12 +874,12 @@
 
         /** Accepts or rejects a message that a client submitted to the predecessor, which passes on the answer. */
         @Override
-        public HttpResponseStatus messageForwarded(ClientServer.Submission submission) {
+        public HttpResponseStatus acceptForwarded(ClientServer.Submission submission) {
             Optional<HttpResponseStatus> previousAnswer = submissionService.previousAnswer(submission.id());
             if (previousAnswer.isPresent()) {
                 return previousAnswer.get();
             }
-            Optional<AcceptedMessage> accepted = submissionService.knowsDestination(submission.destination())
+            Optional<AcceptedMessage> accepted = submissionService.checkDestination(submission.destination())
                     ? submissionService.accept(submission) : Optional.empty();
             accepted.ifPresentOrElse(message -> submissionService.responseWritten(message, true),
                     () -> submissionService.submissionRejected(submission.messageClass()));
@@ -885,7 +890,7 @@
         public void predecessorAttemptCompleted(ProcessHandover.InFlightResult result) {
             AcceptedMessage message = predecessorAttempts.remove(new AttemptId(result.message(), result.attempt()));
             if (message != null) {
-                attemptCompleted(message, result.attempt(), result.outcome(), result.gone(), result.waitMs(),
+                processAttemptResult(message, result.attempt(), result.outcome(), result.gone(), result.waitMs(),
                         result.report(), result.tookMs());
             }
         }
@@ -910,9 +915,9 @@
                     + " of its attempts were still in flight and count as broken");
             Map<AttemptId, AcceptedMessage> lost = new HashMap<>(predecessorAttempts);
             predecessorAttempts.clear();
-            lost.forEach((id, message) -> attemptCompleted(message, id.attempt(), Relay.Outcome.BROKEN, false, 0,
+            lost.forEach((id, message) -> processAttemptResult(message, id.attempt(), Relay.Outcome.BROKEN, false, 0,
                     Relay.LoadReport.NONE, 0));
-            clientServer.setConnectionLimit(maxClients);
+            clientServer.setConnectionLimit(maxClientConnections);
         }
     }
 
@@ -929,10 +934,10 @@
         handover.handOver(state);
         clientServer.handOver();
         endpointClient.closeAllIdleConnections();
-        Log.write(config.name() + " has handed over " + openMessages.size() + " messages to its successor, with "
+        Log.write(config.name() + " has handed over " + pendingMessages.size() + " messages to its successor, with "
                 + state.out().size() + " attempts in flight");
-        openMessages.clear();
-        openMessagesById.clear();
+        pendingMessages.clear();
+        pendingMessagesById.clear();
     }
 
     // ---- shutdown ----
@@ -947,7 +952,7 @@
         loop.execute(() -> {
             if (handover != null && handover.hasFollower()) {
                 handOver();
-                awaitIdle(drainStartNanos);
+                awaitDrained(drainStartNanos);
                 return;
             }
             shuttingDown = true;
@@ -956,11 +961,11 @@
                 stopped.countDown();
                 return;
             }
-            runEvent(() -> relay.shutdownScheduled(openTurn(), turnTimeMs + drainTimeoutMs));
+            callDecisionModule(() -> relay.shutdownScheduled(currentTurnTimeMs(), turnTimeMs + drainTimeoutMs));
             loop.schedule(() -> {
                 clientListener.close();
                 clientServer.closeAfterNextResponse();
-                awaitIdle(drainStartNanos);
+                awaitDrained(drainStartNanos);
             }, drainAcceptMs, TimeUnit.MILLISECONDS);
         });
         try {
@@ -970,19 +975,19 @@
         }
     }
 
-    private void awaitIdle(long drainStartNanos) {
-        boolean idle = openMessages.isEmpty() && noticeClient.pendingCount() == 0 && clientServer.connectionCount() == 0
-                && (!handedOver || callsInFlight.isEmpty());
-        if (idle || System.nanoTime() - drainStartNanos >= TimeUnit.MILLISECONDS.toNanos(drainTimeoutMs)) {
+    private void awaitDrained(long drainStartNanos) {
+        boolean drained = pendingMessages.isEmpty() && noticeClient.pendingCount() == 0
+                && clientServer.connectionCount() == 0 && (!handedOver || attemptsInFlight.isEmpty());
+        if (drained || System.nanoTime() - drainStartNanos >= TimeUnit.MILLISECONDS.toNanos(drainTimeoutMs)) {
             Log.write(config.name() + " is stopping; "
-                    + (handedOver ? callsInFlight.size() + " attempts are still in flight"
-                    : "its journal holds " + openMessages.size() + " pending messages and "
+                    + (handedOver ? attemptsInFlight.size() + " attempts are still in flight"
+                    : "its journal holds " + pendingMessages.size() + " pending messages and "
                             + noticeClient.pendingCount() + " unconfirmed notices"));
             clientServer.shutDown();
             awaitClientsClosed(System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(CLIENT_CLOSE_TIMEOUT_MS));
             return;
         }
-        loop.schedule(() -> awaitIdle(drainStartNanos), DRAIN_POLL_INTERVAL_MS, TimeUnit.MILLISECONDS);
+        loop.schedule(() -> awaitDrained(drainStartNanos), DRAIN_POLL_INTERVAL_MS, TimeUnit.MILLISECONDS);
     }
 
     private void awaitClientsClosed(long untilNanos) {
--- a/src/test/java/kestreldeal/net/AcceptedMessageTest.java
+++ b/src/test/java/kestreldeal/net/AcceptedMessageTest.java
@@ -16,13 +16,13 @@
 
     private AcceptedMessage.Attempt addAttempt(long atMs) {
         clock.advanceTo(startNanos + TimeUnit.MILLISECONDS.toNanos(atMs));
-        AcceptedMessage.Attempt attempt = AcceptedMessage.Attempt.sentAgo("e", 0, clock);
+        AcceptedMessage.Attempt attempt = AcceptedMessage.Attempt.startedAgo("e", 0, clock);
         message.attempts.add(attempt);
         return attempt;
     }
 
     private boolean isInDedupWindow(int attempt, long nowMs, double windowMs) {
-        return message.isInDedupWindow(attempt, startNanos + TimeUnit.MILLISECONDS.toNanos(nowMs), windowMs);
+        return message.isWithinDedupWindows(attempt, startNanos + TimeUnit.MILLISECONDS.toNanos(nowMs), windowMs);
     }
 
     @Test
@@ -57,14 +57,14 @@
     /** The clock went back, so how long ago the attempt was made is unknown. */
     @Test
     void attemptFromTheFutureIsOutsideAnyWindow() {
-        message.attempts.add(AcceptedMessage.Attempt.sentAgo("e", -5000, clock));
+        message.attempts.add(AcceptedMessage.Attempt.startedAgo("e", -5000, clock));
         addAttempt(0);
         assertFalse(isInDedupWindow(1, 0, TimeUnit.DAYS.toMillis(1)));
     }
 
     @Test
     void attemptOfAPreviousProcessKeepsItsAge() {
-        message.attempts.add(AcceptedMessage.Attempt.sentAgo("e", 60_000, clock));
+        message.attempts.add(AcceptedMessage.Attempt.startedAgo("e", 60_000, clock));
         addAttempt(0);
         assertFalse(isInDedupWindow(1, 0, 60_000 - 1));
         assertTrue(isInDedupWindow(1, 0, 60_000));
@@ -82,8 +82,8 @@
     private void assertTimes(AcceptedMessage message, long timeLeftMs, long expiresInMs) {
         assertEquals(timeLeftMs, message.timeLeftMs(clock));
         clock.advance(expiresInMs - 1);
-        assertFalse(message.mayHaveExpired(clock));
+        assertFalse(message.budgetMayBeUsedUp(clock));
         clock.advance(1);
-        assertTrue(message.mayHaveExpired(clock));
+        assertTrue(message.budgetMayBeUsedUp(clock));
     }
 }
--- a/src/test/java/kestreldeal/net/AcceptingSubmissionHandler.java
+++ b/src/test/java/kestreldeal/net/AcceptingSubmissionHandler.java
@@ -6,7 +6,7 @@
 /** A handler that is ready but knows no class, tenant or destination and accepts no message. */
 class AcceptingSubmissionHandler implements ClientServer.SubmissionHandler {
     @Override
-    public boolean ready() {
+    public boolean isHealthy() {
         return true;
     }
 
@@ -26,7 +26,7 @@
     }
 
     @Override
-    public boolean knowsDestination(long destination) {
+    public boolean checkDestination(long destination) {
         return false;
     }
 
--- a/src/test/java/kestreldeal/net/ClientServerTest.java
+++ b/src/test/java/kestreldeal/net/ClientServerTest.java
@@ -32,7 +32,7 @@
         private volatile Runnable onSubmission = () -> { };
 
         @Override
-        public boolean ready() {
+        public boolean isHealthy() {
             onReady.run();
             return true;
         }
@@ -48,7 +48,7 @@
         }
 
         @Override
-        public boolean knowsDestination(long destination) {
+        public boolean checkDestination(long destination) {
             return true;
         }
 
@@ -171,7 +171,7 @@
             slow.connect(address);
             StubServer.write(slow, HEALTH.substring(0, 10));
             StubServer.await("the first bytes are read",
-                    () -> loop.submit(server::partialRequests).syncUninterruptibly().getNow() == 1);
+                    () -> loop.submit(server::partialRequestCount).syncUninterruptibly().getNow() == 1);
             newClient.connect(address);
             assertEquals("HTTP/1.1 200 OK", exchange(newClient, HEALTH).line());
             assertEquals("HTTP/1.1 503 Service Unavailable",
--- a/src/test/java/kestreldeal/net/EndpointClientTest.java
+++ b/src/test/java/kestreldeal/net/EndpointClientTest.java
@@ -58,10 +58,10 @@
         setAddress(stub.address());
     }
 
-    private EndpointClient.CallListener listener() {
-        return new EndpointClient.CallListener() {
+    private EndpointClient.AttemptListener listener() {
+        return new EndpointClient.AttemptListener() {
         @Override
-        public void completed(EndpointClient.OutboundAttempt attempt, Outcome outcome, boolean messageFinished,
+        public void attemptCompleted(EndpointClient.OutboundAttempt attempt, Outcome outcome, boolean messageFinished,
                 double retryAfterMs, LoadReport report) {
             reportedRates.add(report.rate());
             results.add(new Result(outcome, messageFinished, retryAfterMs));
--- a/src/test/java/kestreldeal/net/FileDescriptorsTest.java
+++ b/src/test/java/kestreldeal/net/FileDescriptorsTest.java
@@ -186,7 +186,7 @@
         try {
             AcceptedMessage message = new AcceptedMessage(1, "id", "order", "", Optional.of("key"), 7, Long.MAX_VALUE,
                     new byte[0]);
-            message.attempts.add(AcceptedMessage.Attempt.sentAgo("e", 0, MachineClock.system()));
+            message.attempts.add(AcceptedMessage.Attempt.startedAgo("e", 0, MachineClock.system()));
             loop.execute(() -> {
                 EndpointClient endpoints = new EndpointClient(loop, 1000, 15_000, 10,
                         (call, outcome, messageOver, retryAfterMs, report) -> result.complete(outcome), () -> {
--- a/src/test/java/kestreldeal/net/JournalFailureTest.java
+++ b/src/test/java/kestreldeal/net/JournalFailureTest.java
@@ -38,7 +38,7 @@
     }
 
     private AcceptedMessage newMessage(Journal journal) {
-        long number = journal.nextNumber();
+        long number = journal.assignNumber();
         return AcceptedMessage.withTimeLeft(number, "id-" + number, "order", "", Optional.of("key"), 7, 600_000,
                 new byte[100], clock);
     }
@@ -96,7 +96,7 @@
             AcceptedMessage message = accept(journal);
             for (long sizeBefore = -1; journal.size() > sizeBefore;) {
                 sizeBefore = journal.size();
-                journal.recordAttempt(message, AcceptedMessage.Attempt.sentAgo("e".repeat(5000), 0, clock));
+                journal.recordAttempt(message, AcceptedMessage.Attempt.startedAgo("e".repeat(5000), 0, clock));
                 journal.recordCompleted(message);
                 message = accept(journal);
             }
@@ -142,7 +142,7 @@
             AcceptedMessage noticePending = accept(journal);
             AcceptedMessage notRun = accept(journal);
             for (AcceptedMessage message : List.of(delivered, noticePending, notRun)) {
-                journal.recordAttempt(message, AcceptedMessage.Attempt.sentAgo("e", 0, clock));
+                journal.recordAttempt(message, AcceptedMessage.Attempt.startedAgo("e", 0, clock));
             }
             files.fail(true);
             journal.recordCompleted(delivered);
@@ -156,7 +156,7 @@
         try (Journal journal = reopen()) {
             assertEquals(List.of("id-1", "id-2", "id-3"),
                     journal.liveMessages().stream().map(message -> message.id).toList());
-            assertEquals(Optional.of(true), journal.deliveredBefore("id-0"));
+            assertEquals(Optional.of(true), journal.wasDelivered("id-0"));
             List<AcceptedMessage> messages = List.copyOf(journal.liveMessages());
             assertEquals(Optional.of(new AcceptedMessage.Notice(true, 500)), messages.get(0).pendingNotice);
             assertTrue(messages.get(1).attempts.get(0).neverRan);
@@ -177,10 +177,10 @@
             }
             journal.recordCompleted(completed);
             journal.recordNotice(noticePending, new AcceptedMessage.Notice(false, 0));
-            assertTrue(journal.isBehind());
+            assertTrue(journal.hasUnwrittenState());
             files.fail(false);
             clock.advance(AFTER_RETRY_DELAY_MS);
-            assertTrue(journal.catchUp());
+            assertTrue(journal.retryFailedWrites());
         }
         try (Journal journal = reopen()) {
             assertEquals(List.of("id-0"), journal.liveMessages().stream().map(h -> h.id).toList());
@@ -198,19 +198,19 @@
             files.fail(true);
             assertThrows(IOException.class, () -> accept(journal));
             for (int i = 0; i < 7; i++) {
-                assertFalse(journal.catchUp(), "the retry delay is still running");
+                assertFalse(journal.retryFailedWrites(), "the retry delay is still running");
                 clock.advance(delays.get(i));
-                assertFalse(journal.catchUp());
+                assertFalse(journal.retryFailedWrites());
             }
             assertEquals(List.of(10L, 20L, 40L, 80L, 160L, 320L, 320L, 320L), delays);
             assertEquals(8, journal.writeFailures());
             files.fail(false);
             assertThrows(IOException.class,
-                    () -> journal.recordAttempt(message, AcceptedMessage.Attempt.sentAgo("e", 0, clock)));
+                    () -> journal.recordAttempt(message, AcceptedMessage.Attempt.startedAgo("e", 0, clock)));
             clock.advance(320);
-            assertTrue(journal.catchUp());
-            assertFalse(journal.isBehind());
-            journal.recordAttempt(message, AcceptedMessage.Attempt.sentAgo("e", 0, clock));
+            assertTrue(journal.retryFailedWrites());
+            assertFalse(journal.hasUnwrittenState());
+            journal.recordAttempt(message, AcceptedMessage.Attempt.startedAgo("e", 0, clock));
         }
     }
 }
--- a/src/test/java/kestreldeal/net/JournalTest.java
+++ b/src/test/java/kestreldeal/net/JournalTest.java
@@ -33,13 +33,13 @@
     }
 
     private AcceptedMessage newMessage(Journal journal, int bodyBytes) {
-        long number = journal.nextNumber();
+        long number = journal.assignNumber();
         return AcceptedMessage.withTimeLeft(number, "id-" + number, "order", "desk", Optional.of("key"), 7, 12_345,
                 new byte[bodyBytes], clock);
     }
 
     private AcceptedMessage.Attempt newAttempt(String endpoint) {
-        return AcceptedMessage.Attempt.sentAgo(endpoint, 0, clock);
+        return AcceptedMessage.Attempt.startedAgo(endpoint, 0, clock);
     }
 
     @Test
@@ -72,7 +72,7 @@
             assertEquals(List.of(true, false), a.attempts.stream().map(x -> x.neverRan).toList());
             assertEquals(100, a.attempts.get(1).ageMs(clock));
             assertEquals(Optional.of(new AcceptedMessage.Notice(true, 500)), messages.get(1).pendingNotice);
-            assertEquals(3, journal.nextNumber(), "message numbers are not reused");
+            assertEquals(3, journal.assignNumber(), "message numbers are not reused");
         }
     }
 
@@ -266,8 +266,8 @@
         }
         for (int restart = 0; restart < 3; restart++) {
             try (Journal journal = open()) {
-                assertEquals(Map.of("id-0", true, "id-1", false, "id-2", false), journal.completedIds());
-                assertEquals(Optional.empty(), journal.deliveredBefore("id-3"),
+                assertEquals(Map.of("id-0", true, "id-1", false, "id-2", false), journal.deliveredByCompletedId());
+                assertEquals(Optional.empty(), journal.wasDelivered("id-3"),
                         "its client never got the answer that it was accepted");
                 journal.handOver();
             }
@@ -280,8 +280,8 @@
             for (int i = 0; i < 6000; i++) {
                 journal.rememberCompleted("9b1f03aa5c7e2d41-" + i, true);
             }
-            assertEquals(Optional.of(true), journal.deliveredBefore("9b1f03aa5c7e2d41-5999"));
-            assertEquals(Optional.empty(), journal.deliveredBefore("9b1f03aa5c7e2d41-0"));
+            assertEquals(Optional.of(true), journal.wasDelivered("9b1f03aa5c7e2d41-5999"));
+            assertEquals(Optional.empty(), journal.wasDelivered("9b1f03aa5c7e2d41-0"));
             journal.handOver();
             assertTrue(journal.size() <= DISK_BYTES / 16, "bytes: " + journal.size());
         }
--- a/src/test/java/kestreldeal/net/OperatorServerTest.java
+++ b/src/test/java/kestreldeal/net/OperatorServerTest.java
@@ -31,7 +31,7 @@
     void open() {
         OperatorServer server = new OperatorServer(group.next(), new OperatorServer.CommandHandler() {
             @Override
-            public boolean canServe() {
+            public boolean isReady() {
                 return canServe;
             }
 
@@ -41,7 +41,7 @@
             }
 
             @Override
-            public void evacuate(boolean start) {
+            public void setEvacuating(boolean start) {
                 evacuating = start;
             }
         });
--- a/src/test/java/kestreldeal/net/RepeatWindowTest.java
+++ b/src/test/java/kestreldeal/net/RepeatWindowTest.java
@@ -54,17 +54,18 @@
     private long writeJournal(long attemptAgeMs) throws Exception {
         try (Journal journal = environment.openJournal()) {
             long wallMillis = System.currentTimeMillis();
-            AcceptedMessage message = AcceptedMessage.withTimeLeft(journal.nextNumber(), "old", "order", "",
+            AcceptedMessage message = AcceptedMessage.withTimeLeft(journal.assignNumber(), "old", "order", "",
                     Optional.of("key-old"), 0, 20_000, new byte[0], MachineClock.system());
             journal.recordAccepted(message);
-            journal.recordAttempt(message, AcceptedMessage.Attempt.sentAgo("s-0", attemptAgeMs, MachineClock.system()));
+            journal.recordAttempt(message,
+                    AcceptedMessage.Attempt.startedAgo("s-0", attemptAgeMs, MachineClock.system()));
             return wallMillis - attemptAgeMs;
         }
     }
 
     private void start() throws Exception {
         sender = environment.createSender();
-        sender.start();
+        sender.startAndAwaitListening();
     }
 
     /** Waits for the notice of a message that has this number of attempts, none of them written by this process. */
--- a/src/test/java/kestreldeal/net/RestartTest.java
+++ b/src/test/java/kestreldeal/net/RestartTest.java
@@ -78,7 +78,7 @@
                             Journal.RecordedHealth.ofAge(0, Relay.EndpointState.DOWN, 0.001, MachineClock.system()));
                 }
                 for (int i = 0;; i++) {
-                    AcceptedMessage message = AcceptedMessage.withTimeLeft(journal.nextNumber(), "old-" + i,
+                    AcceptedMessage message = AcceptedMessage.withTimeLeft(journal.assignNumber(), "old-" + i,
                             i % 2 == 0 ? "order" : "once",
                             "", Optional.of("key-" + i), i % ENDPOINTS, 20_000, new byte[200], MachineClock.system());
                     try {
@@ -88,7 +88,7 @@
                     }
                     if (i % 3 == 1) {
                         journal.recordAttempt(message,
-                                AcceptedMessage.Attempt.sentAgo("s-" + i % ENDPOINTS, 0, MachineClock.system()));
+                                AcceptedMessage.Attempt.startedAgo("s-" + i % ENDPOINTS, 0, MachineClock.system()));
                     } else if (i % 3 == 2) {
                         journal.recordNotice(message, new AcceptedMessage.Notice(true, 0));
                     }
@@ -121,7 +121,7 @@
         void start() {
             try {
                 sender = environment.createSender();
-                address.complete(sender.start());
+                address.complete(sender.startAndAwaitListening());
             } catch (Exception e) {
                 throw new AssertionError(e);
             }
--- a/src/test/java/kestreldeal/net/SendGuardTest.java
+++ b/src/test/java/kestreldeal/net/SendGuardTest.java
@@ -24,7 +24,7 @@
         AcceptedMessage message = AcceptedMessage.withTimeLeft(1, "id", messageClass, "", Optional.of("key"),
                 DESTINATION, 8000, new byte[0], clock);
         for (int i = 0; i < attempts; i++) {
-            message.attempts.add(AcceptedMessage.Attempt.sentAgo("e", 0, clock));
+            message.attempts.add(AcceptedMessage.Attempt.startedAgo("e", 0, clock));
         }
         return message;
     }
@@ -69,7 +69,7 @@
     void repeatIsWrittenOnlyIfItArrivesInTheDedupWindow() {
         AcceptedMessage message = message("order", 1);
         clock.advance(WINDOW_MS - 250);
-        message.attempts.add(AcceptedMessage.Attempt.sentAgo("e", 0, clock));
+        message.attempts.add(AcceptedMessage.Attempt.startedAgo("e", 0, clock));
         assertEquals(Optional.empty(), suppressionReason(message, true));
         clock.advance(1);
         assertEquals(Optional.of(SendGuard.SuppressionReason.WINDOW_PASSED), suppressionReason(message, true));
--- a/src/test/java/kestreldeal/net/SenderTest.java
+++ b/src/test/java/kestreldeal/net/SenderTest.java
@@ -168,7 +168,7 @@
 
     private void startWithoutWaiting(long drainTimeoutMs) throws Exception {
         sender = new Sender(config(), handoverAllowed, Sender.DRAIN_ACCEPT_MS, drainTimeoutMs);
-        address = sender.start();
+        address = sender.startAndAwaitListening();
     }
 
     private void killAndRestart() throws Exception {
@@ -238,13 +238,13 @@
     private AcceptedMessage writeJournalWithOneMessage(String messageClass, long attemptAgoMs, long leftMs,
             boolean withNotice) throws Exception {
         try (Journal journal = new Journal(folder.resolve("state"), 3_000_000, 12)) {
-            AcceptedMessage message = AcceptedMessage.withTimeLeft(journal.nextNumber(), "old", messageClass, "acme",
+            AcceptedMessage message = AcceptedMessage.withTimeLeft(journal.assignNumber(), "old", messageClass, "acme",
                     Optional.of("key-old"), 7,
                     leftMs, "hello".getBytes(StandardCharsets.ISO_8859_1), MachineClock.system());
             journal.recordAccepted(message);
             if (attemptAgoMs > 0) {
                 journal.recordAttempt(message,
-                        AcceptedMessage.Attempt.sentAgo("s-0", attemptAgoMs, MachineClock.system()));
+                        AcceptedMessage.Attempt.startedAgo("s-0", attemptAgoMs, MachineClock.system()));
             }
             if (withNotice) {
                 journal.recordNotice(message, new AcceptedMessage.Notice(true, 700));
@@ -257,7 +257,7 @@
     private void writeJournalWithBacklog(int count, Map<String, Relay.EndpointState> health) throws Exception {
         try (Journal journal = new Journal(folder.resolve("state"), 3_000_000, 12)) {
             for (int i = 0; i < count; i++) {
-                journal.recordAccepted(AcceptedMessage.withTimeLeft(journal.nextNumber(), "old-" + i, "order", "acme",
+                journal.recordAccepted(AcceptedMessage.withTimeLeft(journal.assignNumber(), "old-" + i, "order", "acme",
                         Optional.of("key-" + i), 7, 15_000, new byte[0], MachineClock.system()));
             }
             for (Map.Entry<String, Relay.EndpointState> entry : health.entrySet()) {
@@ -574,7 +574,7 @@
 
     private void startFollowerAgain() throws Exception {
         sender = new Sender(config(), handoverAllowed, Sender.DRAIN_ACCEPT_MS, Sender.DRAIN_TIMEOUT_MS);
-        sender.start();
+        sender.startAndAwaitListening();
         StubServer.await("the new process can take over",
                 () -> unchecked(() -> operatorCommand("readyz").equals("YES\n")));
     }
@@ -1090,7 +1090,7 @@
         config();
         Map<String, String> stale = new HashMap<>(environment());
         stale.put("GW_DISCOVERY", "127.0.0.1:1");
-        assertEquals(agent.address(), Config.read(stale).discoveryAddress());
+        assertEquals(agent.address(), Config.read(stale).agentAddress());
     }
 
     /** Runs the program as a process: SIGHUP reloads the configuration without ending it; SIGTERM still drains. */
@@ -1407,7 +1407,7 @@
         sender.kill();
         sender = new Sender(config(), handoverAllowed, Sender.DRAIN_ACCEPT_MS, Sender.DRAIN_TIMEOUT_MS);
         lifecycles = "DRAINING DRAINING";
-        address = sender.start();
+        address = sender.startAndAwaitListening();
         StubServer.await("the list is applied", () -> unchecked(() -> metric("members_unavailable") == 2));
         assertEquals(1, receivedCalls().size());
     }
--- a/src/test/java/kestreldeal/net/WallClockTest.java
+++ b/src/test/java/kestreldeal/net/WallClockTest.java
@@ -47,7 +47,7 @@
 
     private void assertSpans(AcceptedMessage message, Journal.RecordedHealth health, long passedMs) {
         assertEquals(24_000 - passedMs, message.timeLeftMs(clock));
-        assertFalse(message.mayHaveExpired(clock));
+        assertFalse(message.budgetMayBeUsedUp(clock));
         assertEquals(passedMs, message.attempts.get(0).ageMs(clock));
         assertEquals(passedMs, health.ageMs(clock));
     }
@@ -56,10 +56,10 @@
     @ValueSource(longs = {3_600_000, 5000, -5000, -3_600_000})
     void stepOfTheWallClockChangesNoTimeSpan(long stepMs) throws Exception {
         try (Journal journal = journal()) {
-            AcceptedMessage message = AcceptedMessage.withTimeLeft(journal.nextNumber(), "id", "order", "",
+            AcceptedMessage message = AcceptedMessage.withTimeLeft(journal.assignNumber(), "id", "order", "",
                     Optional.of("key"), 7, 24_000, new byte[1], clock);
             journal.recordAccepted(message);
-            journal.recordAttempt(message, AcceptedMessage.Attempt.sentAgo("e", 0, clock));
+            journal.recordAttempt(message, AcceptedMessage.Attempt.startedAgo("e", 0, clock));
             journal.recordEndpointHealth("e", Journal.RecordedHealth.ofAge(0, Relay.EndpointState.DOWN, 0.5, clock));
             clock.advance(6000);
             clock.stepWallClock(stepMs);
@@ -104,10 +104,10 @@
 
     private void writeJournal() throws IOException {
         try (Journal journal = journal()) {
-            AcceptedMessage message = AcceptedMessage.withTimeLeft(journal.nextNumber(), "id", "order", "",
+            AcceptedMessage message = AcceptedMessage.withTimeLeft(journal.assignNumber(), "id", "order", "",
                     Optional.of("key"), 7, 24_000, new byte[1], clock);
             journal.recordAccepted(message);
-            journal.recordAttempt(message, AcceptedMessage.Attempt.sentAgo("e", 0, clock));
+            journal.recordAttempt(message, AcceptedMessage.Attempt.startedAgo("e", 0, clock));
             journal.recordEndpointHealth("e", Journal.RecordedHealth.ofAge(0, Relay.EndpointState.WARMING, 0.5, clock));
         }
     }
@@ -136,11 +136,11 @@
         endpoint = new StubServer(StubServer.status(200, ""));
         environment = new SenderTestEnvironment(folder, endpoint);
         try (Journal journal = environment.openJournal()) {
-            journal.recordAccepted(AcceptedMessage.withTimeLeft(journal.nextNumber(), "untried", "once", "",
+            journal.recordAccepted(AcceptedMessage.withTimeLeft(journal.assignNumber(), "untried", "once", "",
                     Optional.empty(), 0, 20_000, new byte[0], MachineClock.system()));
         }
         sender = environment.createSender(new SteppedWallClock(stepMs));
-        sender.start();
+        sender.startAndAwaitListening();
         StubServer.await("the call to the endpoint", () -> endpoint.requests.size() == 1);
         assertEquals("untried", endpoint.requests.get(0).header("X-Call-Id"));
     }
