--- a/src/main/java/kestreldeal/net/Sender.java
+++ b/src/main/java/kestreldeal/net/Sender.java
@@ -315,12 +315,12 @@
             double nowMs = currentTurnTimeMs();
             List<Relay.EarlierAttempt> earlierAttempts = new ArrayList<>();
             for (AcceptedMessage.Attempt attempt : message.attempts) {
-                double sentAtMs = Math.min(nowMs, (attempt.startedNanos - startNanos) / 1e6);
+                double startedAtMs = Math.min(nowMs, (attempt.startedNanos - startNanos) / 1e6);
                 AttemptId attemptId = new AttemptId(message.number, earlierAttempts.size());
                 OptionalLong callId = predecessorCallIds.containsKey(attemptId)
                         ? OptionalLong.of(predecessorCallIds.get(attemptId)) : OptionalLong.empty();
                 callId.ifPresent(id -> predecessorAttempts.put(attemptId, message));
-                earlierAttempts.add(new Relay.EarlierAttempt(endpointNumber(attempt.endpoint), sentAtMs,
+                earlierAttempts.add(new Relay.EarlierAttempt(endpointNumber(attempt.endpoint), startedAtMs,
                         !attempt.neverRan, callId));
             }
             pendingMessages.put(message.number, message);
--- a/src/test/java/kestreldeal/net/AcceptedMessageTest.java
+++ b/src/test/java/kestreldeal/net/AcceptedMessageTest.java
@@ -21,7 +21,7 @@
         return attempt;
     }
 
-    private boolean isInDedupWindow(int attempt, long nowMs, double windowMs) {
+    private boolean isWithinDedupWindows(int attempt, long nowMs, double windowMs) {
         return message.isWithinDedupWindows(attempt, startNanos + TimeUnit.MILLISECONDS.toNanos(nowMs), windowMs);
     }
 
@@ -30,17 +30,17 @@
         AcceptedMessage.Attempt first = addAttempt(1000);
         addAttempt(3000);
         addAttempt(5000);
-        assertTrue(isInDedupWindow(2, 6000, 5000));
-        assertFalse(isInDedupWindow(2, 6001, 5000));
+        assertTrue(isWithinDedupWindows(2, 6000, 5000));
+        assertFalse(isWithinDedupWindows(2, 6001, 5000));
         first.neverRan = true;
-        assertTrue(isInDedupWindow(2, 8000, 5000));
-        assertFalse(isInDedupWindow(2, 8001, 5000));
+        assertTrue(isWithinDedupWindows(2, 8000, 5000));
+        assertFalse(isWithinDedupWindows(2, 8001, 5000));
     }
 
     @Test
     void firstAttemptIsNotBoundToAWindow() {
         addAttempt(1000);
-        assertTrue(isInDedupWindow(0, 60_000, 5000));
+        assertTrue(isWithinDedupWindows(0, 60_000, 5000));
     }
 
     /** A first attempt whose connection is established late may be overtaken by its hedged attempt. */
@@ -48,10 +48,10 @@
     void overtakenAttemptCountsAsARepeat() {
         addAttempt(1000);
         AcceptedMessage.Attempt hedge = addAttempt(2000);
-        assertTrue(isInDedupWindow(0, 7000, 5000));
-        assertFalse(isInDedupWindow(0, 7001, 5000));
+        assertTrue(isWithinDedupWindows(0, 7000, 5000));
+        assertFalse(isWithinDedupWindows(0, 7001, 5000));
         hedge.neverRan = true;
-        assertTrue(isInDedupWindow(0, 7001, 5000));
+        assertTrue(isWithinDedupWindows(0, 7001, 5000));
     }
 
     /** The clock went back, so how long ago the attempt was made is unknown. */
@@ -59,15 +59,15 @@
     void attemptFromTheFutureIsOutsideAnyWindow() {
         message.attempts.add(AcceptedMessage.Attempt.startedAgo("e", -5000, clock));
         addAttempt(0);
-        assertFalse(isInDedupWindow(1, 0, TimeUnit.DAYS.toMillis(1)));
+        assertFalse(isWithinDedupWindows(1, 0, TimeUnit.DAYS.toMillis(1)));
     }
 
     @Test
     void attemptOfAPreviousProcessKeepsItsAge() {
         message.attempts.add(AcceptedMessage.Attempt.startedAgo("e", 60_000, clock));
         addAttempt(0);
-        assertFalse(isInDedupWindow(1, 0, 60_000 - 1));
-        assertTrue(isInDedupWindow(1, 0, 60_000));
+        assertFalse(isWithinDedupWindows(1, 0, 60_000 - 1));
+        assertTrue(isWithinDedupWindows(1, 0, 60_000));
     }
 
     /** A request may have been unread for as long as its client waits, or for a quarter of its class's deadline. */
--- a/src/test/java/kestreldeal/net/ConnectFailureTest.java
+++ b/src/test/java/kestreldeal/net/ConnectFailureTest.java
@@ -56,7 +56,7 @@
         stub = new StubServer(StubServer.status(200, ""));
         loop.submit(() -> {
             client = new EndpointClient(loop, 1000, 15_000, 4,
-                    (attempt, outcome, messageFinished, retryAfterMs, report) -> outcomes.add(outcome),
+                    (attempt, outcome, messageExpired, retryAfterMs, report) -> outcomes.add(outcome),
                     FailingChannel::new, MachineClock.system());
             client.updateEndpoint(1, stub.address(), true, 1);
         }).sync();
--- a/src/test/java/kestreldeal/net/EndpointClientTest.java
+++ b/src/test/java/kestreldeal/net/EndpointClientTest.java
@@ -35,7 +35,7 @@
     /** A second endpoint, where a test has one. */
     private static final long OTHER_ENDPOINT = 2;
 
-    private record Result(Outcome outcome, boolean messageFinished, double retryAfterMs) {
+    private record Result(Outcome outcome, boolean messageExpired, double retryAfterMs) {
     }
 
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
@@ -61,10 +61,10 @@
     private EndpointClient.AttemptListener listener() {
         return new EndpointClient.AttemptListener() {
         @Override
-        public void attemptCompleted(EndpointClient.OutboundAttempt attempt, Outcome outcome, boolean messageFinished,
+        public void attemptCompleted(EndpointClient.OutboundAttempt attempt, Outcome outcome, boolean messageExpired,
                 double retryAfterMs, LoadReport report) {
             reportedRates.add(report.rate());
-            results.add(new Result(outcome, messageFinished, retryAfterMs));
+            results.add(new Result(outcome, messageExpired, retryAfterMs));
         }
 
         @Override
--- a/src/test/java/kestreldeal/net/OperatorServerTest.java
+++ b/src/test/java/kestreldeal/net/OperatorServerTest.java
@@ -41,8 +41,8 @@
             }
 
             @Override
-            public void setEvacuating(boolean start) {
-                evacuating = start;
+            public void setEvacuating(boolean active) {
+                evacuating = active;
             }
         });
         address = (InetSocketAddress) server.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))
