--- a/src/main/java/kestreldeal/net/Journal.java
+++ b/src/main/java/kestreldeal/net/Journal.java
@@ -21,14 +21,15 @@
 
 /**
  * Append-only journal of the messages that this sender has accepted, in a file that outlives its process. Each record
- * has a length and a checksum, and is written to the operating system's page cache before the step that it describes is
- * taken. That survives any end of the process, SIGKILL included, so nothing is forced to disk (fsync). Times are
- * those of the machine's monotonic clock; a record ahead of them names the boot in which they were taken.
+ * has a length and a checksum, and is written to the operating system's page cache, which survives any end of the
+ * process, SIGKILL included; so nothing is forced to disk (fsync). The records of steps that can still be avoided
+ * (accepting a message, starting an attempt) are written before the step, all others after the event. Times are those
+ * of the machine's monotonic clock, which starts anew with each boot; a record before them identifies the boot.
  *
- * <p>The folder never exceeds its size limit: before an append would leave no room for a compacted copy beside the
- * file, the live records (those that a restart would still need) are written to a new file, which then replaces the old
- * one. New messages are rejected while the live records, with the records that their messages may still need, fill half
- * of the limit.
+ * <p>The folder never exceeds its size limit. The journal is compacted before it becomes so large that the compacted
+ * copy would not fit beside it: the live records (those that a restart would still need) are written to a new file,
+ * which then replaces the old one. A message is rejected if the live records, plus the space reserved for the later
+ * records of all live messages, would take more than half of the limit.
  *
  * <p>Writes may fail for a while. Steps that can still be avoided (accepting a message, starting an attempt) are then
  * refused. Records of events that have already happened are kept in memory and written as soon as possible; until
@@ -38,30 +39,47 @@
     /** Types of records, by their numbers in the file. */
     private static final int ACCEPTED = 1;
     private static final int ATTEMPT = 2;
+    /** The result of an attempt proved that it never ran. */
     private static final int NEVER_RAN = 3;
+    /** The message was rejected or has failed, and its notice is still to be confirmed. */
     private static final int NOTICE = 4;
+    /** Nothing is left to do for a live message. */
     private static final int COMPLETED = 5;
     private static final int ENDPOINT_HEALTH = 6;
+    /** Written by a compaction: the id of a completed message, and whether it was delivered. */
     private static final int COMPLETED_ID = 7;
-    /** Names the boot whose monotonic clock gave the times in the records after it; without one they are wall times. */
+    /**
+     * Identifies the boot whose monotonic clock gave the times in the records after it; without one they are wall
+     * times.
+     */
     private static final int BOOT = 8;
-    /** Bytes reserved for the later records of a live message: for each attempt, and for its completion. */
+    /**
+     * Bytes reserved for the later records of a live message: for the ATTEMPT and NEVER_RAN records of each attempt,
+     * and for its NOTICE and COMPLETED records.
+     */
     private static final int ATTEMPT_RESERVE_BYTES = 128;
     private static final int COMPLETION_RESERVE_BYTES = 64;
-    /** Limits on the ids kept of completed messages: their number, and the folder's limit divided by this for bytes. */
+    /** Maximum number of ids of completed messages that are kept. */
     private static final int MAX_COMPLETED_IDS = 4096;
-    private static final int COMPLETED_IDS_DIVISOR = 16;
+    /** The records of these ids may take the journal's size limit divided by this. */
+    private static final int COMPLETED_IDS_SIZE_DIVISOR = 16;
     /**
-     * Disk use counts in whole blocks of 512 bytes, so each file may take up to a block more than its size: two journal
-     * files, the two files of {@link ProcessHandover}, and a spare block.
+     * Disk use is counted in blocks of 512 bytes, so each file may count up to a block more than its size: two journal
+     * files, the leader lock, the socket of {@link ProcessHandover}, and one block to spare.
      */
     private static final int BLOCK_ROUNDING_BYTES = 5 * 512;
     /** Delay before a failed write is retried: the first one, doubled after each failure up to the maximum. */
     private static final long INITIAL_RETRY_DELAY_MS = 10;
     private static final long MAX_RETRY_DELAY_MS = 320;
-    /** Bytes of unwritten records kept in memory; beyond that they are dropped and a compaction is written instead. */
+    /**
+     * Limit on the unwritten records kept in memory. Beyond it they are dropped, and the next write is a compaction,
+     * which contains the same state.
+     */
     private static final int MAX_UNWRITTEN_BYTES = 1 << 18;
-    /** Time left given to a message of another boot: longer than any class's deadline, to which the sender caps it. */
+    /**
+     * Time left of a message that was accepted before a reboot: longer than the deadline of any class. The sender caps
+     * it to the deadline of the message's class.
+     */
     private static final long OTHER_BOOT_TIME_LEFT_NANOS = TimeUnit.DAYS.toNanos(1);
 
     private final JournalFile file;
@@ -70,10 +88,11 @@
     private final MachineClock clock;
     private final Map<Long, AcceptedMessage> liveMessages = new TreeMap<>();
     /** Ids of the most recently completed messages, oldest first, and whether each was delivered. */
-    private final Map<String, Boolean> completedIds = new LinkedHashMap<>();
+    private final Map<String, Boolean> deliveredByCompletedId = new LinkedHashMap<>();
     private long completedIdsBytes;
     /** Last recorded health of each endpoint that is not in service. */
     private final Map<String, RecordedHealth> endpointHealth = new TreeMap<>();
+    /** Size of the records that a compaction would write now. */
     private long liveBytes;
     private long nextNumber;
     /** Records of past events that could not be written yet, in order; a compaction makes all of them obsolete. */
@@ -81,15 +100,19 @@
     private long unwrittenBytes;
     /** A compaction has to be written before anything else: the last one failed, or unwritten records were dropped. */
     private boolean needsCompaction;
-    private boolean failing;
+    /** Whether a failure has been logged and the recovery from it has not. */
+    private boolean failureLogged;
     private long writeFailures;
     private long retryDelayMs = INITIAL_RETRY_DELAY_MS;
     private long nextRetryNanos = Long.MIN_VALUE;
     private LongConsumer failureCallback = ms -> { };
-    /** What the times in the records being read, or already in the file, count from. */
-    private TimeBase timeBase = TimeBase.WALL_CLOCK;
+    /**
+     * The clock of the times in the file; while the file is read, of those in the records read since the last BOOT
+     * record.
+     */
+    private RecordedClock recordedClock = RecordedClock.WALL_CLOCK;
 
-    private enum TimeBase {
+    private enum RecordedClock {
         /** Unix time in milliseconds, as written by an earlier release that recorded no boot. */
         WALL_CLOCK,
         /** The monotonic clock of this boot, in nanoseconds. */
@@ -113,7 +136,7 @@
         this.clock = clock;
         this.maxBytes = diskBytes - BLOCK_ROUNDING_BYTES;
         this.reservedBytesPerMessage = (long) maxAttempts * ATTEMPT_RESERVE_BYTES + COMPLETION_RESERVE_BYTES;
-        this.liveBytes = bootFrame().length;
+        this.liveBytes = encodeBoot().length;
         this.file = new JournalFile(folder, fileOpener);
         try {
             byte[] bytes = file.read();
@@ -122,10 +145,10 @@
             file.close();
             throw e;
         }
-        if (timeBase == TimeBase.OTHER_BOOT && !liveMessages.isEmpty()) {
-            Log.write("the journal was written before the machine was rebooted, so its times are unknown: "
-                    + liveMessages.size() + " messages get their full deadline again,"
-                    + " and earlier attempts count as past the deduplication window");
+        if (recordedClock == RecordedClock.OTHER_BOOT && !liveMessages.isEmpty()) {
+            Log.write("the journal was written before the machine was rebooted, so its times can't be compared: "
+                    + liveMessages.size() + " messages get the full deadline of their class again,"
+                    + " and their earlier attempts count as older than any deduplication window");
         }
     }
 
@@ -144,17 +167,20 @@
     }
 
     /** Returns a number for the next message, above all numbers used before. */
-    long nextNumber() {
+    long assignNumber() {
         return nextNumber++;
     }
 
-    /** Sets a callback for failed writes; it gets the delay in milliseconds after which to call {@link #catchUp}. */
+    /**
+     * Sets a callback for failed writes; it gets the delay in milliseconds after which to call {@link
+     * #retryFailedWrites}.
+     */
     void onFailure(LongConsumer callback) {
         failureCallback = callback;
     }
 
-    /** Whether something is still to be written after a failure; no message is accepted until it is. */
-    boolean isBehind() {
+    /** Whether a failed write is still to be retried; until then no message is accepted. */
+    boolean hasUnwrittenState() {
         return needsCompaction || !unwrittenRecords.isEmpty() || file.hasTornBytes();
     }
 
@@ -163,28 +189,31 @@
         return writeFailures;
     }
 
-    /** Retries failed writes unless the retry delay is still running; returns whether everything is written. */
-    boolean catchUp() {
-        if (isBehind()) {
+    /**
+     * Retries failed writes, if there are any and the retry delay has passed; returns whether nothing is left to be
+     * written.
+     */
+    boolean retryFailedWrites() {
+        if (hasUnwrittenState()) {
             if (!file.isOpen() || clock.nanos() < nextRetryNanos) {
                 return false;
             }
             try {
-                retryWrites();
+                writeUnwrittenRecords();
             } catch (IOException e) {
-                writeFailed(e);
+                handleWriteFailure(e);
                 return false;
             }
         }
-        if (failing) {
-            failing = false;
+        if (failureLogged) {
+            failureLogged = false;
             retryDelayMs = INITIAL_RETRY_DELAY_MS;
             Log.write("the journal can be written again; messages are accepted");
         }
         return true;
     }
 
-    private void retryWrites() throws IOException {
+    private void writeUnwrittenRecords() throws IOException {
         if (needsCompaction) {
             compact();
         }
@@ -200,10 +229,10 @@
         }
     }
 
-    private void writeFailed(IOException e) {
+    private void handleWriteFailure(IOException e) {
         writeFailures++;
-        if (!failing) {
-            failing = true;
+        if (!failureLogged) {
+            failureLogged = true;
             Log.write("the journal can't be written; messages are rejected until a retry succeeds: " + e.getMessage());
         }
         nextRetryNanos = clock.nanos() + TimeUnit.MILLISECONDS.toNanos(retryDelayMs);
@@ -213,7 +242,7 @@
 
     /** Records that a message is accepted. If this throws, the message must be rejected. */
     void recordAccepted(AcceptedMessage message) throws IOException {
-        byte[] record = acceptedFrame(message);
+        byte[] record = encodeAccepted(message);
         long needed = liveBytes + record.length + reservedBytesPerMessage * (liveMessages.size() + 1L);
         if (2 * needed > maxBytes) {
             throw new JournalFullException("the journal has no room for another message");
@@ -225,24 +254,25 @@
 
     /**
      * Records an attempt that is about to be made; from here on it counts as one that may have run. If this throws, the
-     * attempt must not be made. It still keeps its place in the message's list of attempts, as one that never ran.
+     * attempt must not be made. It keeps its number even then, because the decision module has counted it, and is
+     * marked as one that never ran.
      */
     void recordAttempt(AcceptedMessage message, AcceptedMessage.Attempt attempt) throws IOException {
         message.attempts.add(attempt);
         attempt.neverRan = true;
-        byte[] record = attemptFrame(message, attempt);
+        byte[] record = encodeAttempt(message, attempt);
         writeAhead(record);
         addRecordBytes(message, record.length);
         attempt.neverRan = false;
-        attempt.record = message.recordedAttempts++;
+        attempt.recordIndex = message.recordedAttemptCount++;
     }
 
     /** Records that the result of an attempt proved that it never ran. */
     void recordNeverRan(AcceptedMessage message, int attemptNumber) {
         AcceptedMessage.Attempt attempt = message.attempts.get(attemptNumber);
         attempt.neverRan = true;
-        if (attempt.record != AcceptedMessage.Attempt.UNRECORDED) {
-            writeMessageRecord(message, neverRanFrame(message, attempt.record));
+        if (attempt.recordIndex != AcceptedMessage.Attempt.UNRECORDED) {
+            writeMessageRecord(message, encodeNeverRan(message, attempt.recordIndex));
         }
     }
 
@@ -250,62 +280,72 @@
     void recordNotice(AcceptedMessage message, AcceptedMessage.Notice notice) {
         message.pendingNotice = Optional.of(notice);
         rememberCompleted(message.id, false);
-        writeMessageRecord(message, noticeFrame(message, notice));
+        writeMessageRecord(message, encodeNotice(message, notice));
     }
 
     /**
-     * Records that nothing is left to do for the message: it was delivered, its notice was confirmed, or its client
-     * never got the answer that it was accepted.
+     * Records that nothing is left to do for the message: it was delivered, it has expired at its destination, its
+     * notice was confirmed or was dropped after repeated rejections, or its 202 response could not be written.
      */
     void recordCompleted(AcceptedMessage message) {
         if (liveMessages.remove(message.number) != null) {
             liveBytes -= message.journalBytes;
             rememberIfAttempted(message);
-            writeOrQueue(completedFrame(message));
+            writeOrQueue(encodeCompleted(message));
         }
     }
 
     /** Whether the message with this id was delivered; empty if it is not among the most recently completed ones. */
-    Optional<Boolean> deliveredBefore(String id) {
-        return Optional.ofNullable(completedIds.get(id));
+    Optional<Boolean> wasDelivered(String id) {
+        return Optional.ofNullable(deliveredByCompletedId.get(id));
     }
 
     /** Ids of the most recently completed messages, oldest first, and whether each was delivered. */
-    Map<String, Boolean> completedIds() {
-        return new LinkedHashMap<>(completedIds);
+    Map<String, Boolean> deliveredByCompletedId() {
+        return new LinkedHashMap<>(deliveredByCompletedId);
     }
 
-    /** Remembers the id of a completed message, so that neither this process nor the next accepts it again. */
+    /**
+     * Keeps the id of a completed message, so that the message is not accepted again. The id gets a record of its own
+     * only in the next compaction; until then the records of its message imply it.
+     */
     void rememberCompleted(String id, boolean delivered) {
-        if (completedIds.put(id, delivered) == null) {
-            completedIdsBytes += completedIdFrameLength(id);
-            liveBytes += completedIdFrameLength(id);
+        if (deliveredByCompletedId.put(id, delivered) == null) {
+            completedIdsBytes += completedIdRecordBytes(id);
+            liveBytes += completedIdRecordBytes(id);
         }
-        while (completedIds.size() > MAX_COMPLETED_IDS || completedIdsBytes > maxBytes / COMPLETED_IDS_DIVISOR) {
-            String oldest = completedIds.keySet().iterator().next();
-            completedIds.remove(oldest);
-            completedIdsBytes -= completedIdFrameLength(oldest);
-            liveBytes -= completedIdFrameLength(oldest);
+        while (deliveredByCompletedId.size() > MAX_COMPLETED_IDS
+                || completedIdsBytes > maxBytes / COMPLETED_IDS_SIZE_DIVISOR) {
+            String oldest = deliveredByCompletedId.keySet().iterator().next();
+            deliveredByCompletedId.remove(oldest);
+            completedIdsBytes -= completedIdRecordBytes(oldest);
+            liveBytes -= completedIdRecordBytes(oldest);
         }
     }
 
-    /** A message with neither an attempt nor a notice is not remembered: its client does not know it was accepted. */
+    /**
+     * Keeps the id of a completed message unless it has neither an attempt nor a notice. Such a message was dropped
+     * because its 202 response could not be written, and its client may submit it again.
+     */
     private void rememberIfAttempted(AcceptedMessage message) {
         if (message.pendingNotice.isPresent() || !message.attempts.isEmpty()) {
             rememberCompleted(message.id, message.pendingNotice.isEmpty());
         }
     }
 
-    private static int completedIdFrameLength(String id) {
-        return completedIdFrame(id, true).length;
+    private static int completedIdRecordBytes(String id) {
+        return encodeCompletedId(id, true).length;
     }
 
-    /** An endpoint's state, since when ({@link MachineClock#nanos}), and its sustained call rate before an outage. */
+    /**
+     * The recorded health of an endpoint: its state, the time at which that began (by {@link MachineClock#nanos}), and
+     * the calls per millisecond that it sustained before an outage.
+     */
     record RecordedHealth(Relay.EndpointState state, long sinceNanos, double sustainedPerMs) {
         /** A state that began the given time ago. */
-        static RecordedHealth ofAge(double agoMs, Relay.EndpointState state, double sustainedPerMs,
+        static RecordedHealth ofAge(double ageMs, Relay.EndpointState state, double sustainedPerMs,
                 MachineClock clock) {
-            return new RecordedHealth(state, clock.nanos() - (long) (agoMs * 1e6), sustainedPerMs);
+            return new RecordedHealth(state, clock.nanos() - (long) (ageMs * 1e6), sustainedPerMs);
         }
 
         /** How long the endpoint has been in this state. */
@@ -314,9 +354,9 @@
         }
     }
 
-    /** Records a change of an endpoint's health; an endpoint in service needs no live record. */
+    /** Records a change of an endpoint's health. A compaction omits endpoints in service, which is the default. */
     void recordEndpointHealth(String endpoint, RecordedHealth health) {
-        byte[] record = endpointHealthFrame(endpoint, health);
+        byte[] record = encodeEndpointHealth(endpoint, health);
         writeOrQueue(record);
         storeEndpointHealth(endpoint, health, record.length);
     }
@@ -356,16 +396,16 @@
 
     // ---- writing ----
 
-    private byte[] bootFrame() {
+    private byte[] encodeBoot() {
         return JournalFrames.frame(out -> {
             out.writeByte(BOOT);
-            // In the place of the message number in other records.
+            // Most records have the message number here; this one has the time.
             out.writeLong(clock.nanos());
             out.writeUTF(clock.bootId());
         });
     }
 
-    private static byte[] acceptedFrame(AcceptedMessage message) {
+    private static byte[] encodeAccepted(AcceptedMessage message) {
         return JournalFrames.frame(out -> {
             out.writeByte(ACCEPTED);
             out.writeLong(message.number);
@@ -375,22 +415,22 @@
             out.writeBoolean(message.key.isPresent());
             out.writeUTF(message.key.orElse(""));
             out.writeLong(message.destination);
-            out.writeLong(message.deadlineNanos);
+            out.writeLong(message.completionDeadlineNanos);
             out.writeInt(message.body.length);
             out.write(message.body);
         });
     }
 
-    private static byte[] attemptFrame(AcceptedMessage message, AcceptedMessage.Attempt attempt) {
+    private static byte[] encodeAttempt(AcceptedMessage message, AcceptedMessage.Attempt attempt) {
         return JournalFrames.frame(out -> {
             out.writeByte(ATTEMPT);
             out.writeLong(message.number);
             out.writeUTF(attempt.endpoint);
-            out.writeLong(attempt.sentNanos);
+            out.writeLong(attempt.startedNanos);
         });
     }
 
-    private static byte[] neverRanFrame(AcceptedMessage message, int recordIndex) {
+    private static byte[] encodeNeverRan(AcceptedMessage message, int recordIndex) {
         return JournalFrames.frame(out -> {
             out.writeByte(NEVER_RAN);
             out.writeLong(message.number);
@@ -398,29 +438,29 @@
         });
     }
 
-    private static byte[] noticeFrame(AcceptedMessage message, AcceptedMessage.Notice notice) {
+    private static byte[] encodeNotice(AcceptedMessage message, AcceptedMessage.Notice notice) {
         return JournalFrames.frame(out -> {
             out.writeByte(NOTICE);
             out.writeLong(message.number);
-            out.writeBoolean(notice.bounced());
+            out.writeBoolean(notice.rejected());
             out.writeDouble(notice.retryAfterMs());
         });
     }
 
-    private static byte[] completedIdFrame(String id, boolean delivered) {
+    private static byte[] encodeCompletedId(String id, boolean delivered) {
         return JournalFrames.frame(out -> {
             out.writeByte(COMPLETED_ID);
-            // In the place of the message number in other records.
+            // Most records have the message number here; in this one the field is unused.
             out.writeLong(0);
             out.writeUTF(id);
             out.writeBoolean(delivered);
         });
     }
 
-    private static byte[] endpointHealthFrame(String endpoint, RecordedHealth health) {
+    private static byte[] encodeEndpointHealth(String endpoint, RecordedHealth health) {
         return JournalFrames.frame(out -> {
             out.writeByte(ENDPOINT_HEALTH);
-            // In the place of the message number in other records.
+            // Most records have the message number here; this one has a time.
             out.writeLong(health.sinceNanos());
             out.writeUTF(endpoint);
             out.writeByte(health.state().ordinal());
@@ -428,7 +468,7 @@
         });
     }
 
-    private static byte[] completedFrame(AcceptedMessage message) {
+    private static byte[] encodeCompleted(AcceptedMessage message) {
         return JournalFrames.frame(out -> {
             out.writeByte(COMPLETED);
             out.writeLong(message.number);
@@ -445,7 +485,7 @@
         if (!file.isOpen()) {
             throw new ClosedChannelException();
         }
-        if (!catchUp()) {
+        if (!retryFailedWrites()) {
             throw new IOException("the journal can't be written: an earlier write failed and is still to be retried");
         }
         try {
@@ -453,8 +493,9 @@
         } catch (JournalFullException e) {
             throw e;
         } catch (IOException e) {
+            // Without torn bytes it was not the append that failed, but the compaction before it.
             needsCompaction |= !file.hasTornBytes();
-            writeFailed(e);
+            handleWriteFailure(e);
             throw e;
         }
     }
@@ -465,12 +506,12 @@
             // Another process owns the file by now, or this process is ending.
             return;
         }
-        if (catchUp()) {
+        if (retryFailedWrites()) {
             try {
                 appendRecord(record);
                 return;
             } catch (IOException e) {
-                writeFailed(e);
+                handleWriteFailure(e);
             }
         }
         unwrittenRecords.add(record);
@@ -484,7 +525,7 @@
     }
 
     private void appendRecord(byte[] record) throws IOException {
-        if (timeBase != TimeBase.THIS_BOOT || file.size() + liveBytes + 2L * record.length > maxBytes) {
+        if (recordedClock != RecordedClock.THIS_BOOT || file.size() + liveBytes + 2L * record.length > maxBytes) {
             compact();
         }
         if (file.size() + record.length > maxBytes) {
@@ -493,35 +534,36 @@
         file.append(record);
     }
 
+    /** Replaces the file by one with the live records only. That makes the unwritten records obsolete. */
     private void compact() throws IOException {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream((int) liveBytes);
-        bytes.write(bootFrame());
+        bytes.write(encodeBoot());
         for (Map.Entry<String, RecordedHealth> entry : endpointHealth.entrySet()) {
-            bytes.write(endpointHealthFrame(entry.getKey(), entry.getValue()));
+            bytes.write(encodeEndpointHealth(entry.getKey(), entry.getValue()));
         }
-        for (Map.Entry<String, Boolean> entry : completedIds.entrySet()) {
-            bytes.write(completedIdFrame(entry.getKey(), entry.getValue()));
+        for (Map.Entry<String, Boolean> entry : deliveredByCompletedId.entrySet()) {
+            bytes.write(encodeCompletedId(entry.getKey(), entry.getValue()));
         }
         for (AcceptedMessage message : liveMessages.values()) {
-            bytes.write(acceptedFrame(message));
+            bytes.write(encodeAccepted(message));
             for (AcceptedMessage.Attempt attempt : message.attempts) {
-                if (attempt.record == AcceptedMessage.Attempt.UNRECORDED) {
+                if (attempt.recordIndex == AcceptedMessage.Attempt.UNRECORDED) {
                     continue;
                 }
-                bytes.write(attemptFrame(message, attempt));
+                bytes.write(encodeAttempt(message, attempt));
                 if (attempt.neverRan) {
-                    bytes.write(neverRanFrame(message, attempt.record));
+                    bytes.write(encodeNeverRan(message, attempt.recordIndex));
                 }
             }
             if (message.pendingNotice.isPresent()) {
-                bytes.write(noticeFrame(message, message.pendingNotice.get()));
+                bytes.write(encodeNotice(message, message.pendingNotice.get()));
             }
         }
         file.replace(bytes.toByteArray());
         unwrittenRecords.clear();
         unwrittenBytes = 0;
         needsCompaction = false;
-        timeBase = TimeBase.THIS_BOOT;
+        recordedClock = RecordedClock.THIS_BOOT;
     }
 
     // ---- reading ----
@@ -530,10 +572,10 @@
         int type = in.readByte();
         long numberOrTime = in.readLong();
         if (type == BOOT) {
-            // A time later than this clock's is not of this boot, even if the boot id is the same.
+            // A time later than now can't be of this boot, even if the boot id is the same.
             String bootId = in.readUTF();
             boolean sameBoot = !bootId.isEmpty() && bootId.equals(clock.bootId()) && numberOrTime <= clock.nanos();
-            timeBase = sameBoot ? TimeBase.THIS_BOOT : TimeBase.OTHER_BOOT;
+            recordedClock = sameBoot ? RecordedClock.THIS_BOOT : RecordedClock.OTHER_BOOT;
             return;
         }
         if (type == ENDPOINT_HEALTH) {
@@ -568,7 +610,7 @@
             case ATTEMPT -> {
                 AcceptedMessage.Attempt attempt = restoredAttempt(in.readUTF(), in.readLong());
                 message.attempts.add(attempt);
-                attempt.record = message.recordedAttempts++;
+                attempt.recordIndex = message.recordedAttemptCount++;
             }
             case NEVER_RAN -> message.attempts.get(in.readInt()).neverRan = true;
             case NOTICE -> {
@@ -587,27 +629,33 @@
         addRecordBytes(message, frameLength);
     }
 
-    /** A message of another boot gets a new deadline: retrying for too long does less harm than giving it up. */
+    /**
+     * A message that was accepted in another boot gets a new deadline: retrying for too long does less harm than giving
+     * it up.
+     */
     private long restoredDeadlineNanos(long recordedTime) {
-        return switch (timeBase) {
+        return switch (recordedClock) {
             case THIS_BOOT -> recordedTime;
             case OTHER_BOOT -> clock.nanos() + OTHER_BOOT_TIME_LEFT_NANOS;
             case WALL_CLOCK -> clock.nanos() + TimeUnit.MILLISECONDS.toNanos(recordedTime - clock.wallMillis());
         };
     }
 
-    /** An attempt of another boot counts as older than any deduplication window, so that it is not repeated. */
+    /**
+     * An attempt of another boot counts as older than any deduplication window, so that a keyed message that may have
+     * run is not sent again.
+     */
     private AcceptedMessage.Attempt restoredAttempt(String endpoint, long recordedTime) {
-        return switch (timeBase) {
-            case THIS_BOOT -> AcceptedMessage.Attempt.sentAt(endpoint, recordedTime, clock);
+        return switch (recordedClock) {
+            case THIS_BOOT -> AcceptedMessage.Attempt.startedAt(endpoint, recordedTime, clock);
             case OTHER_BOOT -> AcceptedMessage.Attempt.ofUnknownAge(endpoint, clock);
-            case WALL_CLOCK -> AcceptedMessage.Attempt.sentAgo(endpoint, clock.wallMillis() - recordedTime, clock);
+            case WALL_CLOCK -> AcceptedMessage.Attempt.startedAgo(endpoint, clock.wallMillis() - recordedTime, clock);
         };
     }
 
-    /** The health of an endpoint from another boot counts as just begun, so that a slow start begins again. */
+    /** An endpoint state recorded in another boot counts as entered just now, so that a slow start begins again. */
     private RecordedHealth restoredHealth(Relay.EndpointState state, long recordedTime, double sustainedPerMs) {
-        return switch (timeBase) {
+        return switch (recordedClock) {
             case THIS_BOOT -> new RecordedHealth(state, recordedTime, sustainedPerMs);
             case OTHER_BOOT -> RecordedHealth.ofAge(0, state, sustainedPerMs, clock);
             case WALL_CLOCK -> RecordedHealth.ofAge(clock.wallMillis() - recordedTime, state, sustainedPerMs, clock);
--- a/src/main/java/kestreldeal/net/ProcessHandover.java
+++ b/src/main/java/kestreldeal/net/ProcessHandover.java
@@ -27,7 +27,21 @@
  * messages that its clients still submit and the results of its calls in flight. If the leader dies instead, the lock
  * is free, and the follower takes over with the journal alone.
  *
- * <p>To a leader, the process that led before it is the predecessor, and the follower that takes over is the successor.
+ * <p>A sender is one configured instance with one state folder; several of its processes may run at a time. To a
+ * leader, the process that led before it is the predecessor, and the follower that takes over is the successor.
+ *
+ * <p>Types of messages between the processes:
+ * <ul>
+ * <li>{@code follow}: the follower registers with the leader;
+ * <li>{@code welcome}: the leader confirms that, with its present state in {@code legacy};
+ * <li>{@code helm}: the leader hands over, with its final state in {@code legacy};
+ * <li>{@code message} and {@code answer}: a submission that the predecessor forwards, and the status that the successor
+ *     answers with; {@code ask} is the number that matches them;
+ * <li>{@code wait}: the predecessor passes on a Retry-After wait of an endpoint;
+ * <li>{@code end}: the predecessor passes on the result of an attempt;
+ * <li>{@code cancel}: the successor cancels an attempt of the predecessor;
+ * <li>{@code listening}: the successor accepts clients.
+ * </ul>
  */
 final class ProcessHandover {
     /** Interval between tries to acquire the leader lock or to connect to the leader. */
@@ -45,18 +59,24 @@
             Relay.LearnedState memory) {
     }
 
-    /** An attempt of the predecessor that is still in flight there; attempts with the same call number share a call. */
+    /**
+     * An attempt of the predecessor that is still in flight there: the numbers of its message, of the attempt, and of
+     * the call that carries it, which other attempts may share.
+     */
     record InFlightAttempt(long message, int attempt, long call) {
     }
 
-    /** The result of an attempt that the predecessor made; {@code gone}: the message has expired at its destination. */
+    /**
+     * The result of an attempt that the predecessor made. {@code gone}: the message has expired at its destination;
+     * {@code waitMs}: the Retry-After wait, or 0; {@code tookMs}: how long the attempt took.
+     */
     record InFlightResult(long message, int attempt, Relay.Outcome outcome, boolean gone, double waitMs,
                   Relay.LoadReport report, double tookMs) {
     }
 
-    /** What the sender does on the events of a handover. */
+    /** The sender's part in a handover. */
     interface Callbacks {
-        /** This process leads from now on, with the predecessor's state if that could hand it over. */
+        /** This process becomes the leader. The state is empty unless the predecessor handed it over. */
         void becomeLeader(Optional<HandoverState> handoverState) throws IOException;
 
         /** The state that this leader would hand over now. */
@@ -66,7 +86,7 @@
         void successorListening();
 
         /** The predecessor forwards a message that a client submitted there; returns the status to answer with. */
-        HttpResponseStatus messageForwarded(ClientServer.Submission submission);
+        HttpResponseStatus acceptForwarded(ClientServer.Submission submission);
 
         /** An attempt of the predecessor has completed. */
         void predecessorAttemptCompleted(InFlightResult result);
@@ -84,8 +104,8 @@
     private final EventLoop loop;
     private final LeaderLock leaderLock;
     private final Path socketPath;
-    /** Whether processes connect to each other; without it a process can only wait until the leader ends. */
-    private final boolean connectsProcesses;
+    /** Whether processes connect to each other; otherwise a process can take over only once the leader has ended. */
+    private final boolean handoverAllowed;
     private final Callbacks callbacks;
     private final JsonMapper json = JsonMapper.builder()
             // A later release may send more fields.
@@ -94,25 +114,31 @@
     private Optional<ProcessConnection> predecessor = Optional.empty();
     /** The connection to the follower that will take over, or has taken over. */
     private Optional<ProcessConnection> successor = Optional.empty();
+    /** Listens for a follower; null unless this process has become the leader. */
     private Channel serverChannel;
     private boolean isLeader;
-    private boolean registered;
+    /** Whether the leader has confirmed this process as its follower. */
+    private boolean registeredWithLeader;
     private boolean closed;
-    /** Why this process could not become the leader when it last tried, to log each reason once in a row. */
+    /**
+     * The last logged reason why this process could not become the leader, so that it is not logged again at each
+     * retry.
+     */
     private String lastFailureReason = "";
     /** Clients' answers that wait for the successor's status, by the number of the forwarded message. */
     private final Map<Long, Consumer<HttpResponseStatus>> pendingAnswers = new HashMap<>();
     private long lastForwardNumber;
 
-    ProcessHandover(EventLoop loop, Path folder, boolean connectsProcesses, Callbacks callbacks) {
+    ProcessHandover(EventLoop loop, Path folder, boolean handoverAllowed, Callbacks callbacks) {
         this.loop = loop;
         this.leaderLock = new LeaderLock(folder);
+        // The Unix domain socket on which the leader listens for a follower.
         this.socketPath = folder.resolve("helm.sock");
-        this.connectsProcesses = connectsProcesses;
+        this.handoverAllowed = handoverAllowed;
         this.callbacks = callbacks;
     }
 
-    /** Becomes the leader if no other process is, or else a follower; retries if the folder can't be used yet. */
+    /** Becomes the leader, or a follower if another process leads. Retries while the folder can't be used. */
     void start() {
         try {
             if (leaderLock.tryAcquire()) {
@@ -123,7 +149,7 @@
         } catch (IOException e) {
             logCannotLead(e);
         }
-        leadOrConnect();
+        becomeLeaderOrConnect();
     }
 
     /** Logs why this process can't lead yet; since it retries, a repeated reason is not logged again. */
@@ -137,7 +163,7 @@
 
     /** Whether the leader has registered this process as its follower, so that it can take over without a gap. */
     boolean isRegisteredFollower() {
-        return !isLeader && registered;
+        return !isLeader && registeredWithLeader;
     }
 
     /** Whether this process leads and is still connected to the one that it took over from. */
@@ -153,14 +179,14 @@
             isLeader = false;
             throw e;
         }
-        if (connectsProcesses) {
+        if (handoverAllowed) {
             listenForFollower();
         }
     }
 
     /**
-     * Listens for a follower, in the place of an earlier process's socket. If that fails, a successor can only start
-     * once this process has ended.
+     * Listens for a follower, after deleting the socket file of an earlier process. If that fails, no process can take
+     * over before this one has ended.
      */
     private void listenForFollower() {
         try {
@@ -180,7 +206,7 @@
 
     // ---- as a follower ----
 
-    private void leadOrConnect() {
+    private void becomeLeaderOrConnect() {
         if (closed) {
             return;
         }
@@ -192,19 +218,19 @@
         } catch (IOException e) {
             logCannotLead(e);
         }
-        if (!connectsProcesses) {
-            leadOrConnectLater();
+        if (!handoverAllowed) {
+            scheduleRetry();
             return;
         }
         ProcessConnection.connect(loop, socketPath, new PredecessorHandler()).addListener(f -> {
             if (!f.isSuccess()) {
-                leadOrConnectLater();
+                scheduleRetry();
             }
         });
     }
 
-    private void leadOrConnectLater() {
-        loop.schedule(this::leadOrConnect, RETRY_INTERVAL_MS, TimeUnit.MILLISECONDS);
+    private void scheduleRetry() {
+        loop.schedule(this::becomeLeaderOrConnect, RETRY_INTERVAL_MS, TimeUnit.MILLISECONDS);
     }
 
     /** Takes over with the leader's state; the leader released the lock before it sent that. */
@@ -212,7 +238,8 @@
         if (leaderLock.tryAcquire()) {
             becomeLeader(Optional.of(handoverState));
         } else {
-            Log.write("the leader lock was released to this process, but another process has acquired it");
+            Log.write("another process has acquired the leader lock before this one;"
+                    + " will retry when the predecessor has exited");
         }
     }
 
@@ -228,13 +255,14 @@
         public void received(ProcessConnection connection, JsonNode message) throws IOException {
             switch (message.path("do").asText()) {
                 case "welcome" -> {
-                    // Warms up the parser: the first parse takes long, and would delay the takeover itself.
+                    // Parsed only to load the classes and to warm up the parser: the first parse takes long, and would
+                    // delay the takeover itself.
                     json.treeToValue(message.path("legacy"), HandoverState.class);
-                    registered = true;
+                    registeredWithLeader = true;
                 }
                 case "helm" -> takeOver(json.treeToValue(message.path("legacy"), HandoverState.class));
                 case "message" -> {
-                    HttpResponseStatus status = callbacks.messageForwarded(parseSubmission(message));
+                    HttpResponseStatus status = callbacks.acceptForwarded(parseSubmission(message));
                     connection.send(newMessage("answer").put("ask", message.path("ask").asLong())
                             .put("status", status.code()));
                 }
@@ -242,18 +270,18 @@
                         message.path("wait").asDouble());
                 case "end" -> callbacks.predecessorAttemptCompleted(
                         json.treeToValue(message.path("end"), InFlightResult.class));
-                default -> Log.write("unknown type of handover message from the predecessor process is ignored");
+                default -> Log.write("ignoring a handover message of unknown type from the predecessor");
             }
         }
 
         @Override
         public void closed(ProcessConnection connection) {
             predecessor = Optional.empty();
-            registered = false;
+            registeredWithLeader = false;
             if (isLeader) {
                 callbacks.predecessorGone();
             } else {
-                leadOrConnect();
+                becomeLeaderOrConnect();
             }
         }
     }
@@ -283,7 +311,10 @@
         sendToSuccessor(newMessage("helm").set("legacy", json.valueToTree(handoverState)));
     }
 
-    /** Forwards a client's message to the successor. The answer comes later; it is 503 if the successor is gone. */
+    /**
+     * Forwards a submission to the successor and passes on its status; that is 503 if the successor is gone or exits
+     * meanwhile.
+     */
     void forward(ClientServer.Submission submission, Consumer<HttpResponseStatus> answer) {
         if (successor.isEmpty()) {
             answer.accept(HttpResponseStatus.SERVICE_UNAVAILABLE);
@@ -331,21 +362,22 @@
                         .ifPresent(answer -> answer.accept(HttpResponseStatus.valueOf(message.path("status").asInt())));
                 case "cancel" -> callbacks.attemptCancelled(message.path("message").asLong(),
                         message.path("attempt").asInt());
-                default -> Log.write("unknown type of handover message from the successor process is ignored");
+                default -> Log.write("ignoring a handover message of unknown type from the successor");
             }
         }
 
         @Override
         public void closed(ProcessConnection connection) {
-            if (successor.filter(n -> n == connection).isPresent()) {
+            if (successor.filter(current -> current == connection).isPresent()) {
                 successor = Optional.empty();
-                new ArrayList<>(pendingAnswers.values()).forEach(a -> a.accept(HttpResponseStatus.SERVICE_UNAVAILABLE));
+                new ArrayList<>(pendingAnswers.values())
+                        .forEach(answer -> answer.accept(HttpResponseStatus.SERVICE_UNAVAILABLE));
                 pendingAnswers.clear();
             }
         }
     }
 
-    /** Releases the lock and closes all connections, as the end of the process would. */
+    /** For tests: releases the lock and closes all connections, as the end of the process would. */
     void close() {
         closed = true;
         leaderLock.release();
--- a/src/test/java/kestreldeal/net/OperatorServerTest.java
+++ b/src/test/java/kestreldeal/net/OperatorServerTest.java
@@ -31,7 +31,7 @@
     void open() {
         OperatorServer server = new OperatorServer(group.next(), new OperatorServer.CommandHandler() {
             @Override
-            public boolean canServe() {
+            public boolean isReady() {
                 return canServe;
             }
 
@@ -41,8 +41,8 @@
             }
 
             @Override
-            public void evacuate(boolean start) {
-                evacuating = start;
+            public void setEvacuating(boolean active) {
+                evacuating = active;
             }
         });
         address = (InetSocketAddress) server.listen(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))
