--- a/src/main/java/kestreldeal/net/Invariants.java
+++ b/src/main/java/kestreldeal/net/Invariants.java
@@ -15,7 +15,7 @@
     enum Rule {
         /** A message is sent only to endpoints of its own destination. */
         OWN_DESTINATION,
-        /** A message with {@link kestreldeal.Relay.Effect#UNSAFE} is not sent again once an attempt may have run. */
+        /** A message with {@link kestreldeal.Relay.Repeat#UNSAFE} is not sent again once an attempt may have run. */
         SINGLE_EFFECT,
         /** No message has more attempts than the settings allow. */
         ATTEMPT_LIMIT,
