--- a/src/main/java/kestreldeal/scale/soak/FaultInjector.java
+++ b/src/main/java/kestreldeal/scale/soak/FaultInjector.java
@@ -109,8 +109,8 @@
     }
 
     /** Whether system calls of this sender fail, or did a moment ago. */
-    boolean areSystemCallsFaulty(int sender) {
-        return clock.nowMs() < systemCallsFaultyUntilMs[sender] + MAX_PAUSE_MS;
+    boolean areSystemCallsFaulty(int senderNumber) {
+        return clock.nowMs() < systemCallsFaultyUntilMs[senderNumber] + MAX_PAUSE_MS;
     }
 
     private long drawDurationMs() {
@@ -188,7 +188,7 @@
                 currentEndpoints.add(newEndpoint);
                 endpointList.put(newEndpoint.id, newEndpoint.hostPort(), newEndpoint.destination, "SERVING");
                 double nowMs = clock.nowMs();
-                oldEndpoint.startDraining(sender -> senders.get(sender).notifiedAtMs(nowMs));
+                oldEndpoint.startDraining(senderNumber -> senders.get(senderNumber).notifiedAtMs(nowMs));
                 endpointList.put(oldEndpoint.id, oldEndpoint.hostPort(), oldEndpoint.destination, "DRAINING");
             });
             eventLoop.schedule(() -> {
--- a/src/main/java/kestreldeal/scale/soak/Ledger.java
+++ b/src/main/java/kestreldeal/scale/soak/Ledger.java
@@ -62,7 +62,7 @@
         final String key;
         final MessageClass messageClass;
         final int destination;
-        final int sender;
+        final int senderNumber;
         final double submittedAtMs;
         /** Time from the submission to the deadline. */
         final double budgetMs;
@@ -73,13 +73,13 @@
         /** Whether its result was checked, so that no breach for it can be found any more. */
         boolean isChecked;
 
-        Message(String id, String key, MessageClass messageClass, int destination, int sender, double submittedAtMs,
-                double budgetMs) {
+        Message(String id, String key, MessageClass messageClass, int destination, int senderNumber,
+                double submittedAtMs, double budgetMs) {
             this.id = id;
             this.key = key;
             this.messageClass = messageClass;
             this.destination = destination;
-            this.sender = sender;
+            this.senderNumber = senderNumber;
             this.submittedAtMs = submittedAtMs;
             this.budgetMs = budgetMs;
         }
@@ -119,8 +119,8 @@
         }
     }
 
-    void recordBreach(Rule rule, int sender, String id, String detail) {
-        breaches.add(new Breach(rule, sender, id, clock.nowMs(), detail));
+    void recordBreach(Rule rule, int senderNumber, String id, String detail) {
+        breaches.add(new Breach(rule, senderNumber, id, clock.nowMs(), detail));
     }
 
     List<Breach> breaches() {
@@ -134,23 +134,23 @@
     // ---- sender processes ----
 
     /** The process of a sender is being terminated or killed. */
-    void senderStopping(int sender) {
-        senderStatuses[sender].isInService = false;
+    void senderStopping(int senderNumber) {
+        senderStatuses[senderNumber].isInService = false;
     }
 
     /** The process of a sender has exited. Its Retry-After waits end, since the next process doesn't know them. */
-    void senderExited(int sender) {
-        retryAfterWaits.keySet().removeIf(key -> key >> 32 == sender);
+    void senderExited(int senderNumber) {
+        retryAfterWaits.keySet().removeIf(key -> key >> 32 == senderNumber);
     }
 
-    void senderReady(int sender) {
-        senderStatuses[sender].isInService = true;
-        senderStatuses[sender].readySinceMs = clock.nowMs();
+    void senderReady(int senderNumber) {
+        senderStatuses[senderNumber].isInService = true;
+        senderStatuses[senderNumber].readySinceMs = clock.nowMs();
     }
 
     /** Whether a sender is ready, and is not being terminated or killed. */
-    boolean isInService(int sender) {
-        return senderStatuses[sender].isInService;
+    boolean isInService(int senderNumber) {
+        return senderStatuses[senderNumber].isInService;
     }
 
     // ---- messages ----
@@ -181,15 +181,16 @@
     void callReceived(Message message, int destination, double drainingSinceMs) {
         double nowMs = clock.nowMs();
         if (message.destination != destination) {
-            recordBreach(Rule.WRONG_DESTINATION, message.sender, message.id, "a call to destination " + destination);
+            recordBreach(Rule.WRONG_DESTINATION, message.senderNumber, message.id,
+                    "a call to destination " + destination);
         }
         if (drainingSinceMs + SoakSettings.DRAIN_GRACE_MS + slackMs() < nowMs) {
-            recordBreach(Rule.SENT_AFTER_DRAIN, message.sender, message.id,
+            recordBreach(Rule.SENT_AFTER_DRAIN, message.senderNumber, message.id,
                     (long) (nowMs - drainingSinceMs) + " ms after the notification");
         }
-        double[] wait = retryAfterWaits.get(senderDestinationKey(message.sender, destination));
+        double[] wait = retryAfterWaits.get(senderDestinationKey(message.senderNumber, destination));
         if (wait != null && nowMs > wait[0] + RETRY_AFTER_GRACE_MS + slackMs() && nowMs < wait[1]) {
-            recordBreach(Rule.SENT_IN_A_WAIT, message.sender, message.id,
+            recordBreach(Rule.SENT_IN_A_WAIT, message.senderNumber, message.id,
                     (long) (wait[1] - nowMs) + " ms before the wait ends");
         }
     }
@@ -202,10 +203,10 @@
             return;
         }
         if (message.messageClass.isUnsafe()) {
-            recordBreach(Rule.RAN_TWICE, message.sender, message.id,
+            recordBreach(Rule.RAN_TWICE, message.senderNumber, message.id,
                     (long) (nowMs - firstMs) + " ms after the first time");
         } else if (nowMs > firstMs + message.messageClass.dedupWindowMs + slackMs()) {
-            recordBreach(Rule.REPEATED_PAST_ITS_WINDOW, message.sender, message.id,
+            recordBreach(Rule.REPEATED_PAST_ITS_WINDOW, message.senderNumber, message.id,
                     (long) (nowMs - firstMs) + " ms after the first time");
         }
     }
@@ -228,9 +229,9 @@
     }
 
     /** An endpoint has sent this sender a response with Retry-After. */
-    void retryAfterSent(int sender, int destination, double retryAfterMs) {
+    void retryAfterSent(int senderNumber, int destination, double retryAfterMs) {
         double nowMs = clock.nowMs();
-        double[] wait = retryAfterWaits.computeIfAbsent(senderDestinationKey(sender, destination),
+        double[] wait = retryAfterWaits.computeIfAbsent(senderDestinationKey(senderNumber, destination),
                 absentKey -> new double[] {nowMs, nowMs});
         if (wait[1] < nowMs) {
             wait[0] = nowMs;
@@ -238,8 +239,8 @@
         wait[1] = Math.max(wait[1], nowMs + retryAfterMs);
     }
 
-    private static long senderDestinationKey(int sender, int destination) {
-        return (long) sender << 32 | destination;
+    private static long senderDestinationKey(int senderNumber, int destination) {
+        return (long) senderNumber << 32 | destination;
     }
 
     // ---- check of results ----
@@ -253,13 +254,13 @@
                 continue;
             }
             double dueMs = message.submittedAtMs + message.budgetMs + RESULT_GRACE_MS + slackMs();
-            SenderStatus status = senderStatuses[message.sender];
+            SenderStatus status = senderStatuses[message.senderNumber];
             if (!message.isAccepted || message.isDelivered || message.isNoticed) {
                 message.isChecked = nowMs > dueMs;
             } else if (status.isInService
                     && nowMs > Math.max(dueMs, status.readySinceMs + RESTART_GRACE_MS + slackMs())) {
                 message.isChecked = true;
-                recordBreach(Rule.LOST, message.sender, message.id, message.messageClass + " submitted at "
+                recordBreach(Rule.LOST, message.senderNumber, message.id, message.messageClass + " submitted at "
                         + (long) message.submittedAtMs + " ms with a deadline of " + (long) message.budgetMs + " ms");
             }
             anyUnchecked |= !message.isChecked;
--- a/src/main/java/kestreldeal/scale/soak/SoakClients.java
+++ b/src/main/java/kestreldeal/scale/soak/SoakClients.java
@@ -41,7 +41,7 @@
     /** Time in which the sender must respond to an invalid request, or close its connection. */
     private static final int INVALID_REQUEST_TIMEOUT_MS = 3000;
     /** Tolerance on that time. */
-    private static final int TIMEOUT_SLACK_MS = 250;
+    private static final int INVALID_REQUEST_SLACK_MS = 250;
     /** Share of the messages with a deadline of at most the response timeout. */
     private static final double SHORT_DEADLINE_SHARE = 0.02;
     private static final double PAYMENT_SHARE = 0.35;
@@ -277,7 +277,7 @@
                             "neither a response nor a close in time");
                 }
                 ctx.close();
-            }, (long) (INVALID_REQUEST_TIMEOUT_MS + TIMEOUT_SLACK_MS + clock.schedulingDelayMs()),
+            }, (long) (INVALID_REQUEST_TIMEOUT_MS + INVALID_REQUEST_SLACK_MS + clock.schedulingDelayMs()),
                     TimeUnit.MILLISECONDS);
         }
 
--- a/src/main/java/kestreldeal/scale/soak/SoakRun.java
+++ b/src/main/java/kestreldeal/scale/soak/SoakRun.java
@@ -210,7 +210,7 @@
         means.put("cpu_s", sums[0] / senders.size());
         means.put("peak_mb", sums[1] / senders.size());
         means.put("descriptors", sums[2] / senders.size());
-        means.put("connections", initialEndpoints.stream().mapToLong(StubEndpoint::acceptedConnections).sum()
+        means.put("connections", initialEndpoints.stream().mapToLong(StubEndpoint::acceptedConnectionCount).sum()
                 / (double) senders.size());
         means.put("list_bytes", senders.stream().mapToLong(sender -> sender.agent().listBytes()).sum()
                 / (double) senders.size());
--- a/src/main/java/kestreldeal/scale/soak/SoakSender.java
+++ b/src/main/java/kestreldeal/scale/soak/SoakSender.java
@@ -51,7 +51,7 @@
     private final Path directory;
     private final int clientPort;
     private final int operatorPort;
-    private final List<String> command;
+    private final List<String> startCommand;
     private final Optional<FaultLibrary> faultLibrary;
     private final EndpointList endpointList;
     /** Start and end of each reload and discovery outage, during which list changes may not reach the sender. */
@@ -63,11 +63,11 @@
     private boolean isExitExpected;
     private boolean isRestarting;
 
-    SoakSender(int number, SoakSettings settings, List<String> command, EventLoop eventLoop, Ledger ledger,
+    SoakSender(int number, SoakSettings settings, List<String> startCommand, EventLoop eventLoop, Ledger ledger,
             Ledger.Clock clock, EndpointList endpointList, Optional<Path> faultLibraryFile) throws IOException {
         this.number = number;
         this.settings = settings;
-        this.command = command;
+        this.startCommand = startCommand;
         this.eventLoop = eventLoop;
         this.ledger = ledger;
         this.clock = clock;
@@ -140,7 +140,7 @@
     }
 
     private void startProcess() throws IOException {
-        ProcessBuilder builder = new ProcessBuilder(command).redirectErrorStream(true)
+        ProcessBuilder builder = new ProcessBuilder(startCommand).redirectErrorStream(true)
                 .redirectOutput(ProcessBuilder.Redirect.appendTo(logFile().toFile()));
         builder.environment().putAll(Map.of("GW_NAME", "soak-" + number, "GW_CONFIG",
                 directory.resolve("config.json").toString(), "GW_STATE", directory.resolve("state").toString(),
--- a/src/main/java/kestreldeal/scale/soak/StubEndpoint.java
+++ b/src/main/java/kestreldeal/scale/soak/StubEndpoint.java
@@ -49,11 +49,11 @@
     private final Random random;
     private final Set<Channel> connections = new LinkedHashSet<>();
     /** By sender number: when that sender was notified that this endpoint drains; infinite if it does not drain. */
-    private IntToDoubleFunction drainingSinceMs = sender -> Double.POSITIVE_INFINITY;
+    private IntToDoubleFunction drainingSinceMs = senderNumber -> Double.POSITIVE_INFINITY;
     private Channel serverChannel;
     private int port;
     private State state = State.SERVING;
-    private long acceptedConnections;
+    private long acceptedConnectionCount;
 
     StubEndpoint(String id, int destination, EventLoop eventLoop, Ledger ledger, Random random) {
         this.id = id;
@@ -74,8 +74,8 @@
     }
 
     /** Number of connections accepted so far. */
-    long acceptedConnections() {
-        return acceptedConnections;
+    long acceptedConnectionCount() {
+        return acceptedConnectionCount;
     }
 
     void changeState(State newState) {
@@ -102,7 +102,7 @@
     private final class RequestHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
-            acceptedConnections++;
+            acceptedConnectionCount++;
             connections.add(ctx.channel());
         }
 
@@ -122,7 +122,7 @@
                 if (message == null) {
                     ledger.recordBreach(Ledger.Rule.UNKNOWN_MESSAGE, -1, messageId, "a call to endpoint " + id);
                 } else {
-                    ledger.callReceived(message, destination, drainingSinceMs.applyAsDouble(message.sender));
+                    ledger.callReceived(message, destination, drainingSinceMs.applyAsDouble(message.senderNumber));
                     messages.add(message);
                 }
             }
@@ -138,7 +138,7 @@
                     processSome(messages);
                     StubHttpServer.respond(channel, HttpResponseStatus.INTERNAL_SERVER_ERROR, "");
                 }
-                case SHUT -> rejectCall(channel, messages.get(0).sender);
+                case SHUT -> rejectCall(channel, messages.get(0).senderNumber);
                 case RESETTING -> {
                     processSome(messages);
                     StubHttpServer.reset(channel);
@@ -165,13 +165,13 @@
                     .forEach(ledger::messageProcessed);
         }
 
-        private void rejectCall(Channel channel, int sender) {
+        private void rejectCall(Channel channel, int senderNumber) {
             if (random.nextDouble() >= RETRY_AFTER_SHARE) {
                 StubHttpServer.respond(channel, HttpResponseStatus.SERVICE_UNAVAILABLE, "");
                 return;
             }
             double retryAfterMs = MIN_RETRY_AFTER_MS + random.nextInt(RETRY_AFTER_RANGE_MS);
-            ledger.retryAfterSent(sender, destination, retryAfterMs);
+            ledger.retryAfterSent(senderNumber, destination, retryAfterMs);
             StubHttpServer.respond(channel, HttpResponseStatus.TOO_MANY_REQUESTS, "", "Retry-After",
                     String.format(Locale.ROOT, "%.3f", retryAfterMs / 1000));
         }
