--- a/src/main/java/kestreldeal/DeliveryScheduler.java
+++ b/src/main/java/kestreldeal/DeliveryScheduler.java
@@ -71,7 +71,7 @@
     private static final double MAX_RATE_OVER_SENT = 1.3;
     /** Growth of the allowed rate with each delivery, if answers don't report the share of the limit left. */
     private static final double RATE_GROWTH_PER_DELIVERY = 0.05;
-    /** If they do, the rate is adjusted to keep this share left: gain per delivery, its largest multiple. */
+    /** If they do, growth is SHARE_LEFT_GAIN * (share - target), at low rates times up to the factor. */
     private static final double TARGET_SHARE_LEFT = 0.5;
     private static final double SHARE_LEFT_GAIN = 0.6;
     private static final double MAX_SHARE_LEFT_GAIN_FACTOR = 3;
@@ -110,12 +110,12 @@
     /** Number of overdue calls, without a delivery since they were sent, that mark an endpoint as down. */
     private static final int DOWN_OVERDUE_CALLS = 2;
     private static final double OVERDUE_DEVIATION_FACTOR = 4;
-    /** This many failures or refusals in a row mark an endpoint as down if they span an outage: */
+    /** This many failures or refusals in a row, over at least MIN_OUTAGE_MS, mark an endpoint as down. */
     private static final int DOWN_FAILURES = 3;
     private static final double MIN_OUTAGE_MS = 2500;
-    /** Shortest interval between probes of a down endpoint; times the number of senders, the longest, */
+    /** Shortest interval between probes of a down endpoint; the longest is this times the sender count. */
     private static final double MIN_PROBE_INTERVAL_MS = 500;
-    /** but no longer than this many ramp-up times of the slow start. */
+    /** Upper limit of that longest interval, in ramp-up times of the slow start. */
     private static final double MAX_PROBE_INTERVAL_RAMP_UPS = 4;
     /** Share of the load permitted to a recovering endpoint that slow start uses; the rest is for bursts. */
     private static final double SLOW_START_LOAD_SHARE = 0.7;
@@ -129,7 +129,7 @@
     // Idle connections.
     /** A connection that was not used for this long counts as idle. */
     private static final double MIN_IDLE_MS = 100;
-    /** Once calls were lost on idle connections: share of the idle time still reused, and for how long. */
+    /** Losses on idle connections limit reuse to this share of their idle time, for up to the retention. */
     private static final double REUSE_IDLE_SHARE = 0.25;
     private static final double IDLE_LOSS_RETENTION_MS = 30_000;
 
@@ -146,7 +146,7 @@
             .comparingDouble((TrackedMessage d) -> -d.targetAt).thenComparingLong(d -> d.queuePosition);
     private static final Comparator<TrackedMessage> HIGHEST_PRIORITY_FIRST =
             Comparator.comparingDouble((TrackedMessage d) -> -d.priority()).thenComparing(OLDEST_FIRST);
-    /** Segments of the priority curve (low bits of a queue index), see currentSegment: sums of these bits. */
+    /** Number of segments of the priority curve; one is the sum of the bits that hold, see currentSegment. */
     private static final int SEGMENTS = 8;
     private static final int TARGET_PASSED = 1;
     private static final int DEADLINE_IN_HORIZON = 2;
@@ -1154,10 +1154,10 @@
         }
 
         /**
-         * Whether its destination may take one more slot: always its first, or if it holds fewer than remain
-         * free, so that a slow or silent one can't hold them all. With a fast endpoint it may take all but
-         * one, and the last too while below its share by demand, else destinations without calls, which may
-         * always take it, starve the busiest. Drawback: a silent one stays fast until 2 calls are overdue.
+         * Whether its destination may take a free slot. It may if it has none or fewer than would stay free,
+         * so a slow or silent one can't hold them all. With a fast endpoint it may take all but one, and the
+         * last too if below its share by demand: else destinations without calls, which may always take it,
+         * would starve the busiest. Drawback: a silent endpoint counts as fast until 2 calls are overdue.
          */
         boolean slotAvailable() {
             int freeSlots = settings.slotCount() - slotsUsed;
--- a/src/main/java/kestreldeal/net/Sender.java
+++ b/src/main/java/kestreldeal/net/Sender.java
@@ -62,9 +62,8 @@
     /** Share of the heap for listed endpoints; the rest is for messages, buffers and reading the journal. */
     private static final double ENDPOINT_HEAP_SHARE = 0.6;
     /**
-     * Heap per listed endpoint, over all parts of the sender. Measured as the growth of the live heap with the length
-     * of the list, at 1.6 endpoints per destination: 1,157 bytes per endpoint from 1,000 to 20,000 endpoints, 1,131
-     * from 1,000 to 25,000.
+     * Heap that one listed endpoint takes in all parts of the sender, at 1.6 endpoints per destination: up to 1,157
+     * bytes, rounded up.
      */
     private static final int BYTES_PER_ENDPOINT = 1160;
     /** Limit on the endpoints that are known at once; more could exhaust the heap. */
--- a/src/test/java/kestreldeal/net/ClientServerTest.java
+++ b/src/test/java/kestreldeal/net/ClientServerTest.java
@@ -111,7 +111,7 @@
         blocked.await();
     }
 
-    /** Incident r0b62c9: hundreds of clients that connected in one turn all replaced the same connection. */
+    /** The fault: hundreds of clients that connected in one turn all replaced the same connection. */
     @Test
     void manyClientsConnectingAtOnceStayWithinTheLimit() throws Exception {
         EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
